--- a/src/protocol/claim/claim-budget.ts
+++ b/src/protocol/claim/claim-budget.ts
@@ -1,22 +1,22 @@
 /**
- * Bounds the claims of one instance, so that a surge of calls or a slow table is answered by refusals at once instead of
- * a pile of waiting calls.
+ * Limits the rate and the concurrency of the claims of one instance, so that a surge of calls or a slow table leads to
+ * immediate refusals and not to a queue of waiting calls.
  *
- * The sum: the table takes several hundred writes a second; 400 are counted on. A claim costs three (claimed, sending,
- * recorded) and a repeat or a lost answer a few more, so a quarter is kept back: 300 / 3 = 100 claims a second for all
- * instances together. Each instance gets an equal share with a burst of two seconds, since the balancer spreads callers
- * evenly but not at every moment.
+ * The default rate assumes that the table accepts 400 writes per second. A claim costs three writes (`claimed`, `sending`,
+ * `recorded`), and a duplicate call or a lost answer a few more, so a quarter is reserved: 300 / 3 = 100 claims per second
+ * for all instances together. Each instance gets an equal share with a burst of two seconds, because the load balancer
+ * distributes callers evenly only on average.
  */
 import {type Refusal} from '../../shared/types.js';
 
-/** Claims a second that all instances together may begin, unless the limit `claims-per-second` is declared. */
+/** Claims per second that all instances together may start, unless the limit `claims-per-second` is declared. */
 export const defaultClaimsPerSecond = 100;
 const burstSeconds = 2;
 const leastBurstClaims = 4;
 const openLimit = 64;
 const suspectMilliseconds = 1000;
 
-/** The part of a refusal that the budget decides. */
+/** A refusal by the budget. */
 export type BudgetRefusal = Refusal & {reason: 'claim-rate' | 'platform-unavailable'};
 
 export class ClaimBudget {
@@ -26,16 +26,17 @@
 	#suspectUntil = 0;
 
 	/**
-	 * Asks to begin a claim.
+	 * Admits a claim or refuses it.
 	 *
-	 * @param share - How many live entry instances share the table, at least 1, and the claims a second that all of them
-	 * together may begin.
+	 * @param share - The number of live entry instances that share the table, at least 1, and the claims per second that all
+	 * of them together may start.
 	 * @param now - Milliseconds since the epoch.
-	 * @returns Nothing if it may begin (then `leave` follows), or the refusal; the call was not sent.
+	 * @returns `undefined` if the claim is admitted, in which case `release` must be called at its end; otherwise the refusal
+	 * of the call, which was not sent.
 	 */
 	enter(share: {instances: number; claimsPerSecond: number}, now: number): BudgetRefusal | undefined {
-		// With the table silent each call would wait for its time-out, and callers would pile up behind it. One call a
-		// second finds out whether it is back; all others are told at once.
+		// While the table does not answer, each call would wait for its timeout and calls would queue up. One call per second
+		// is admitted as a probe; all others are refused at once.
 		if (now < this.#suspectUntil) {
 			return refusalOf('platform-unavailable', 'the platform\'s table does not answer; the call was not sent', this.#suspectUntil - now);
 		}
@@ -43,7 +44,7 @@
 		const perSecond = share.claimsPerSecond / Math.max(1, share.instances);
 		this.#refill(perSecond, now);
 		if (this.#open >= openLimit || this.#tokens < 1) {
-			return refusalOf('claim-rate', 'too many calls that may not run twice; the call was not sent', 1000 / perSecond);
+			return refusalOf('claim-rate', 'too many non-idempotent calls; the call was not sent', 1000 / perSecond);
 		}
 
 		this.#tokens--;
@@ -52,12 +53,17 @@
 		return undefined;
 	}
 
-	/** A claim that had begun is over. */
+	/** Ends an admitted claim. */
 	leave(): void {
 		this.#open--;
 	}
 
-	/** The table answered, or did not. */
+	/**
+	 * Records the result of a call to the table.
+	 *
+	 * @param answered - Whether the table answered.
+	 * @param now - Milliseconds since the epoch.
+	 */
 	observe(answered: boolean, now: number): void {
 		this.#suspectUntil = answered ? 0 : now + suspectMilliseconds;
 	}
--- a/src/protocol/claim/claim-closing.ts
+++ b/src/protocol/claim/claim-closing.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the end of a claim: tried again while the table cannot be reached, up to a limit. The caller's outcome waits for
- * the first try only.
+ * Writes the final state of a claim and retries the write, up to a limit, while the table cannot be reached. The caller's
+ * outcome waits for the first write only.
  */
 import {type ClaimRow} from './claim-row.js';
 import {
@@ -10,7 +10,7 @@
 const tryLimit = 6;
 const retryMilliseconds = 1000;
 
-/** The end to write, and what the caller is told behind the first try. */
+/** The final row to write, the revision that it replaces, and the caller's outcome after the first write. */
 export type ClaimEnd = {row: ClaimRow; revision: number; outcome: ClaimOutcome | undefined};
 
 export class ClaimClosing {
@@ -22,21 +22,21 @@
 		this.#end = end;
 	}
 
-	/** True once the end is written, or was given up. */
+	/** True once the final row is written or the last attempt has failed. */
 	get isOver(): boolean {
 		return this.#isOver;
 	}
 
-	/** Gives the first step. */
+	/** Returns the first step. */
 	start(): ClaimDecision {
 		return {next: this.#write()};
 	}
 
 	/**
-	 * Takes how the last step ended.
+	 * Handles the result of the last step.
 	 *
-	 * @param event - How it ended.
-	 * @returns What follows.
+	 * @param event - The result.
+	 * @returns The caller's outcome, after the first write, and the next step, if any.
 	 */
 	take(event: ClaimEvent): ClaimDecision {
 		if (event.kind === 'woken') {
@@ -46,7 +46,7 @@
 		const {outcome} = this.#end;
 		const told: ClaimDecision = this.#tries > 0 || outcome === undefined ? {} : {outcome};
 		this.#tries++;
-		// A conflict means that an earlier try of this same write was applied: nobody else writes behind `sending`.
+		// A conflict means that an earlier attempt of this write was applied: no other instance writes the row after `sending`.
 		this.#isOver = event.kind === 'written' || event.kind === 'write-conflict' || this.#tries >= tryLimit;
 		return this.#isOver ? told : {...told, next: {kind: 'wait', milliseconds: retryMilliseconds}};
 	}
--- a/src/protocol/claim/claim-machine.ts
+++ b/src/protocol/claim/claim-machine.ts
@@ -1,10 +1,10 @@
 /**
- * Decides, step by step, what is done for one call that may never run twice. The shell carries out one step at a time
- * and reports how it ended; the machine holds no clock, socket or randomness.
+ * The state machine of one non-idempotent call. The caller of the machine carries out one step at a time and reports its
+ * result; the machine itself uses no clock, socket or random numbers.
  *
- * A call goes through three writes: `claimed` (nobody else sends for now), `sending` (from here on nobody ever sends
- * again), and `recorded`. All of them are conditional on the revision of the claim's row, so a write of a holder that
- * was paused, or one that was under way for long, fails once somebody else has written.
+ * A call goes through three writes: `claimed` (no other instance sends until the lease expires), `sending` (no other attempt
+ * may ever send after this) and `recorded`. All of them are conditional on the revision of the claim's row, so a write by a
+ * holder that was paused, or a write that was delayed in the network, fails once another instance has written the row.
  */
 import {type Refusal} from '../../shared/types.js';
 import {ClaimClosing} from './claim-closing.js';
@@ -25,7 +25,7 @@
 	readonly #own: OwnClaim;
 	readonly #patience = new RepeatPatience();
 	#phase: Phase = 'claiming';
-	/** Revision that the claim's row must have for the next write. */
+	/** The revision that the claim's row must have for the next write. */
 	#revision = 0;
 	#tries = 0;
 	#catchUps = 0;
@@ -38,13 +38,13 @@
 		this.#own = new OwnClaim(call);
 	}
 
-	/** True once nothing more will be done. */
+	/** True once no step follows. */
 	get isDone(): boolean {
 		return this.#phase === 'done';
 	}
 
 	/**
-	 * Begins.
+	 * Starts the claim.
 	 *
 	 * @param now - Milliseconds since the epoch.
 	 * @returns The first step.
@@ -54,11 +54,11 @@
 	}
 
 	/**
-	 * Takes how the last step ended.
+	 * Handles the result of the last step.
 	 *
-	 * @param event - How it ended.
+	 * @param event - The result.
 	 * @param now - Milliseconds since the epoch.
-	 * @returns What follows.
+	 * @returns The caller's outcome, once it is known, and the next step, if any.
 	 */
 	take(event: ClaimEvent, now: number): ClaimDecision {
 		if (this.#isCatchingUp) {
@@ -111,12 +111,12 @@
 			return isOnlyNewerConfiguration(event) ? this.#catchUp() : this.#judgeClaim(event.found, now);
 		}
 
-		// Nothing was confirmed, so this attempt was not sent. It never will be, even if the lost claim still arrives at
-		// the table: only this machine could confirm it, and it ends here.
+		// The claim is not confirmed, so the call was not sent. It will not be sent even if the lost write still reaches the
+		// table: only this machine could confirm the claim, and it ends here.
 		return this.#refuseUnsent('the platform\'s table cannot be reached');
 	}
 
-	/** Judges the row behind a claim that failed or whose answer was lost. */
+	/** Decides by the row as it stands after a claim that failed or whose answer was lost. */
 	#judgeClaim(found: FoundClaim | undefined, now: number): ClaimDecision {
 		if (found !== undefined && this.#own.isOwn(found)) {
 			return this.#confirm(found.revision, now);
@@ -127,7 +127,7 @@
 			return this.#judgeOther(found, now);
 		}
 
-		// The lost claim was not applied yet. Writing it again is harmless: of the two, one is applied.
+		// The lost write was not applied so far. Writing it again is safe: only one of the two can be applied.
 		this.#tries++;
 		return this.#tries < tryLimit ? this.#claim(this.#revision, now) : this.#refuseUnsent('the claim could not be written');
 	}
@@ -135,8 +135,8 @@
 	#confirm(revision: number, now: number): ClaimDecision {
 		this.#phase = 'confirming';
 		this.#revision = revision;
-		// The lease may have lapsed while this process was paused, and another may have taken the claim over and sent
-		// the call. Sending then would be the second run. The take-over changed the revision, so this write fails.
+		// The lease may have expired while this process was paused, and another instance may have taken the claim over and
+		// sent the call; sending it now would run it twice. The takeover changed the revision, so this write fails.
 		return {next: this.#own.confirmStep(revision, now)};
 	}
 
@@ -153,9 +153,9 @@
 			return isOnlyNewerConfiguration(event) ? this.#catchUp() : this.#judgeConfirm(event.found, now);
 		}
 
-		// A confirm whose answer was lost and that cannot be read back must not be sent: somebody else may hold the
-		// claim. Since it is not sent, `not-run` is true; a repeat may be told `unknown`.
-		return this.#refuseUnsent('the right to send could not be confirmed');
+		// If the answer to the confirming write is lost and the row cannot be read, the call must not be sent: another
+		// instance may hold the claim. As it is not sent, `not-run` is correct; a duplicate call may get `unknown`.
+		return this.#refuseUnsent('the claim could not be confirmed');
 	}
 
 	#judgeConfirm(found: FoundClaim | undefined, now: number): ClaimDecision {
@@ -168,7 +168,7 @@
 		}
 
 		this.#tries++;
-		return this.#tries < tryLimit ? this.#confirm(this.#revision, now) : this.#refuseUnsent('the right to send could not be confirmed');
+		return this.#tries < tryLimit ? this.#confirm(this.#revision, now) : this.#refuseUnsent('the claim could not be confirmed');
 	}
 
 	#send(revision: number): ClaimDecision {
@@ -207,7 +207,7 @@
 	#catchUp(): ClaimDecision {
 		this.#catchUps++;
 		if (this.#catchUps > tryLimit) {
-			return this.#refuseUnsent('the configuration changes too fast', 'stale-configuration');
+			return this.#refuseUnsent('the configuration changed too often during the claim', 'stale-configuration');
 		}
 
 		this.#isCatchingUp = true;
@@ -217,7 +217,7 @@
 	#takeCatchUp(event: ClaimEvent, now: number): ClaimDecision {
 		this.#isCatchingUp = false;
 		if (event.kind !== 'caught-up' || event.version <= this.#own.version) {
-			return this.#refuseUnsent('this instance has not the newest configuration', 'stale-configuration');
+			return this.#refuseUnsent('this instance does not have the newest configuration', 'stale-configuration');
 		}
 
 		this.#own.version = event.version;
@@ -230,7 +230,7 @@
 		return isClaimed ? this.#close(this.#own.row('abandoned', now), outcome) : this.#end(outcome);
 	}
 
-	/** Judges the claim of somebody else: answer from it, wait for it, or take it over. */
+	/** Decides by a claim of another call with the same key: answer from it, wait for it, or take it over. */
 	#judgeOther(found: FoundClaim, now: number): ClaimDecision {
 		const {row, revision} = found;
 		this.#hasSeenOther = true;
@@ -259,7 +259,7 @@
 	#waitFor(now: number): ClaimDecision {
 		const milliseconds = this.#patience.nextPause(now);
 		return milliseconds === undefined
-			? this.#end(this.#unknown('in-progress', 'another call under this key is under way'))
+			? this.#end(this.#unknown('in-progress', 'another call with this key is in flight'))
 			: {next: {kind: 'wait', milliseconds}};
 	}
 
@@ -270,10 +270,10 @@
 
 		return event.kind === 'read' && event.found !== undefined
 			? this.#judgeOther(event.found, now)
-			: this.#end(this.#unknown('platform-unavailable', 'the first call under this key cannot be looked up'));
+			: this.#end(this.#unknown('platform-unavailable', 'the state of the first call with this key cannot be read'));
 	}
 
-	/** This attempt was not sent and never will be. An earlier one under the key may have been, if one was seen. */
+	/** Refuses a call that this machine did not send. If a claim of another call was seen, that call may have been sent. */
 	#refuseUnsent(message: string, reason: 'platform-unavailable' | 'stale-configuration' = 'platform-unavailable'): ClaimDecision {
 		return this.#end(this.#hasSeenOther ? this.#unknown(reason, message) : unsentOutcome(reason, `${message}; the call was not sent`, 'not-run'));
 	}
--- a/src/protocol/claim/claim-row.ts
+++ b/src/protocol/claim/claim-row.ts
@@ -1,6 +1,6 @@
 /**
- * The row by which a call that may never run twice is claimed before it is sent. It holds who may send, whether the
- * call may have been sent, and the first answer, which every repeat of the key gets.
+ * The row that claims a non-idempotent call before it is sent. It names the instance that may send the call, says whether
+ * the call may have been sent, and holds the first answer, which every duplicate call with the same key gets.
  */
 import {Buffer} from 'node:buffer';
 import {type PlainAnswer} from '../../ports/plain-service.js';
@@ -9,12 +9,15 @@
 export const claimTable = 'claims';
 
 /**
- * `claimed`: nothing was sent. `sending`: it may have been sent. `recorded`: the answer stands. `abandoned`: never sent.
- * `unknown`: it was sent and its answer is lost. Only `claimed` (lapsed) and `abandoned` can be claimed again.
+ * - `claimed`: not sent so far; can be claimed again once its lease has expired.
+ * - `sending`: may have been sent.
+ * - `recorded`: the answer is final.
+ * - `abandoned`: was not sent; can be claimed again.
+ * - `unknown`: was sent, and its answer is lost.
  */
 export type ClaimStage = 'claimed' | 'sending' | 'recorded' | 'abandoned' | 'unknown';
 
-/** An answer as a row holds it. */
+/** An answer as stored in a row. */
 export type RecordedAnswer = {
 	status: number;
 	headers: Record<string, string>;
@@ -23,11 +26,11 @@
 
 export type ClaimRow = {
 	stage: ClaimStage;
-	/** Names one attempt at the claim; a take-over changes it. */
+	/** Identifies one claim of the key; a takeover changes it. */
 	nonce: string;
 	holder: string;
 	/**
-	 * In milliseconds since the epoch. `claimed`: when others may take the claim over. `sending`: when the call is
+	 * In milliseconds since the epoch. `claimed`: when other instances may take the claim over. `sending`: when the call is
 	 * overdue and its outcome counts as unknown.
 	 */
 	leaseUntil: number;
@@ -37,23 +40,23 @@
 };
 
 /**
- * Gives the key of a claim's row. Keys of callers are digested: they may be long, and may tell something.
+ * Returns the key of a claim's row. The caller's key is hashed, because it may be long or contain private data.
  *
  * @param workspace - The caller's workspace.
  * @param service - The plain service.
  * @param idempotencyKey - The caller's `Idempotency-Key`.
- * @returns The key; two workspaces never share one.
+ * @returns The key; keys of two workspaces always differ.
  */
 export function claimKeyOf(workspace: string, service: string, idempotencyKey: string): string {
 	return `${workspace}/${service}/${digestOf(idempotencyKey)}`;
 }
 
-/** Turns an answer into what a row holds. */
+/** Converts an answer to its stored form. */
 export function recordAnswer(answer: PlainAnswer): RecordedAnswer {
 	return {status: answer.status, headers: answer.headers, bodyBase64: answer.body.toString('base64')};
 }
 
-/** Turns what a row holds into an answer. */
+/** Converts a stored answer back to an answer. */
 export function replayAnswer(recorded: RecordedAnswer): PlainAnswer {
 	return {status: recorded.status, headers: recorded.headers, body: Buffer.from(recorded.bodyBase64, 'base64')};
 }
--- a/src/protocol/claim/claim-steps.ts
+++ b/src/protocol/claim/claim-steps.ts
@@ -1,27 +1,27 @@
-/** What `ClaimMachine` and the shell around it say to each other: steps, how they ended, and what the caller gets. */
+/** The steps that `ClaimMachine` asks for, their results, and the outcome for the caller. */
 import {type Refusal} from '../../shared/types.js';
 import {type ClaimRow, type RecordedAnswer} from './claim-row.js';
 
-/** What is claimed, and for whom. */
+/** The call to claim, and the instance that claims it. */
 export type ClaimedCall = {
 	bodyDigest: string;
-	/** Unique for this request; never used by another. */
+	/** Unique to this request. */
 	nonce: string;
 	holder: string;
-	/** Where the outcome can be asked later. */
+	/** The path where the outcome can be queried later. */
 	askAt: string;
 	configurationVersion: number;
 };
 
-/** The claim's row as found. */
+/** The claim's row as read, with its revision. */
 export type FoundClaim = {
 	row: ClaimRow;
 	revision: number;
 };
 
 /**
- * What the shell does next. `write` applies only if the claim's row has `revision` (0: is absent) and, where `version` is
- * given, no configuration change behind that version was accepted.
+ * The next step to carry out. `write` is applied only if the claim's row has `revision` (0 means that the row is absent) and,
+ * where `version` is given, no newer configuration was accepted. `catch-up` reads and applies newer configuration changes.
  */
 export type ClaimStep
 	= | {kind: 'write'; row: ClaimRow; revision: number; version?: number}
@@ -30,7 +30,7 @@
 		| {kind: 'send'}
 		| {kind: 'wait'; milliseconds: number};
 
-/** How a step ended. `write-lost`: applied, not applied, or still to be applied. */
+/** The result of a step. `write-lost`: the write may have been applied, or may still be applied later. */
 export type ClaimEvent
 	= | {kind: 'written'}
 		| {kind: 'write-conflict'; found?: FoundClaim; newerConfiguration: boolean}
@@ -44,12 +44,12 @@
 		| {kind: 'send-lost'}
 		| {kind: 'woken'};
 
-/** What the caller gets. */
+/** The outcome for the caller. */
 export type ClaimOutcome
 	= | {kind: 'answer'; answer: RecordedAnswer}
 		| {kind: 'refusal'; refusal: Refusal};
 
-/** What follows from an event: the caller's outcome, at most once in a machine's life, and the next step, if any. */
+/** The caller's outcome, which a machine returns at most once, and the next step, if any. */
 export type ClaimDecision = {
 	outcome?: ClaimOutcome;
 	next?: ClaimStep;
--- a/src/protocol/claim/own-claim.ts
+++ b/src/protocol/claim/own-claim.ts
@@ -1,14 +1,14 @@
-/** The rows by which one call claims its key. Each claim of a call has a nonce of its own, by which it knows its rows. */
+/** The rows that one call writes to claim its key. Each claim has its own nonce, which identifies its rows. */
 import {type ClaimRow} from './claim-row.js';
 import {type ClaimedCall, type ClaimStep, type FoundClaim} from './claim-steps.js';
 
-/** How long a claim stands before others may take it over. */
+/** The lease of a claim; other instances may take the claim over after it. */
 export const leaseMilliseconds = 5000;
-/** How long a call may be under way; behind it a repeat is told that the outcome is unknown. */
+/** The longest time for which a call may be in flight; after it a duplicate call is answered with an unknown outcome. */
 export const sendingMilliseconds = 35_000;
 
 export class OwnClaim {
-	/** The configuration version that the claim is made under. */
+	/** The configuration version under which the claim is written. */
 	version: number;
 	readonly #call: ClaimedCall;
 	#round = 0;
@@ -22,17 +22,17 @@
 		return `${this.#call.nonce}/${this.#round}`;
 	}
 
-	/** Begins another claim: rows of the earlier one are not its own any more. */
+	/** Starts another claim with a new nonce: rows of the previous one no longer count as its own. */
 	beginAgain(): void {
 		this.#round++;
 	}
 
-	/** Tells whether a row that was found is this claim's. */
+	/** Returns whether a row was written by this claim. */
 	isOwn(found: FoundClaim): boolean {
 		return found.row.nonce === this.#nonce;
 	}
 
-	/** Gives the row of a stage. `leaseUntil` is in milliseconds since the epoch. */
+	/** Returns the row for a stage. `leaseUntil` is in milliseconds since the epoch. */
 	row(stage: ClaimRow['stage'], leaseUntil: number): ClaimRow {
 		const {holder, bodyDigest} = this.#call;
 		return {
@@ -40,14 +40,14 @@
 		};
 	}
 
-	/** Gives the write that claims the key, if its row still has the revision. */
+	/** Returns the write that claims the key, if its row still has the revision. */
 	claimStep(revision: number, now: number): ClaimStep {
 		return {
 			kind: 'write', row: this.row('claimed', now + leaseMilliseconds), revision, version: this.version,
 		};
 	}
 
-	/** Gives the write behind which the call may be sent, if the claim's row still has the revision. */
+	/** Returns the write after which the call may be sent; it applies only if the claim's row still has the revision. */
 	confirmStep(revision: number, now: number): ClaimStep {
 		return {
 			kind: 'write', row: this.row('sending', now + sendingMilliseconds), revision, version: this.version,
--- a/src/protocol/claim/repeat-patience.ts
+++ b/src/protocol/claim/repeat-patience.ts
@@ -1,4 +1,4 @@
-/** How long, and at what pace, a repeat looks whether the first call under its key has ended. */
+/** The schedule by which a duplicate call polls whether the first call with its key has ended. */
 
 const patienceMilliseconds = 3000;
 const firstPollMilliseconds = 25;
@@ -9,10 +9,10 @@
 	#pollMilliseconds = firstPollMilliseconds;
 
 	/**
-	 * Gives the pause before the next look; each is twice as long as the one before, up to a limit.
+	 * Returns the delay before the next poll. Each delay is twice as long as the previous one, up to a limit.
 	 *
 	 * @param now - Milliseconds since the epoch.
-	 * @returns Milliseconds, or `undefined` once the patience is used up; it counts from the first call.
+	 * @returns Milliseconds, or `undefined` once the timeout, counted from the first call of this method, is over.
 	 */
 	nextPause(now: number): number | undefined {
 		this.#until ??= now + patienceMilliseconds;
--- a/src/protocol/claim/unsent-outcome.ts
+++ b/src/protocol/claim/unsent-outcome.ts
@@ -1,16 +1,16 @@
 import {type Refusal, type RunState} from '../../shared/types.js';
 import {type ClaimOutcome} from './claim-steps.js';
 
-/** When a caller may come back whose call could not be decided now. */
+/** The delay after which the caller may retry. */
 const comeBackMilliseconds = 2000;
 
 /**
- * Makes the refusal of a call that this attempt did not send.
+ * Creates the refusal of a call that was not sent.
  *
- * @param reason - Why.
- * @param message - The reason for people.
- * @param ran - `unknown` where an earlier attempt under the key may have run.
- * @returns The outcome, with a time to return unless a repeat cannot help.
+ * @param reason - The reason as a code.
+ * @param message - The reason as text.
+ * @param ran - `unknown` where an earlier call with the same key may have run.
+ * @returns The outcome, with a retry delay unless a retry cannot succeed.
  */
 export function unsentOutcome(reason: Refusal['reason'], message: string, ran: RunState): ClaimOutcome & {kind: 'refusal'} {
 	const canReturn = reason !== 'key-reused';
