--- a/src/protocol/duty/duty-lease.test.ts
+++ b/src/protocol/duty/duty-lease.test.ts
@@ -10,7 +10,7 @@
 const at = (storeMilliseconds: number): DutyReading => ({storeMilliseconds, era: 0, unchangedMilliseconds: 0});
 const terms = {leaseMilliseconds: lease, actingMilliseconds: 1500};
 
-test('another instance takes the duty only when the last grant and a whole lease are over', () => {
+test('another instance acquires the lease only after the last grant and a whole lease', () => {
 	const row: DutyRow = {
 		holder: 'one', fencingNumber: 4, grantedAt: 10_000, actingMilliseconds: 1500, address: '', engines: ['e1'], era: 0,
 	};
@@ -27,9 +27,9 @@
 	});
 });
 
-test('a holder that acts on shorter grants is followed sooner, and not before its last grant is over', () => {
-	// The holder of the orders stands still right behind a renewal. The time within which engines must have their new weights
-	// runs on until another instance may act.
+test('shorter grants lead to an earlier takeover, but not before the last grant is over', () => {
+	// A holder is suspended right after a renewal. Until another instance may lead, no orders are sent, while the time limit
+	// for loading new weights into the engines keeps running.
 	const short = {leaseMilliseconds: lease, actingMilliseconds: 600};
 	const first = decideDuty(undefined, 'one', at(10_000), terms);
 	assert.ok(first.kind === 'take');
@@ -41,7 +41,7 @@
 	assert.deepEqual(decideDuty(later.row, 'two', at(13_000), terms), {kind: 'wait', milliseconds: 2900});
 });
 
-test('a suspended holder stops, whichever clock missed the suspension', () => {
+test('the grant of a suspended holder expires, whichever of its clocks missed the suspension', () => {
 	const grant: DutyGrant = {
 		row: {
 			holder: 'one', fencingNumber: 1, grantedAt: 0, actingMilliseconds: 1500, address: '', engines: [], era: 0,
@@ -53,10 +53,10 @@
 	assert.equal(leftOfGrant(grant, {steady: 400, wall: 400}), 1100);
 });
 
-/** Which of its clocks fails an instance: the steady one by suspensions, the time of day by jumps. */
+/** Which clock of an instance fails: the steady clock stops during suspensions, the time of day jumps. */
 type Failing = 'steady' | 'wall' | 'either';
 
-/** One instance of the simulation; its two clocks fail in different ways. */
+/** A simulated instance, whose two clocks fail in different ways. */
 class SimulatedInstance {
 	readonly name: string;
 	grant: DutyGrant | undefined;
@@ -77,7 +77,7 @@
 		this.#leaseMilliseconds = leaseMilliseconds;
 	}
 
-	/** Moves on by one step; gives the moment that the instance sees, or `undefined` while it is suspended. */
+	/** Advances by one step; returns the instance's moment, or `undefined` while it is suspended. */
 	step(time: number, store: {stored: Stored}, random: () => number): Moment | undefined {
 		if (time < this.#suspendedUntil) {
 			return undefined;
@@ -100,7 +100,7 @@
 		return moment;
 	}
 
-	/** A write is applied if its condition holds, however late; one answer in ten is lost. */
+	/** Applies a write if its condition holds, however late; one answer in ten is lost. */
 	#write(store: {stored: Stored}, random: () => number): void {
 		const {row, revision, era, since} = this.#writing!;
 		const isApplied = store.stored.revision === revision;
@@ -121,7 +121,7 @@
 		}
 	}
 
-	/** How long a state has been seen counts from the answer that brought it first to the sending of the latest read. */
+	/** Counts how long a state was observed: from the first answer that showed it until the latest read was sent. */
 	#readingOf({era, revision}: Stored, storeMilliseconds: number, since: Moment): DutyReading {
 		if (this.#unchanged?.era !== era || this.#unchanged.revision !== revision) {
 			this.#unchanged = {era, revision, since: this.#steady};
@@ -134,24 +134,24 @@
 type Stored = {row: DutyRow | undefined; revision: number; era: number};
 
 const stepMilliseconds = 20;
-/** The lease, and for how long holders act on one grant: longer where their store is slow. */
+/** The lease, and the lengths of the grants: longer for a slow store. */
 type SimulatedTerms = {leaseMilliseconds: number; actingTimes: readonly number[]};
 
 const varyingTerms: SimulatedTerms = {leaseMilliseconds: lease, actingTimes: [300, 600, 1500]};
 const shortTerms: SimulatedTerms = {leaseMilliseconds: lease / 2, actingTimes: [300, 600, 1500]};
-/** Where a grant may be lost, its length must be known: it is the same for all, or at most half of the lease. */
+/** Where rows may be lost, the length of a lost grant must be bounded: it is the same for all, or at most half of the lease. */
 const hubTerms: SimulatedTerms = {leaseMilliseconds: lease / 2, actingTimes: [1500]};
 
-/** Over thousands of schedules both clocks of one instance would fail within one grant, against which no lease is proof. */
+/** One failing clock per instance: over thousands of runs both would fail within one grant, which no lease can tolerate. */
 const oneClock: readonly Failing[] = ['steady', 'wall'];
 
-/** The store, which comes back from a copy of the last six seconds once in a while. */
+/** Occasionally restores the store from a copy of the last six seconds. */
 function restored(stored: Stored, copies: readonly Stored[], random: () => number): Stored {
 	const copy = copies.at(-1 - Math.floor(random() * 300)) ?? copies[0]!;
 	return random() < 0.0008 ? {...copy, era: stored.era + 1} : stored;
 }
 
-/** Plays five instances for a minute; throws if two of them give orders less than a lease apart, or numbers fall. */
+/** Simulates five instances for a minute; throws if two of them give orders less than a lease apart or numbers decrease. */
 function playHolders(seed: number, era: number, restores: boolean): number {
 	const oddTerms = restores ? hubTerms : shortTerms;
 	const simulatedTerms = seed % 2 === 0 ? varyingTerms : oddTerms;
@@ -184,29 +184,29 @@
 			const isTurn = last !== undefined && last.holder !== holder;
 			turns += isTurn ? 1 : 0;
 			assert.ok(!isTurn || time - last!.at >= leaseMilliseconds, `seed ${seed}: ${last?.holder} at ${last?.at}, ${holder} at ${time}`);
-			assert.ok(!isTurn || fence > last!.fence, `seed ${seed}: number ${fence} behind ${last?.fence}`);
+			assert.ok(!isTurn || fence > last!.fence, `seed ${seed}: number ${fence} after ${last?.fence}`);
 			last = {holder, at: time, fence};
 		}
 
-		assert.ok(acting.every(name => uncontested.every(other => other === name)), `seed ${seed}: ${acting.join(', ')} acts at ${time} while ${uncontested.join(', ')} is uncontested`);
+		assert.ok(acting.every(name => uncontested.every(other => other === name)), `seed ${seed}: ${acting.join(', ')} leads at ${time} while ${uncontested.join(', ')} is uncontested`);
 	}
 
 	assert.ok(restores || last !== undefined);
 	return turns;
 }
 
-test('orders of two holders are never less than a lease apart', () => {
-	// Five instances take and lose the duty over random suspensions, jumps of the time of day, slow calls, late writes and
-	// lost answers. Whoever thinks that it may act gives an order. Two orders of different holders less than a lease apart
-	// would let an engine see holders that take turns; an older number behind a newer one would let it obey the older.
+test('orders of two holders are at least a lease apart', () => {
+	// Five instances acquire and lose the lease under random suspensions, jumps of the time of day, slow calls, late writes and
+	// lost answers; each gives orders while its grant is valid. With orders of two holders less than a lease apart, an engine
+	// could get alternating orders of both; with an older number after a newer one, it would obey the older holder.
 	for (let seed = 1; seed <= 200; seed++) {
 		playHolders(seed, 0, false);
 	}
 });
 
-test('orders are a lease apart also where the store comes back from older copies', () => {
-	// Guards against two holders at once: a restored store has lost the row of one that still acts, or shows the row of one
-	// that was followed since, and gives revisions out again, so that a late write is applied by accident.
+test('orders are a lease apart also where the store is restored from older copies', () => {
+	// Guards against two holders at once: a restored store has lost the row of a holder whose grant is still valid, or holds
+	// the row of a previous holder, and issues revisions again, so that a late write is applied by accident.
 	let turns = 0;
 	for (let seed = 1; seed <= 300; seed++) {
 		turns += playHolders(seed, 1, true);
@@ -215,7 +215,7 @@
 	assert.ok(turns > 300, `only ${turns} changes of the holder`);
 });
 
-test('a duty that was given back is taken at once, with a new number', () => {
+test('a released lease is acquired at once, with a new number', () => {
 	const row = releasedRow({
 		holder: 'one', fencingNumber: 4, grantedAt: 10_000, actingMilliseconds: 1500, address: '', engines: ['e1'], era: 0,
 	});
--- a/src/protocol/duty/duty-lease.ts
+++ b/src/protocol/duty/duty-lease.ts
@@ -1,96 +1,98 @@
 /**
- * The lease on a duty that one instance at a time may carry out, as one row in the store.
+ * Leader leases: a lease lets one instance at a time lead, and is one row in the store.
  *
- * What must hold: orders of two holders are never less than a lease apart, over kills, freezes, cuts and jumps of the time
- * of day. The row says when it was granted, by the store's steady clock at a read that came before the grant. A holder
- * acts only for a short while, which the row states, counted by the longer of its two clocks from the sending of that same
- * read, which was before the store's reading; so it stops before the store's clock shows grant plus that while. Anybody
- * else takes the row only when the store's clock shows the grant to be older than that while and a whole lease. No two
- * instances need to agree on a clock. A holder that stands still keeps others out for that long: the shorter it acts on one
- * grant, the sooner another takes over, and the more often it has to renew.
+ * Invariant: orders of two holders are at least a lease apart, even if processes are killed or suspended, the network is
+ * partitioned, or the time of day jumps. The row holds the time of the grant by the store's steady clock, as it was at a read
+ * before the grant. The holder may lead for a short time, the length of the grant, which is in the row. It counts that time
+ * from sending that same read, by whichever of its two clocks shows the longer time. The store answered the read later, so
+ * the holder stops before the store's clock reaches the time of the grant plus its length. Another instance acquires the row
+ * only when, by the store's clock, the length of the grant and a whole lease have passed since the grant. So instances need
+ * not agree on a clock. A suspended holder blocks all others for that time: shorter grants lead to a faster takeover and
+ * need more frequent renewals.
  *
- * The fencing number rises whenever the holder changes. The write is conditional on the row's revision, so two takers
- * cannot get the same one; a write whose answer was lost is not relied on, and the row is read again.
+ * The fencing number increases whenever the holder changes. The write is conditional on the row's revision, so two candidates
+ * cannot get the same number. If the answer to a write is lost, the lease is not used and the row is read again.
  *
- * A store that comes back from an older copy has lost rows, and gives their revisions out again: a holder whose row is gone
- * may still act, and a condition may hold by accident. Each row names the era of the store in which it was granted. A row of
- * another era, or none, tells nothing of who acts. Whoever finds one waits from then on for as long as any grant lasts and a
- * whole lease, and takes a number that lies above all numbers of earlier eras.
+ * A store that is restored from an older copy has lost rows and issues their revisions again: a holder whose row was lost may
+ * still lead, and the condition of a write may hold by accident. Each row therefore names the store's era in which it was
+ * granted. A row of another era, or no row, does not show who leads now. An instance that finds this waits, from when it
+ * first saw that state, for the longest possible grant and a whole lease, and takes a number above all numbers of earlier
+ * eras.
  */
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
 
-/** The row. */
+/** The row of a lease. */
 export type DutyRow = {
 	holder: string;
 	fencingNumber: number;
-	/** The store's clock, in milliseconds, at a moment before the grant. */
+	/** The store's steady clock, in milliseconds, at the read before the grant. */
 	grantedAt: number;
-	/** For how long the holder acts after the grant. */
+	/** The length of the grant: for how long the holder may lead after `grantedAt`. */
 	actingMilliseconds: number;
-	/** Where other instances reach the holder. */
+	/** The address at which other instances reach the holder. */
 	address: string;
-	/** Engines that the holder is changing now, for others to spare them. A hint. */
+	/** Engines that the holder is changing now; a hint for other instances to send them less work. */
 	engines: string[];
-	/** The era of the store in which it was granted. */
+	/** The store's era in which the lease was granted. */
 	era: number;
-	/** Numbers by name that the holder leaves to whoever follows it. A hint that may be some seconds old. */
+	/** Handover state for the next holder: numbers by name. A hint that may be some seconds old. */
 	legacy?: Record<string, number>;
 };
 
-/** The store as it was when the row was read. */
+/** The state of the store when the row was read. */
 export type DutyReading = {
-	/** Milliseconds of the store's steady clock. */
+	/** The store's steady clock, in milliseconds. */
 	storeMilliseconds: number;
-	/** The store's era; 0 where it tells none, and never loses what it has acknowledged. */
+	/** The store's era; 0 for a store that reports none and never loses acknowledged writes. */
 	era: number;
-	/** For how long this same state of the row, or its absence, has been seen in this era, in milliseconds. */
+	/** For how long this revision of the row, or its absence, has been observed in this era, in milliseconds. */
 	unchangedMilliseconds: number;
 };
 
-/** Times of a duty, in milliseconds. */
+/** The durations of a lease, in milliseconds. */
 export type DutyTerms = {
-	/** Orders of two holders are at least so far apart. */
+	/** The minimum time between orders of two holders. */
 	leaseMilliseconds: number;
-	/** For how long a holder acts on one grant. */
+	/** The length of a grant. */
 	actingMilliseconds: number;
 };
 
-/** What an instance may do about a duty. */
+/** Whether an instance may write the row now (`take`), or after how many milliseconds it checks again. */
 export type DutyDecision
 	= | {kind: 'take'; row: DutyRow}
 		| {kind: 'wait'; milliseconds: number};
 
-/** A grant as its holder sees it. */
+/** A grant, with the moment from which its holder counts it. */
 export type DutyGrant = {
 	row: DutyRow;
-	/** When the read was sent from which the grant is counted. */
+	/** When the read before the grant was sent. */
 	since: Moment;
 };
 
-/** Share of the lease for which a grant is stretched at most where the store is slow. */
+/** The upper limit for a grant that is extended because the store is slow, as a share of the lease. */
 const mostActingShare = 0.5;
-/** Beside a whole lease between two holders: what an order takes to arrive, and a check that was made just before. */
+/** Added to the lease between two holders: the time from a holder's last check of its grant until its order arrives. */
 const takeoverMarginMilliseconds = 300;
 
-/** To what length a grant is stretched at most where the store is slow, in milliseconds. */
+/** Returns the upper limit, in milliseconds, for a grant that is extended because the store is slow. */
 export function mostActingMilliseconds(leaseMilliseconds: number): number {
 	return mostActingShare * leaseMilliseconds;
 }
 
 /**
- * Gives what is left of a grant.
+ * Returns the remaining time of a grant.
  *
  * @param grant - The grant.
  * @param now - The present moment.
- * @returns Milliseconds for which the holder may still act; 0 or less if it may not.
+ * @returns Milliseconds for which the holder may still lead; 0 or less if the grant has expired.
  */
 export function leftOfGrant({row, since}: DutyGrant, now: Moment): number {
 	return row.actingMilliseconds - longestElapsed(since, now);
 }
 
 /**
- * Tells whether no other instance can hold the duty yet, though the holder may not act on its grant any more. What only
- * another holder could change still stands as the holder left it.
+ * Returns whether no other instance can hold the lease yet, even if the holder's grant has expired. Until then, state that
+ * only a holder may change is as this holder left it.
  *
  * @param grant - The holder's last grant.
  * @param leaseMilliseconds - The lease.
@@ -102,27 +104,27 @@
 
 const nobodysRow = {address: '', engines: []};
 /**
- * Where the last number may be lost, the next one is made of the era and the store's clock: holders are more than a lease
- * apart, so the clock, in this unit, runs ahead of numbers that rise by one.
+ * Where the last fencing number may be lost, the next one is computed from the era and the store's clock in this unit. Holders
+ * change at most once per lease, so the clock advances faster than numbers that increase by one per holder.
  */
 const numberUnitMilliseconds = 100;
 const numbersOfAnEra = 100_000_000_000;
-/** Long before any time of the store's clock. */
+/** Earlier than any time of the store's clock. */
 const neverGranted = Number.MIN_SAFE_INTEGER;
 
-/** The row of a holder that has ended all that it did under the duty: anybody may take it. */
+/** Returns the row of a holder that has finished its work under the lease: any instance may acquire it at once. */
 export function releasedRow(row: DutyRow): DutyRow {
 	return {...row, grantedAt: neverGranted, engines: []};
 }
 
 /**
- * Decides whether an instance may write itself into the row.
+ * Decides whether an instance may acquire or renew the lease.
  *
- * @param row - The row as read; absent if nobody ever held the duty.
- * @param taker - The instance.
- * @param reading - The store at that read.
- * @param terms - The lease, and for how long the taker would act on one grant.
- * @returns The row to write; or after how many milliseconds to look again.
+ * @param row - The row as read; `undefined` if there is none.
+ * @param candidate - The name of the instance.
+ * @param reading - The state of the store at that read.
+ * @param terms - The lease, and the length of the grant that the instance would take.
+ * @returns The row to write, or after how many milliseconds to check again.
  */
 export function decideDuty(row: DutyRow | undefined, taker: string, reading: DutyReading, {leaseMilliseconds, actingMilliseconds}: DutyTerms): DutyDecision {
 	const {storeMilliseconds, era} = reading;
@@ -131,7 +133,7 @@
 	}
 
 	if (row.holder === taker) {
-		// The holder goes on under the grant before where the answer to this write is lost: the row must not end sooner.
+		// If the answer to this write is lost, the holder continues under its previous grant: the row must not expire earlier.
 		const leftBefore = row.grantedAt + row.actingMilliseconds - storeMilliseconds;
 		return {
 			kind: 'take',
@@ -154,7 +156,7 @@
 	};
 }
 
-/** Without a row of this era a grant may be in force that the store has lost. */
+/** Decides without a row of this era: a grant that the store has lost may still be valid. */
 function decideWithoutRow(row: DutyRow | undefined, taker: string, {storeMilliseconds, era, unchangedMilliseconds}: DutyReading, {leaseMilliseconds, actingMilliseconds}: DutyTerms): DutyDecision {
 	const longestGrant = Math.max(actingMilliseconds, mostActingMilliseconds(leaseMilliseconds), row?.actingMilliseconds ?? 0);
 	const wait = longestGrant + leaseMilliseconds + takeoverMarginMilliseconds - unchangedMilliseconds;
@@ -172,7 +174,7 @@
 	};
 }
 
-/** Rows of a version that knew no eras name none. */
+/** Returns the era of a row; rows written by releases without eras have none. */
 function eraOf({era}: Partial<DutyRow>): number {
 	return era ?? 0;
 }
