--- a/src/protocol/order/fencing-number.ts
+++ b/src/protocol/order/fencing-number.ts
@@ -1,6 +1,6 @@
 /**
- * Fencing numbers of orders, one row per endpoint in the table service. Whoever takes the next number is the holder from
- * then on; an endpoint that checks numbers refuses all orders with a lower one.
+ * Allocates the fencing numbers of orders, one row per endpoint in the table service. The instance with the latest number is
+ * the holder; an endpoint that checks numbers refuses all orders with a lower one.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type TableFailure, type TableService} from '../../ports/table-service.js';
@@ -8,7 +8,7 @@
 export const orderTable = 'orders';
 const tryLimit = 3;
 
-/** The row of an endpoint. */
+/** The row of an endpoint. `numberedAt` is in milliseconds since the epoch. */
 export type FencingRow = {
 	fencingNumber: number;
 	holder: string;
@@ -16,20 +16,20 @@
 };
 
 /**
- * Takes the next fencing number of an endpoint.
+ * Allocates the next fencing number of an endpoint.
  *
- * Two holders with one number could not be told apart by the endpoint, and the older could undo the newer one's order;
- * the write is conditional on the row's revision, so each number is given once. A write whose answer was lost is not
- * read back: the number is left unused, and the next one is taken.
+ * An endpoint could not distinguish two holders with the same number, and the older one could undo the newer one's order.
+ * The write is conditional on the row's revision, so each number is allocated once. If the answer to a write is lost, the row
+ * is not read back: that number stays unused, and the next one is allocated.
  *
  * @param table - The table service.
- * @param taker - The endpoint's name and this instance's.
+ * @param requester - The names of the endpoint and of this instance.
  * @param now - Milliseconds since the epoch.
- * @returns The row with the number, or why there is none.
+ * @returns The row with the number, or the failure of the last attempt.
  */
 export async function takeFencingNumber(table: TableService, taker: {endpoint: string; holder: string}, now: number): Promise<Either<TableFailure, FencingRow>> {
 	const name = {table: orderTable, key: taker.endpoint};
-	let failure: TableFailure = {kind: 'unavailable', detail: 'not tried'};
+	let failure: TableFailure = {kind: 'unavailable', detail: 'not attempted'};
 	for (let count = 0; count < tryLimit; count++) {
 		const read = await table.read(name);
 		if (read.isLeft()) {
