--- a/src/protocol/parts/cache-salt.ts
+++ b/src/protocol/parts/cache-salt.ts
@@ -1,16 +1,16 @@
-/** The text under which engines and stores find parts: who shares them, and the weights that they were made under. */
+/** Cache salts. Engines and stores find blocks by salt, which names the scope that shares them and their weight version. */
 
 /**
- * Makes a salt.
+ * Creates a salt.
  *
- * @param scope - Who shares the parts.
- * @param version - The version of the weights.
+ * @param scope - The scope that shares the blocks, such as a workspace.
+ * @param version - The weight version.
  */
 export function cacheSalt(scope: string, version: number): string {
 	return `${scope}-w${version}`;
 }
 
-/** The version of the weights that a salt names; `undefined` for a text that is none of ours. */
+/** Returns the weight version in a salt; `undefined` for a text that `cacheSalt` did not create. */
 export function versionOfSalt(salt: string): number | undefined {
 	const digits = /-w(?<digits>\d+)$/v.exec(salt)?.groups?.digits;
 	return digits === undefined ? undefined : Number(digits);
--- a/src/protocol/parts/part-key.ts
+++ b/src/protocol/parts/part-key.ts
@@ -1,14 +1,14 @@
-/** The text by which instances name a cached part: its salt and its id. */
+/** Text keys of cache blocks, made of a block's salt and id. */
 
-/** What names a part. */
+/** Identifies a block. */
 export type PartName = {salt: string; id: string};
 
-/** Gives the text for a part. */
+/** Returns the key of a block. */
 export function partKey({salt, id}: PartName): string {
 	return `${salt}|${id}`;
 }
 
-/** Gives the part that a text names. Ids hold no bar; salts may. */
+/** Returns the block that a key names. Ids contain no `|`; salts may. */
 export function partNamedBy(key: string): PartName {
 	const separator = key.lastIndexOf('|');
 	return {salt: key.slice(0, separator), id: key.slice(separator + 1)};
--- a/src/protocol/parts/part-times.ts
+++ b/src/protocol/parts/part-times.ts
@@ -1,22 +1,23 @@
 /**
- * The times by which no engine reads a stored part that is being freed or written anew.
+ * The time limits that prevent an engine from reading a stored block while it is freed or rewritten.
  *
- * An instance uses what it knows of a store only while that knowledge is fresh, counted from its own asking. A fetch that
- * it asks for is thrown away behind its time limit, on the engines' clock. So a part that the keeper has withdrawn can be
- * read no longer than both together behind the withdrawal.
+ * An instance uses a report of a store's content only for a limited time, counted from when it sent its query. An engine
+ * discards a fetch that exceeds its time limit on the engines' clock. So a block that the cache store manager has withdrawn
+ * can be read for at most the sum of both after the withdrawal.
  */
 
-/** For how long an instance uses what it heard, counted from the sending of its question. */
+/** For how long an instance uses a report, counted from when it sent its query. */
 export const freshMilliseconds = 800;
 
 /**
- * Within this time a fetch ends or is thrown away. Thrown away it costs its caller the wait and its engine the reading, so it
- * leaves the largest parts time to wait behind others at a link; each withdrawal of a stored part waits as long.
+ * The time limit of a fetch; a fetch that exceeds it is discarded. A discarded fetch costs the caller the wait and the engine
+ * the prefill, so the limit leaves time for the largest blocks to queue for a link. The delay before a withdrawn block is freed
+ * grows with it.
  */
 export const fetchMilliseconds = 1600;
 
-/** What a request takes between the decision and the reading of the engines' clock, and what that clock may be off. */
+/** The time from a decision until the engines' clock is read for it, plus the error of that clock. */
 const marginMilliseconds = 300;
 
-/** How long behind its withdrawal a part is neither freed nor written anew. */
+/** How long after its withdrawal a block is neither freed nor rewritten. */
 export const withdrawalMilliseconds = freshMilliseconds + fetchMilliseconds + marginMilliseconds;
--- a/src/protocol/parts/store-ledger.test.ts
+++ b/src/protocol/parts/store-ledger.test.ts
@@ -21,9 +21,9 @@
 	return ledger;
 }
 
-test('the parts that were unused for longest are withdrawn first and freed when nobody can still read them', () => {
-	// An instance heard of the part just before the withdrawal and asks an engine for it; the engine still reads it when
-	// the keeper has already taken it back. Freed at once, the engine would go on from another prompt's memory.
+test('the least recently used blocks are withdrawn first, and freed when no engine can still read them', () => {
+	// An instance gets a report of a block just before its withdrawal, and an engine still fetches the block afterwards. If
+	// the block were freed at once, the engine would continue from the KV state of another prompt.
 	const ledger = fullLedger();
 	ledger.use('shared-w1|p0', 50);
 	const {removed} = ledger.withdraw(100);
@@ -36,15 +36,15 @@
 	assert.deepEqual(ledger.withdraw(5000).removed, []);
 });
 
-test('a withdrawn part is not offered again by a late event', () => {
+test('a late event does not offer a withdrawn block again', () => {
 	const ledger = fullLedger();
 	ledger.withdraw(100);
 	assert.deepEqual(ledger.takeEvents(events({added: [part('p1')]}), 200).added, []);
 });
 
-test('a store that was away offers nothing until no instance can believe what it held before', () => {
-	// It restarts empty. A request sent before the restart writes a part anew; another instance, which has not heard of the
-	// restart, asks for that part. Both are over when the store is listed again.
+test('a store that could not be reached offers nothing until all reports of its earlier content have expired', () => {
+	// The store restarts empty. A request from before the restart rewrites a block, while another instance, which does not know
+	// of the restart, has an engine fetch that block. Both have ended when the store is listed again.
 	const ledger = fullLedger();
 	assert.equal(ledger.close(1000).removed.length, 9);
 	assert.equal(ledger.isOpen(1000 + withdrawalMilliseconds), false);
@@ -58,9 +58,9 @@
 	assert.equal(ledger.heldTokens, 3200);
 });
 
-test('parts under weights that no engine has any more make room at once', () => {
-	// New weights are loaded everywhere. Their parts arrive at a rate that room made tenth by tenth cannot follow, and what
-	// finds no room is read again.
+test('all blocks of weights that no engine serves any more are withdrawn at once', () => {
+	// New weights are loaded everywhere. Their blocks arrive faster than the eviction of a few percent at a time makes room,
+	// and blocks that find no room must be prefilled again.
 	const ledger = fullLedger();
 	const {removed} = ledger.withdraw(100, salt => salt === 'shared-w1');
 	assert.equal(removed.length, 9);
--- a/src/protocol/parts/store-ledger.ts
+++ b/src/protocol/parts/store-ledger.ts
@@ -1,29 +1,30 @@
 /**
- * What the keeper knows of one cache store that drops nothing by itself, and which parts it frees.
+ * The known content of one cache store that evicts nothing by itself, and the choice of the blocks to free.
  *
- * What must hold: no engine reads a part that is not whole, or that is freed meanwhile. A part is offered only once the
- * store reports it whole. Before it is freed it is withdrawn, and freed only when nobody can still use it; see
- * `part-times.ts`. A store that restarts is empty, and a request that was sent before may write a part anew that others
- * still take for whole: so the store is closed for the same time, for reads and writes, before anything in it is offered.
+ * Invariant: no engine reads a block that is incomplete or is freed during the read. A block is offered only once the store
+ * reports it complete. It is withdrawn before it is freed, and freed only when no engine can still use it; see
+ * `block-times.ts`. A restarted store is empty, and a request from before the restart may rewrite a block that other
+ * instances still consider complete: so the store is closed for reads and writes for the same time before it offers blocks.
  */
 import {type StoredPart, type StoreEvents, type StoreListing} from '../../ports/cache-store-control.js';
 import {partKey, partNamedBy} from './part-key.js';
 import {withdrawalMilliseconds} from './part-times.js';
 
-/** What a holder of parts has got and lost, as followers are told. Keys are `salt|id`. */
+/** The blocks that a store or an engine has gained and lost, as published to followers. Keys are `salt|id`. */
 export type PartsChange = {
 	added: Array<[key: string, tokens: number]>;
 	removed: string[];
 };
 
-/** Parts are freed when a store is fuller than this, */
+/** Blocks are withdrawn when more than this share of the store's capacity is in use. */
 const highShare = 0.94;
 /**
- * Down to this. The rest is room for parts that are being written, which events do not tell of. A part that finds no room
- * is only not saved, and tried again; room that lies empty is parts read again, where the parts in use fill the stores.
+ * Blocks are withdrawn until no more than this share is in use. The rest is for blocks that are being written, which events do
+ * not report. A block that finds no room is only not saved, and a later request tries again. Unused room, where the blocks in use fill the
+ * stores, costs repeated prefills.
  */
 const lowShare = 0.88;
-/** Engines and stores keep memory in blocks. */
+/** Engines and stores allocate memory in units of this many tokens. */
 const blockTokens = 16;
 
 type Entry = {tokens: number; usedAt: number};
@@ -31,7 +32,7 @@
 export class StoreLedger {
 	readonly #capacityTokens: number;
 	readonly #parts = new Map<string, Entry>();
-	/** Withdrawn parts and when they may be freed. */
+	/** Withdrawn blocks, and the time at which each may be freed. */
 	readonly #withdrawn = new Map<string, {tokens: number; freeAt: number}>();
 	#epoch: number | undefined;
 	#closedUntil = 0;
@@ -50,32 +51,32 @@
 		return this.#heldTokens;
 	}
 
-	/** Tokens of all offered parts. */
+	/** The tokens of all offered blocks. */
 	get offeredTokens(): number {
 		return this.#offeredTokens;
 	}
 
-	/** Whether parts may be saved and fetched. */
+	/** Whether blocks may be saved and fetched. */
 	isOpen(now: number): boolean {
 		return this.#epoch !== undefined && now >= this.#closedUntil;
 	}
 
-	/** Whether the store may be listed now; a listing that is taken sooner could offer a part that is written anew. */
+	/** Whether the store may be listed now; an earlier listing could offer a block that is being rewritten. */
 	mayOpen(now: number): boolean {
 		return now >= this.#closedUntil;
 	}
 
-	/** The store is known not to have restarted since followers were told of it last: what it holds may be offered at once. */
+	/** Lets the content be offered at once. Call it only if the store has not restarted since the last report to followers. */
 	reopen(): void {
 		this.#closedUntil = 0;
 	}
 
-	/** All offered parts. */
+	/** Returns all offered blocks. */
 	offered(): Array<[key: string, tokens: number]> {
 		return [...this.#parts].map(([key, {tokens}]) => [key, tokens]);
 	}
 
-	/** Takes a whole listing. */
+	/** Applies a listing of the whole store. */
 	takeListing({epoch, parts, partial}: StoreListing, now: number): PartsChange {
 		const change: PartsChange = {added: [], removed: []};
 		this.#epoch = epoch;
@@ -94,7 +95,7 @@
 		return change;
 	}
 
-	/** Takes events of the same epoch. */
+	/** Applies events of the same epoch. */
 	takeEvents({added, removed}: StoreEvents, now: number): PartsChange {
 		const change: PartsChange = {added: [], removed: []};
 		for (const part of added) {
@@ -111,7 +112,7 @@
 		return change;
 	}
 
-	/** The store is out of reach or has restarted: nothing in it is offered until nobody can believe anything older. */
+	/** Closes a store that cannot be reached or has restarted: it offers nothing until all earlier reports have expired. */
 	close(now: number): PartsChange {
 		const change: PartsChange = {added: [], removed: [...this.#parts.keys()]};
 		this.#parts.clear();
@@ -123,21 +124,22 @@
 		return change;
 	}
 
-	/** Notes that a part was used. */
+	/** Marks a block as used now. */
 	use(key: string, now: number): void {
 		const entry = this.#parts.get(key);
 		if (entry !== undefined) {
-			// The order of the map is the order of use.
+			// The map is in order of last use.
 			this.#parts.delete(key);
 			this.#parts.set(key, {...entry, usedAt: now});
 		}
 	}
 
 	/**
-	 * Withdraws the parts that nobody can use any more, and those that were unused for longest if the store is too full.
+	 * Withdraws the blocks that no engine can use any more, and the least recently used ones if the store is too full.
 	 *
-	 * @param isDead - Whether no engine can use what lies under a salt: its weights are gone everywhere. New weights fill the
-	 * stores with new parts within seconds, faster than room is made one tenth at a time.
+	 * @param now - Milliseconds on the clock of the other methods.
+	 * @param isExpired - Whether no engine can use the blocks of a salt, because none serves its weight version any more. New
+	 * weights fill the stores with new blocks within seconds, faster than eviction of a few percent at a time makes room.
 	 */
 	withdraw(now: number, isDead: (salt: string) => boolean = () => false): PartsChange {
 		const change: PartsChange = {added: [], removed: []};
@@ -164,14 +166,14 @@
 		return change;
 	}
 
-	/** The withdrawn parts that may be freed now. */
+	/** Returns the withdrawn blocks that may be freed now. */
 	dueToFree(now: number): Array<{salt: string; id: string}> {
 		return [...this.#withdrawn]
 			.filter(([, {freeAt}]) => freeAt <= now)
 			.map(([key]) => partNamedBy(key));
 	}
 
-	/** Notes that the store has freed parts. */
+	/** Removes blocks that the store has freed. */
 	freed(parts: ReadonlyArray<{salt: string; id: string}>): void {
 		for (const part of parts) {
 			const withdrawn = this.#withdrawn.get(partKey(part));
@@ -189,7 +191,7 @@
 
 	#add(part: StoredPart, now: number, change: PartsChange): void {
 		const key = partKey(part);
-		// A withdrawn part stays withdrawn: it will be freed, whatever a late event says.
+		// A withdrawn block stays withdrawn and will be freed, even if a late event reports it as added.
 		if (this.#withdrawn.has(key) || this.#parts.has(key)) {
 			return;
 		}
