--- a/src/protocol/cache/piece-seal.ts
+++ b/src/protocol/cache/piece-seal.ts
@@ -1,6 +1,7 @@
 /**
- * What makes a kept piece readable: a seal over its length and digest, which a hint carries beside the piece's key and
- * generation. The weight version is part of the key (`pieceKeysOf`), so a piece of other weights is never looked up.
+ * Seals of saved cache blocks. A block can be read only with the seal of its length and digest, which a hint carries next to
+ * the block's key and generation. The weight version is part of the key (`blockKeysOf`), so blocks of other weights are not
+ * found.
  */
 import {type Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
@@ -8,9 +9,9 @@
 import {type CacheStoreFailure, type PieceSeal} from '../../ports/cache-store.js';
 
 /**
- * Gives the seal of a piece.
+ * Returns the seal of a block.
  *
- * @param content - The whole piece.
+ * @param content - The whole block.
  * @returns Its length in bytes and its SHA-256 digest.
  */
 export function sealOf(content: Buffer): PieceSeal {
@@ -18,16 +19,16 @@
 }
 
 /**
- * Checks what was read against the seal that the reader expects.
+ * Checks a block that was read against the expected seal.
  *
- * A hint may be old: the place was freed and reused, or its writer died half-way. The symptom would be an engine that
- * goes on from another prompt's state. The store's own seal is compared first (the near end), then the bytes that came
- * (the far end); a piece whose bytes changed during the reading fails the second.
+ * A hint may be outdated: its place was freed and reused, or the writer failed halfway. Without the check an engine could
+ * continue from the state of another prompt. The store's own seal is compared first, then the received bytes; a block whose
+ * bytes changed during the read fails the second comparison.
  *
  * @param expected - The seal of the hint.
- * @param stored - The seal that the store names with the bytes.
- * @param content - The bytes that came.
- * @returns The bytes, or why they must not be used.
+ * @param stored - The seal that the store returned with the bytes.
+ * @param content - The received bytes.
+ * @returns The bytes, or the reason why they must not be used.
  */
 export function checkPiece(expected: PieceSeal, stored: PieceSeal, content: Buffer): Either<CacheStoreFailure, Buffer> {
 	if (stored.length !== expected.length || stored.digest !== expected.digest) {
@@ -37,5 +38,5 @@
 	const came = sealOf(content);
 	return came.length === expected.length && came.digest === expected.digest
 		? Right(content)
-		: Left({kind: 'damaged', detail: `${came.length} bytes came that do not have the sealed digest`});
+		: Left({kind: 'damaged', detail: `the ${came.length} bytes received do not match the sealed length and digest`});
 }
--- a/src/protocol/configuration/apply-change.test.ts
+++ b/src/protocol/configuration/apply-change.test.ts
@@ -5,10 +5,10 @@
 import {changeDigest} from './change-digest.js';
 import {emptyConfiguration, emptyDigest} from './configuration-state.js';
 
-// During a rolling upgrade an operator works with an entry of the new release, and the accepted change has an edit of a
-// kind that the old release does not know. An old instance must go on following the configuration: it must neither
-// fail on that change nor refuse the ones behind it.
-test('an instance follows changes with edits of a kind that only a newer release knows', () => {
+// During a rolling upgrade an operator may use an entry of the new release, and the accepted change may contain an edit of a
+// kind that the old release does not know. An old instance must keep following the configuration: it must neither fail on
+// that change nor refuse the changes after it.
+test('an instance applies changes with edits of a kind that only a newer release knows', () => {
 	const edits = [
 		{action: 'set', kind: 'kind-of-the-next-release', item: {name: 'x'}},
 		{action: 'set', kind: 'limit', item: {name: 'open-requests', value: 5}},
--- a/src/protocol/configuration/apply-change.ts
+++ b/src/protocol/configuration/apply-change.ts
@@ -4,8 +4,8 @@
 import {configurationKinds, type ConfigurationState, memberNameOf} from './configuration-state.js';
 
 /**
- * Why a change was not applied. `old` is harmless; `gap` says which version is needed first; `wrong-digest` means that
- * the change was damaged or belongs to another history.
+ * Why a change was not applied. `old`: it was applied before. `gap`: the version `needed` must be applied first.
+ * `wrong-digest`: the change is corrupt or belongs to another chain.
  */
 export type ApplyFailure
 	= | {kind: 'old'}
@@ -13,11 +13,11 @@
 		| {kind: 'wrong-digest'};
 
 /**
- * Applies the change that follows a configuration.
+ * Applies the next change to a configuration.
  *
  * @param state - The configuration in force; it is not changed.
  * @param change - A change, from the table or from a peer.
- * @returns The new configuration, or why the change does not follow.
+ * @returns The new configuration, or why the change was not applied.
  */
 export function applyChange(state: ConfigurationState, change: ConfigurationChange): Either<ApplyFailure, ConfigurationState> {
 	if (change.version <= state.version) {
@@ -28,8 +28,8 @@
 		return Left({kind: 'gap', needed: state.version + 1});
 	}
 
-	// A peer that was restored from damaged memory could pass on edits that nobody accepted; the symptom would be two
-	// instances that route differently at the same version. The chain of digests rules that out.
+	// A peer with corrupt memory could send edits that were not accepted, and two instances would route differently at the same
+	// version. The chain of digests prevents that.
 	if (change.previousDigest !== state.digest || changeDigest(change) !== change.digest) {
 		return Left({kind: 'wrong-digest'});
 	}
@@ -38,7 +38,7 @@
 }
 
 /**
- * Applies edits without a version.
+ * Applies edits that have no version.
  *
  * @param state - The configuration; it is not changed.
  * @param edits - The edits, in order.
@@ -52,9 +52,9 @@
 		limits: new Map(state.limits),
 		drains: new Map(state.drains),
 	};
-	// While two releases run side by side, the newer one may have accepted an edit of a kind that this one does not know.
-	// Failing on it would stop this instance from following the configuration at all; it is passed over, and the digest
-	// chain, which covers the edits and not their effect, still holds.
+	// During a rolling upgrade the newer release may have accepted an edit of a kind that this one does not know. Failing on it
+	// would stop this instance from following the configuration. The edit is skipped; the chain of digests stays valid because
+	// it covers the edits, not their effect.
 	for (const edit of edits.filter(({kind}) => configurationKinds.includes(kind))) {
 		const items = copies[memberNameOf(edit.kind)] as Map<string, unknown>;
 		if (edit.action === 'set') {
--- a/src/protocol/configuration/configuration-state.ts
+++ b/src/protocol/configuration/configuration-state.ts
@@ -1,12 +1,12 @@
 /**
- * The configuration as one instance holds it. Changes form a chain of digests, so the state only ever moves to the
- * change that follows it, or to a snapshot with a higher version; it never goes back.
+ * The configuration that one instance holds. Changes form a chain of digests, so the state advances only by the next change or
+ * to a snapshot with a higher version, and never goes back.
  */
 import {
 	type ConfigurationItem, type ConfigurationKind, type DrainItem, type LimitItem, type RuleItem, type ServiceItem, type WorkspaceItem,
 } from '../../shared/types.js';
 
-/** A configuration with its version. It is never changed in place. */
+/** A configuration with its version; immutable. */
 export type ConfigurationState = {
 	version: number;
 	digest: string;
@@ -35,14 +35,14 @@
 	workspace: 'workspaces', service: 'services', rule: 'rules', limit: 'limits', drain: 'drains',
 } as const satisfies Record<ConfigurationKind, keyof ConfigurationState>;
 
-/** All kinds of declared things. Whatever carries a whole configuration goes through these, so that none is left out. */
+/** All kinds of declared items. Code that copies or sends a whole configuration iterates over these, so that none is missed. */
 export const configurationKinds = Object.keys(memberOfKind) as ConfigurationKind[];
 
 /**
- * Gives the items of one kind.
+ * Returns the items of one kind.
  *
  * @param state - The configuration.
- * @param kind - Which items.
+ * @param kind - The kind.
  * @returns The items by name.
  */
 export function itemsOfKind(state: ConfigurationState, kind: ConfigurationKind): ReadonlyMap<string, ConfigurationItem['item']> {
@@ -50,7 +50,7 @@
 }
 
 /**
- * Names the member of the state that holds a kind.
+ * Returns the name of the state's member that holds the items of a kind.
  *
  * @param kind - The kind.
  * @returns The member's name.
--- a/src/protocol/configuration/configuration-table.ts
+++ b/src/protocol/configuration/configuration-table.ts
@@ -1,7 +1,7 @@
 /**
- * How the configuration stands in the table service: one row `head` with the newest version and digest, and one row a
- * change. A change is accepted by a transaction on the revision of `head`, so of two racing operators one loses and is
- * told.
+ * Stores the configuration in the table service: a row `head` with the newest version and digest, and one row per change. A
+ * change is accepted by a transaction that is conditional on the revision of `head`, so of two concurrent proposals one fails
+ * and its operator gets an error.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type Row, type TableFailure, type TableService} from '../../ports/table-service.js';
@@ -15,7 +15,7 @@
 export const headKey = 'head';
 const changePrefix = 'change/';
 const versionDigits = 12;
-/** Most changes in one reading. */
+/** The maximum number of changes per read. */
 export const readLimitChanges = 1000;
 
 /** The row `head`. `revision` is 0 while there is no change. */
@@ -25,22 +25,22 @@
 	revision: number;
 };
 
-/** What an operator asks to be accepted. */
+/** A configuration change that an operator proposes. */
 export type ConfigurationProposal = {
-	/** The version that the operator planned against. */
+	/** The version on which the operator based the proposal. */
 	plannedAgainst: number;
 	edits: ConfigurationEdit[];
 	author: string;
 	reason: string;
 };
 
-/** Why a proposal was not accepted. `overtaken` lists what others changed since. */
+/** Why a proposal was not accepted. `overtaken` lists the changes that were accepted since the proposal's version. */
 export type ProposalFailure
 	= | {kind: 'overtaken'; since: ConfigurationChange[]}
 		| {kind: 'unavailable'; detail: string}
 		| {kind: 'outcome-unknown'; detail: string};
 
-/** Gives the key of a change's row; keys sort as versions do. */
+/** Returns the key of a change's row; keys sort in order of version. */
 export function changeKeyOf(version: number): string {
 	return changePrefix + String(version).padStart(versionDigits, '0');
 }
@@ -49,7 +49,7 @@
  * Reads the head.
  *
  * @param table - The table service.
- * @returns The head, with version 0 when nothing was ever accepted.
+ * @returns The head; its version is 0 if no change was accepted so far.
  */
 export async function readHead(table: TableService): Promise<Either<TableFailure, ConfigurationHead>> {
 	const row = await table.read({table: configurationTable, key: headKey});
@@ -57,7 +57,7 @@
 }
 
 /**
- * Reads the changes behind a version, oldest first.
+ * Reads the changes after a version, oldest first.
  *
  * @param table - The table service.
  * @param version - The version that the caller has.
@@ -71,15 +71,15 @@
 }
 
 /**
- * Has a proposal accepted, if nothing was accepted since it was planned.
+ * Accepts a proposal if no change was accepted since the version on which it is based.
  *
- * A lost answer is read back: the change's row tells whether it was this proposal that was accepted, so an operator is
- * told `outcome-unknown` only when the table cannot be read either.
+ * If the answer to the write is lost, the row of the change is read: it shows whether this proposal was accepted. The operator
+ * gets `outcome-unknown` only if that read fails as well, or does not find the row.
  *
  * @param table - The table service.
- * @param proposal - What is asked.
+ * @param proposal - The proposal.
  * @param now - Milliseconds since the epoch.
- * @returns The accepted change, or why not.
+ * @returns The accepted change, or why the proposal was not accepted.
  */
 export async function acceptProposal(table: TableService, proposal: ConfigurationProposal, now: number): Promise<Either<ProposalFailure, ConfigurationChange>> {
 	const head = await readHead(table);
@@ -129,7 +129,7 @@
 
 	const stored = row.unsafeCoerce()?.value as unknown as ConfigurationChange | undefined;
 	if (stored === undefined) {
-		return Left({kind: 'outcome-unknown', detail: `version ${change.version} is not there yet`});
+		return Left({kind: 'outcome-unknown', detail: `version ${change.version} was not found; it may still be accepted`});
 	}
 
 	const isOurs = stored.digest === change.digest && stored.author === change.author && stored.acceptedAt === change.acceptedAt;
--- a/src/protocol/stream/stream-relay.test.ts
+++ b/src/protocol/stream/stream-relay.test.ts
@@ -7,9 +7,9 @@
 	kind: 'tokens', firstIndex, count: 1, text: `t${firstIndex} `,
 });
 
-test('a stream that breaks goes on at exactly the next token, and the older attempt is dropped', () => {
-	// The caller sees one text. The first endpoint sends tokens 0 and 1 and falls silent; the second goes on at 2; then
-	// the first wakes up and sends token 2 as well. Passing that on would show the caller a word twice.
+test('an interrupted stream continues at exactly the next token, and events of the older attempt are dropped', () => {
+	// The first endpoint sends tokens 0 and 1 and becomes unresponsive; the second continues at token 2; later the first
+	// resumes and sends token 2 as well. Passing that on would show the caller a word twice.
 	const first = beginAttempt(emptyAnswer);
 	const afterZero = relayEvent(first, 1, tokenAt(0)).state;
 	const afterOne = relayEvent(afterZero, 1, tokenAt(1)).state;
@@ -21,13 +21,13 @@
 	assert.equal(late.state.tokensPassedOn, 3);
 });
 
-test('a token out of its place is not passed on', () => {
+test('a token out of order is not passed on', () => {
 	const {action, state} = relayEvent(beginAttempt(emptyAnswer), 1, tokenAt(1));
 	assert.equal(action.kind, 'restart');
 	assert.equal(state.tokensPassedOn, 0);
 });
 
-test('nothing is passed on behind the end mark', () => {
+test('nothing is passed on after the end of the stream', () => {
 	const finished: EngineEvent = {
 		kind: 'finished', finishReason: 'stop', promptTokens: 1, cachedTokens: 0, completionTokens: 0,
 	};
--- a/src/protocol/stream/stream-relay.ts
+++ b/src/protocol/stream/stream-relay.ts
@@ -1,23 +1,23 @@
 /**
- * Joins the attempts at one completion into one answer. Only tokens of the newest attempt count, and only the token
- * that follows the last one passed on; an answer is whole only when the engine's end mark came.
+ * Joins the attempts at one completion into one answer. A token is passed on only if it belongs to the newest attempt and
+ * follows the last one passed on; an answer is complete only once the engine's final event has arrived.
  */
 import {type EngineEvent} from '../../ports/model-engine.js';
 
-/** What to do with an event. `restart` says that the attempt cannot go on from where the answer stands. */
+/** What to do with an event. `restart`: the attempt cannot continue the answer from its current token. */
 export type RelayAction
 	= | {kind: 'pass-on'; text: string}
 		| {kind: 'whole'; finishReason: string; promptTokens: number; cachedTokens: number}
 		| {kind: 'drop'}
 		| {kind: 'restart'; detail: string};
 
-/** The answer so far. It is never changed in place. */
+/** The answer so far; immutable. */
 export type RelayState = {
 	attempt: number;
 	/** Tokens passed on to the caller, over all attempts. */
 	tokensPassedOn: number;
 	whole: boolean;
-	/** The weight version that the passed-on tokens come from; absent until an engine named one. */
+	/** The weight version that generated the tokens passed on; absent until an engine has named one. */
 	weightVersion?: string;
 };
 
@@ -25,7 +25,7 @@
 export const emptyAnswer: RelayState = {attempt: 0, tokensPassedOn: 0, whole: false};
 
 /**
- * Starts the next attempt. Whatever older attempts still send is dropped from here on.
+ * Starts the next attempt. Later events of older attempts are dropped.
  *
  * @param state - The answer so far.
  * @returns The state with the number of the new attempt.
@@ -35,16 +35,16 @@
 }
 
 /**
- * Judges one event of a stream.
+ * Decides what to do with an event of a stream.
  *
  * @param state - The answer so far.
  * @param attempt - The attempt that the event belongs to.
- * @param event - What the engine sent.
- * @returns The state behind the event, and what to do.
+ * @param event - The engine's event.
+ * @returns The state after the event, and what to do with it.
  */
 export function relayEvent(state: RelayState, attempt: number, event: EngineEvent): {state: RelayState; action: RelayAction} {
-	// A slow older attempt may still deliver after a newer one took over. Passing its tokens on would show the caller
-	// words twice; the attempt number rules that out, since a number is never used again.
+	// A slow older attempt may still deliver tokens after a newer one has started, and passing them on would show the caller
+	// words twice. The attempt number prevents that, as it is never reused.
 	if (attempt !== state.attempt || state.whole) {
 		return {state, action: {kind: 'drop'}};
 	}
@@ -57,10 +57,10 @@
 		const {
 			finishReason, promptTokens, cachedTokens, completionTokens,
 		} = event;
-		// An engine that left out its last token would still send the end mark, and the caller would take the answer for
-		// whole. Its own count tells; 0 stands for an engine that gives none.
+		// An engine that skipped its last token would still send the final event, and the caller would take the answer for
+		// complete. The engine's own count shows it; 0 means that the engine reports no count.
 		if (completionTokens > 0 && completionTokens !== state.tokensPassedOn) {
-			return {state, action: {kind: 'restart', detail: `the answer has ${completionTokens} tokens and ${state.tokensPassedOn} came`}};
+			return {state, action: {kind: 'restart', detail: `the answer has ${completionTokens} tokens, but ${state.tokensPassedOn} were received`}};
 		}
 
 		return {
@@ -71,7 +71,7 @@
 	}
 
 	if (event.firstIndex !== state.tokensPassedOn) {
-		const detail = `token ${event.firstIndex} came where ${state.tokensPassedOn} was due`;
+		const detail = `received token ${event.firstIndex}, expected token ${state.tokensPassedOn}`;
 		return {state, action: {kind: 'restart', detail}};
 	}
 
@@ -82,21 +82,21 @@
 }
 
 /**
- * Forgets what was passed on, so that the next attempt starts from the first token. Only a receiver that can take its
- * text back may ask for this.
+ * Discards the tokens passed on, so that the next attempt starts from the first token. Call it only if the receiver can
+ * discard the text that it has got.
  *
  * @param state - The answer so far.
- * @returns The state of an answer without a token; the attempt number goes on.
+ * @returns The state of an answer without tokens; the attempt number is kept.
  */
 export function forgetTokens(state: RelayState): RelayState {
 	return {attempt: state.attempt, tokensPassedOn: 0, whole: false};
 }
 
 function relayStart(state: RelayState, weightVersion: string): {state: RelayState; action: RelayAction} {
-	// After a weight swap the next engine would go on with other weights. The caller would read one answer whose two
-	// halves come from two models; an answer that has begun therefore stays with the version it began under.
+	// After a change of weights the next engine would continue with other weights, and the two halves of the answer would come
+	// from two models. A started answer therefore stays with the weight version that it was started with.
 	if (state.tokensPassedOn > 0 && weightVersion !== state.weightVersion) {
-		return {state, action: {kind: 'restart', detail: `the endpoint runs ${weightVersion}, the answer began under ${state.weightVersion ?? 'none'}`}};
+		return {state, action: {kind: 'restart', detail: `the endpoint serves weights ${weightVersion}, the answer was started with ${state.weightVersion ?? 'none'}`}};
 	}
 
 	return {state: {...state, weightVersion}, action: {kind: 'drop'}};
