--- a/src/ports/cache-store-control.ts
+++ b/src/ports/cache-store-control.ts
@@ -1,47 +1,47 @@
-/** The port to a cache store that drops nothing by itself: what it holds, and the order to free parts. */
+/** The port to a managed cache store, which evicts nothing by itself: its content, and the order to free blocks. */
 import {type Either} from 'purify-ts/Either';
 
-/** A cached part: its salt and id, and how many tokens it has. */
+/** A cached block: its salt and id, and its length in tokens. */
 export type StoredPart = {
 	salt: string;
 	id: string;
 	tokens: number;
 };
 
-/** What a store holds whole at one moment. */
+/** The content of a store at one time. */
 export type StoreListing = {
 	epoch: number;
-	/** Where the events behind this listing begin. */
+	/** The position of the first event after this listing. */
 	next: number;
 	parts: StoredPart[];
-	/** Parts that are being written, or whose writing broke off; they take their reserved tokens. */
+	/** Blocks that are being written, or whose write was interrupted; they occupy the tokens reserved for them. */
 	partial: StoredPart[];
 };
 
-/** What changed in a store. */
+/** The changes in a store since a position. */
 export type StoreEvents = {
-	/** Changes when the store restarts; it is empty then. */
+	/** Changes when the store restarts; a restarted store is empty. */
 	epoch: number;
 	next: number;
-	/** Some events are gone: the store has to be listed again. */
+	/** Some events were lost: the store must be listed again. */
 	isIncomplete: boolean;
 	added: StoredPart[];
 	removed: StoredPart[];
-	/** The engines' clock, in milliseconds, when the answer was made. */
+	/** The engines' clock, in milliseconds, when the store answered. */
 	clockMilliseconds: number | undefined;
 };
 
-/** Parts to free, and when the order is void. */
+/** An order to free blocks. It is void in another epoch and after `untilMilliseconds`. */
 export type FreeOrder = {
 	parts: ReadonlyArray<{salt: string; id: string}>;
 	epoch: number;
-	/** On the engines' clock. */
+	/** In milliseconds on the engines' clock. */
 	untilMilliseconds: number;
 };
 
 export interface CacheStoreControl {
 	list(address: string): Promise<Either<string, StoreListing>>;
 	events(address: string, since: number, waitMilliseconds: number): Promise<Either<string, StoreEvents>>;
-	/** A `Left` says that nothing may be assumed; the parts may be freed or not. */
+	/** After a `Left` the blocks may have been freed or not. */
 	free(address: string, order: FreeOrder): Promise<Either<string, void>>;
 }
--- a/src/ports/clock.ts
+++ b/src/ports/clock.ts
@@ -1,5 +1,6 @@
 /**
- * The port to time. Only shells read it; a function that decides takes the present time as an argument.
+ * The port to the time of day. Only code that performs input and output reads it; a function that makes decisions gets the
+ * present time as an argument.
  */
 
 /** A clock. */
--- a/src/ports/model-engine.ts
+++ b/src/ports/model-engine.ts
@@ -1,7 +1,7 @@
 /**
- * The port to a model engine. Completions follow the published completions protocol with server-sent events; the
- * engine's own paths (load, cache events, orders, KV export and import) are beside it. Every token of a stream carries
- * its index, so that a stream that broke can go on elsewhere at exactly the next token.
+ * The port to a model engine. Completions follow the published completions protocol with server-sent events; load, cache
+ * events, orders, and export and import of KV blocks have paths of their own. Every token of a stream has an index, so that
+ * another engine can continue an interrupted stream at exactly the next token.
  */
 import {type Buffer} from 'node:buffer';
 import {type Either} from 'purify-ts/Either';
@@ -13,26 +13,30 @@
 	attempt: number;
 	/** `chat` for messages, `text` for a prompt. */
 	shape: 'chat' | 'text';
-	/** The caller's body as sent on to the engine. */
+	/** The caller's body as forwarded to the engine. */
 	body: Record<string, JsonValue>;
-	/** Keeps the prefix cache of one workspace apart from all others. */
+	/** Separates the prefix cache of one workspace from all others. */
 	cacheSalt: string;
 	priority: PriorityClass;
-	/** The weight version that the call was routed for. */
+	/** The weight version for which the call was routed. */
 	weightVersion: string;
-	/** How many tokens of the answer were already passed on; the stream goes on behind them. */
+	/** How many tokens of the answer were already passed on; the stream continues after them. */
 	tokensPassedOn: number;
 };
 
-/** One piece of a stream. */
+/** One event of a stream. */
 export type EngineEvent
 	= | {kind: 'started'; weightVersion: string}
 		| {kind: 'tokens'; firstIndex: number; count: number; text: string}
 		| {kind: 'finished'; finishReason: string; promptTokens: number; cachedTokens: number; completionTokens: number};
 
 /**
- * How an attempt failed: `refused` is the engine's own answer and `not-sent` means no byte left; in both nothing ran.
- * `version-swapped` means that the engine runs another weight version now. `broken` can come at any point of a stream.
+ * Why an attempt failed.
+ *
+ * - `not-sent`: no byte was sent; nothing ran.
+ * - `refused`: the engine's own answer; nothing ran.
+ * - `version-swapped`: the engine now serves another weight version.
+ * - `broken`: the call or stream failed at any later point.
  */
 export type EngineFailure
 	= | {kind: 'not-sent'; detail: string}
@@ -40,33 +44,33 @@
 		| {kind: 'version-swapped'; weightVersion: string}
 		| {kind: 'broken'; detail: string};
 
-/** What an engine says of itself. It lags: `measuredAt` is the engine's own time of measurement. */
+/** An engine's report of its load. It lags: `measuredAt` is the time of the measurement on the engine's clock. */
 export type LoadReport = {
-	/** Model and weight version that it serves now. */
+	/** The model that it serves now. */
 	model: string;
 	weightVersion: string;
 	state: 'live' | 'loading' | 'leaving';
 	runningRequests: number;
 	waitingRequests: number;
-	/** Prompt tokens accepted and not yet prefilled. */
+	/** Prompt tokens that are accepted and not prefilled so far. */
 	waitingPrefillTokens: number;
 	prefillTokensPerSecond: number;
 	decodeTokensPerSecond: number;
-	/** Most requests that it runs in one batch. */
+	/** The maximum number of requests in one batch. */
 	batchLimit: number;
 	kvTokensUsed: number;
 	kvTokensCapacity: number;
 	measuredAt: number;
 };
 
-/** A change in an engine's prefix cache. Sequence numbers are per engine and without holes; a hole is a lost event. */
+/** A change in an engine's prefix cache. Sequence numbers are consecutive per engine; a gap means that events were lost. */
 export type CacheEvent = {
 	sequence: number;
 	kind: 'stored' | 'evicted';
 	pieceKey: string;
 };
 
-/** What an order tells an engine to do. */
+/** An order to an engine. */
 export type EngineOrder = {
 	orderId: string;
 	fencingNumber: number;
@@ -77,22 +81,22 @@
 		| {kind: 'leave'};
 };
 
-/** How an order ended: `stale` means that the engine has seen a higher fencing number. */
+/** Why an order failed. `stale`: the engine has seen a higher fencing number. */
 export type OrderFailure
 	= | {kind: 'stale'; seen: number}
 		| {kind: 'unavailable'; detail: string};
 
-/** A model engine as savorygauge uses it. Addresses are `IP:port`. */
+/** The model engine's interface. Addresses are `IP:port`. */
 export interface ModelEngine {
 	/**
-	 * Starts an attempt. The iterator throws nothing: it ends with a `Left` if the stream breaks, and soon after the
-	 * signal aborts.
+	 * Starts an attempt. The iterator does not throw: it ends with a `Left` if the stream fails, and ends soon after the signal
+	 * aborts.
 	 */
 	complete(address: string, call: EngineCall, signal: AbortSignal): AsyncIterable<Either<EngineFailure, EngineEvent>>;
 	loadReport(address: string): Promise<Either<EngineFailure, LoadReport>>;
 	cacheEvents(address: string, after: number): Promise<Either<EngineFailure, CacheEvent[]>>;
 	order(address: string, order: EngineOrder): Promise<Either<OrderFailure, void>>;
 	exportPiece(address: string, pieceKey: string): Promise<Either<EngineFailure, Buffer | undefined>>;
-	/** Gives a piece to an engine, which refuses it if it does not run the weight version that the piece was built under. */
+	/** Sends a block to an engine, which refuses it if it does not serve the weight version that computed the block. */
 	importPiece(address: string, piece: {pieceKey: string; weightVersion: string}, content: Buffer): Promise<Either<EngineFailure, void>>;
 }
--- a/src/ports/moment-clock.ts
+++ b/src/ports/moment-clock.ts
@@ -1,6 +1,7 @@
 /**
- * The port to time where a lease depends on it: two readings that fail in different ways. The steady clock stands still
- * while a machine is suspended; the time of day may jump. Whoever bounds a span takes the longer of both.
+ * The port to time for leases: a moment consists of two clock readings that fail in different ways. The steady clock stops
+ * while a machine is suspended, and the time of day may jump. Code that must not underestimate a time span uses the longer
+ * of both.
  */
 
 /** Both readings, in milliseconds. `steady` counts from an arbitrary start, `wall` since the epoch. */
@@ -17,7 +18,7 @@
 }
 
 /**
- * Gives the longest time that can have passed between two moments.
+ * Returns the longest time that can have passed between two moments.
  *
  * @param start - The earlier moment.
  * @param now - The present moment.
--- a/src/ports/plain-service.ts
+++ b/src/ports/plain-service.ts
@@ -1,21 +1,21 @@
 /**
- * The port to a plain service: an ordinary HTTP service beside the model engines. Some of its calls may never run
- * twice, so a failure says whether any byte of the call can have reached the service.
+ * The port to a plain service, an HTTP service that is no model engine. Some of its calls are non-idempotent, so a failure
+ * says whether any byte of the call may have reached the service.
  */
 import {type Buffer} from 'node:buffer';
 import {type Either} from 'purify-ts/Either';
 
-/** A call to pass on. */
+/** A call to forward. */
 export type PlainCall = {
 	method: string;
-	/** The path and query behind the service's base URL, with its leading slash. */
+	/** The path and query after the service's base URL, with a leading slash. */
 	path: string;
 	headers: Record<string, string>;
 	body: Buffer;
 	requestId: string;
 };
 
-/** The answer, whole. */
+/** A complete answer. */
 export type PlainAnswer = {
 	status: number;
 	headers: Record<string, string>;
@@ -23,13 +23,13 @@
 };
 
 /**
- * How a call failed: `not-sent` only while no byte can have left this process; `outcome-unknown` from the first byte on.
+ * Why a call failed. `not-sent`: no byte has left this process. `outcome-unknown`: from the first byte on.
  */
 export type PlainFailure
 	= | {kind: 'not-sent'; detail: string}
 		| {kind: 'outcome-unknown'; detail: string};
 
-/** A plain service as savorygauge uses it. */
+/** The plain service's interface. */
 export interface PlainService {
 	call(address: string, call: PlainCall, signal: AbortSignal): Promise<Either<PlainFailure, PlainAnswer>>;
 }
--- a/src/ports/table-feed.ts
+++ b/src/ports/table-feed.ts
@@ -1,13 +1,12 @@
 /**
- * The port to a table's changes: the whole table at one moment, and then what changed behind it. A reader that follows
- * hears of a change as soon as it is made, and an answer without changes still proves that nothing had changed when the
- * call was sent.
+ * The port to a table's change feed: a snapshot of the whole table, and the changes after it. A follower receives each change
+ * as soon as it is made; an answer without changes proves that nothing had changed when the call was sent.
  */
 import {type Either} from 'purify-ts/Either';
 import {type JsonValue} from '../shared/types.js';
 import {type TableFailure} from './table-service.js';
 
-/** A row as the feed tells it. `content` is absent where the row was deleted or its bytes cannot be read. */
+/** A row in the feed. `content` is `undefined` where the row was deleted or its bytes cannot be parsed. */
 export type FeedRow = {
 	key: string;
 	content: JsonValue | undefined;
@@ -16,28 +15,28 @@
 	revision: number;
 };
 
-/** What a call to the feed gives. `position` is where the next call goes on. */
+/** The answer to a call to the feed. The next call continues at `position`. */
 export type FeedAnswer = {
 	rows: FeedRow[];
 	position: number;
-	/** Rises when the store comes back from an older copy; positions of two eras cannot be compared. */
+	/** Increases when the store is restored from an older copy; positions of two eras cannot be compared. */
 	era: number;
 };
 
-/** The feed no longer holds what came behind the asked position: the table has to be read whole again. */
+/** Why a call to the feed failed. `history-lost`: it no longer has all changes after the position; read the whole table again. */
 export type FeedFailure = TableFailure | {kind: 'history-lost'};
 
-/** Where to follow a table, and how long a call without changes may wait. */
+/** The table and position to follow from, and how long a call without changes may wait. */
 export type FollowQuery = {
 	table: string;
 	after: number;
 	waitMilliseconds: number;
 };
 
-/** The feed of a table service. */
+/** The change feed of a table service. */
 export interface TableFeed {
-	/** Reads a table whole. */
+	/** Reads the whole table. */
 	readWhole(table: string): Promise<Either<TableFailure, FeedAnswer>>;
-	/** Waits for changes behind a position. */
+	/** Waits for changes after a position. */
 	follow(query: FollowQuery): Promise<Either<FeedFailure, FeedAnswer>>;
 }
--- a/src/ports/weight-store.ts
+++ b/src/ports/weight-store.ts
@@ -1,31 +1,31 @@
 /**
- * The port to the weight store, from which engines load their weights. Its rate is limited: with more engines loading
- * at once than it serves at full speed, each of them takes longer, so whoever orders loads asks first how many run.
+ * The port to the weight store, from which engines load their weights. Its bandwidth is limited: if more engines load at once
+ * than it serves at full speed, each load takes longer, so the number of loads is checked before another one is ordered.
  */
 import {type Either} from 'purify-ts/Either';
 
-/** One set of weights that an engine can be told to load. */
+/** A set of weights that an engine can load. */
 export type StoredWeights = {
 	model: string;
 	weightVersion: string;
 	bytes: number;
 };
 
-/** How busy the store is. */
+/** The store's load. */
 export type WeightStoreLoad = {
-	/** Engines that load from it now. */
+	/** The number of engines that load from it now. */
 	loading: number;
-	/** How many can load at once at full speed. */
+	/** The number of engines that can load at once at full speed. */
 	fullSpeedLoads: number;
 	bytesPerSecond: number;
 };
 
-/** How a call to the store failed. Its own limit on calls says when to come back. */
+/** Why a call to the store failed. `rate-limited`: the store's own limit on calls, with the time after which to retry. */
 export type WeightStoreFailure
 	= | {kind: 'unavailable'; detail: string}
 		| {kind: 'rate-limited'; retryAfterMilliseconds: number};
 
-/** The weight store as savorygauge uses it. */
+/** The weight store's interface. */
 export interface WeightStore {
 	/** The weight versions of a model, oldest first. */
 	versions(model: string): Promise<Either<WeightStoreFailure, StoredWeights[]>>;
