--- a/src/cache/piece-keys.test.ts
+++ b/src/cache/piece-keys.test.ts
@@ -7,16 +7,16 @@
 	pieceKeysOf({salt: cacheSaltOf('a secret of all instances', workspace), model: 'permit-1', weightVersion}, prompt);
 
 test('two workspaces with the same prompt share no cache key', () => {
-	// One workspace sends another's whole prompt, word for word. Were the keys equal, it would get the other's kept
-	// pieces, and could tell from the time of its first token what the other had asked.
+	// One workspace sends the same prompt as another. With equal keys it would get the other's cached blocks, and could infer
+	// from the time to its first token what the other had sent.
 	const ours = new Set(keysOf('quay', 'w1'));
 	assert.deepEqual(keysOf('councils', 'w1').filter(key => ours.has(key)), []);
 	assert.deepEqual(keysOf('quay', 'w1'), [...ours]);
 });
 
-test('a new request under another weight version finds no cache of the old one', () => {
-	// The weights are swapped between two visits of the same prompt. The old pieces may still lie in a store; the new
-	// request's keys name none of them.
+test('a request under another weight version finds no blocks of the old one', () => {
+	// The weights change between two requests with the same prompt. The old blocks may still be in a store, but no key of the
+	// second request matches one of them.
 	const old = new Set(keysOf('quay', 'w1'));
 	assert.deepEqual(keysOf('quay', 'w2').filter(key => old.has(key)), []);
 });
--- a/src/cache/piece-keys.ts
+++ b/src/cache/piece-keys.ts
@@ -1,17 +1,17 @@
 /**
- * Keys of kept cache pieces. A key is a keyed digest over workspace, model, weight version and the whole prompt up to
- * the end of the piece: nothing can be looked up by content alone, so one workspace never meets another's cache, and a
- * piece built under another weight version has another key.
+ * Keys of cache blocks. A key is a keyed digest of the workspace, the model, the weight version and the whole prompt up to the
+ * end of the block. So a block cannot be looked up by content alone, a workspace cannot find another's blocks, and a block
+ * computed under another weight version has another key.
  */
 import {createHmac} from 'node:crypto';
 
-/** Characters of a prompt in one piece: about 2,048 tokens at 4 characters a token. */
+/** Characters of a prompt per block: about 2,048 tokens at 4 characters per token. */
 export const pieceCharacters = 8192;
 
-/** Characters in one token, as an estimate; only the engine counts exactly. */
+/** Estimated characters per token; only the engine knows the exact number. */
 export const charactersPerToken = 4;
 
-/** What a prompt's pieces belong to. */
+/** What the keys of a prompt's blocks depend on, besides the prompt. */
 export type PieceOwner = {
 	/** The workspace's salt; see `cacheSaltOf`. */
 	salt: string;
@@ -20,7 +20,7 @@
 };
 
 /**
- * Gives the cache salt of a workspace.
+ * Returns the cache salt of a workspace.
  *
  * @param secret - The secret that all instances share.
  * @param workspace - The workspace's name.
@@ -31,11 +31,11 @@
 }
 
 /**
- * Gives the keys of the whole pieces of a prompt, first piece first.
+ * Returns the keys of the complete blocks of a prompt, in order.
  *
- * @param owner - What the pieces belong to.
+ * @param scope - The salt, model and weight version.
  * @param prompt - The whole prompt as one text.
- * @returns A key per whole piece; each depends on all pieces before it. A last piece that is not whole has none.
+ * @returns A key per complete block, which depends on all blocks before it. An incomplete last block has no key.
  */
 export function pieceKeysOf(owner: PieceOwner, prompt: string): string[] {
 	const pieces = Math.floor(prompt.length / pieceCharacters);
