--- a/src/shared/canonical-json.ts
+++ b/src/shared/canonical-json.ts
@@ -1,12 +1,11 @@
 import {type JsonValue} from './types.js';
 
 /**
- * Writes a value as JSON with sorted member names.
+ * Serializes a value as JSON with sorted member names.
  *
- * Two values that differ only in the order of their members give the same text, so that a digest of the text is a
- * digest of the value.
+ * Two values that differ only in the order of their members give the same text, so a digest of the text identifies the value.
  *
- * @param value - The value to write. Members that are `undefined` are left out, as in `JSON.stringify`.
+ * @param value - The value. Members that are `undefined` are omitted, as in `JSON.stringify`.
  * @returns The text, without white space.
  * @example
  * canonicalJson({b: 1, a: 2}); // '{"a":2,"b":1}'
--- a/src/shared/digest-of.ts
+++ b/src/shared/digest-of.ts
@@ -1,9 +1,9 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Gives the SHA-256 digest of a text.
+ * Returns the SHA-256 digest of a text.
  *
- * @param text - Any text; it is hashed as UTF-8.
+ * @param text - The text, hashed as UTF-8.
  * @returns 64 hexadecimal digits.
  * @example
  * digestOf('').slice(0, 8); // 'e3b0c442'
--- a/src/shared/endpoint-record.ts
+++ b/src/shared/endpoint-record.ts
@@ -1,25 +1,25 @@
-/** What the platform's list says of one endpoint. */
+/** One endpoint in the platform's list. */
 
-/** `leaving` still finishes its work and takes no new one. */
+/** `leaving`: the endpoint finishes its work and accepts no new requests. */
 export type EndpointState = 'ready' | 'leaving';
 
-/** One incarnation of an endpoint. Two records with the same name but another `bornAt` are two incarnations. */
+/** One incarnation of an endpoint. Records with the same name and different `startedAt` are different incarnations. */
 export type EndpointRecord = {
-	/** Unique over all endpoints; the endpoint refuses a request that expects another name. */
+	/** Unique among all endpoints; the endpoint refuses a request that expects another name. */
 	name: string;
 	service: string;
-	/** `IP:port`. Another service may get it soon after the endpoint has ended. */
+	/** `IP:port`. Another service may get the address soon after the endpoint has stopped. */
 	address: string;
 	dataCentre: string;
 	slots: number;
 	state: EndpointState;
-	/** Start of the incarnation, in milliseconds since the epoch; 0 where the endpoint does not say. */
+	/** The start of the incarnation, in milliseconds since the epoch; 0 where the endpoint does not report it. */
 	bornAt: number;
-	/** The version of the weights of each model. */
+	/** The weight version by model. */
 	weightVersions: ReadonlyMap<string, number>;
 };
 
-/** Tells one incarnation of an endpoint from the next. */
+/** Returns a text that identifies an incarnation of an endpoint. */
 export function incarnationOf({name, bornAt}: EndpointRecord): string {
 	return `${name}@${bornAt}`;
 }
--- a/src/shared/format-finding.ts
+++ b/src/shared/format-finding.ts
@@ -1,7 +1,7 @@
 import {type Finding} from './types.js';
 
 /**
- * Writes a finding as one line that starts with its place.
+ * Formats a finding as one line that starts with its place.
  *
  * @param finding - The finding.
  * @returns For example `split.yaml:4:3: unknown key "sharre"`, or `--port: must be a whole number`.
--- a/src/shared/node-route.ts
+++ b/src/shared/node-route.ts
@@ -1,19 +1,19 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type EventHandler, fromNodeHandler} from 'h3';
 
-/** One HTTP exchange over HTTP/1.1, as `node:http` gives it. */
+/** One HTTP/1.1 exchange of `node:http`. */
 export type NodeExchange = {
 	request: IncomingMessage;
 	response: ServerResponse;
 };
 
 /**
- * Makes an h3 route of a handler that writes to the Node response itself.
+ * Creates an h3 route from a handler that writes to the Node response directly.
  *
- * Streams use it: back-pressure and a caller who hangs up are seen on the response at once.
+ * Streams need it: the response shows back-pressure and a disconnected caller at once.
  *
- * @param handle - Answers the exchange. Our listeners speak HTTP/1.1 only, so the request is an `IncomingMessage`.
- * @returns A handler for `app.get(…)` and its kin.
+ * @param handle - Answers the exchange. The listeners speak HTTP/1.1 only, so the request is an `IncomingMessage`.
+ * @returns A handler for `app.get(…)` and the other methods.
  */
 export function nodeRoute(handle: (exchange: NodeExchange) => Promise<void>): EventHandler {
 	return fromNodeHandler(async (request, response) => {
@@ -25,8 +25,8 @@
 }
 
 /**
- * Stands for `end` on a response that is ended. h3 ends every response once more, and Node then makes an error with its
- * stack trace, which was a twentieth of the time of a short request.
+ * Replaces `end` of a response that has ended. h3 ends every response once more, and Node would then create an error with a
+ * stack trace, which took a twentieth of the time of a short request.
  */
 function endAgain(this: ServerResponse, ...rest: unknown[]): ServerResponse {
 	const callback = rest.at(-1);
--- a/src/shared/program-version.ts
+++ b/src/shared/program-version.ts
@@ -1,2 +1,2 @@
-/** The version that every program answers to `--version`; a test keeps it equal to the one in package.json. */
+/** The version that every program prints for `--version`; a test compares it with the one in package.json. */
 export const programVersion = '0.1.0';
--- a/src/shared/prompt-shape.ts
+++ b/src/shared/prompt-shape.ts
@@ -1,6 +1,6 @@
-/** A prompt as routing and caching see it: a model, a size, and parts that it shares with other prompts. */
+/** The properties of a prompt that routing and caching use: its model, its size, and its blocks, which prompts may share. */
 
-/** One part of a prompt; engines cache parts. */
+/** One block of a prompt, the unit that engines cache. */
 export type PromptPart = {
 	id: string;
 	tokens: number;
@@ -11,6 +11,6 @@
 	model: string;
 	promptTokens: number;
 	mostOutputTokens: number;
-	/** In order; the last one belongs to this request alone. */
+	/** In order; the last block belongs to this request only. */
 	parts: readonly PromptPart[];
 };
--- a/src/shared/prompt-text-of.ts
+++ b/src/shared/prompt-text-of.ts
@@ -1,7 +1,7 @@
 import {type JsonValue} from './types.js';
 
 /**
- * Gives the whole prompt of a completions request as one text.
+ * Returns the whole prompt of a completions request as one text.
  *
  * @param body - The body of a chat-completions request (`messages`) or of a completions request (`prompt`).
  * @returns The messages as `role: content` lines, or the prompt; the empty text if there is neither.
--- a/src/shared/routed-configuration.ts
+++ b/src/shared/routed-configuration.ts
@@ -1,50 +1,50 @@
 /**
- * The configuration of the routed data path: which requests go to which service, who may send them, and what a client
- * may cost. It arrives whole, with a version; a higher version replaces a lower one.
+ * The configuration of the routed data path: which requests go to which service, which workspaces may send them, and the limits
+ * for callers. It arrives as a whole with a version; a higher version replaces a lower one.
  */
 
 /**
- * What may be repeated.
+ * Whether requests of a route may be retried.
  *
  * - `idempotent`: may run more than once.
- * - `non-idempotent`: runs at most once for each attempt of a client.
- * - `stream`: an event stream; at most once as well.
- * - `resumable-stream`: an event stream that another endpoint may continue behind a given event.
+ * - `non-idempotent`: runs at most once per request of a caller.
+ * - `stream`: an event stream; runs at most once as well.
+ * - `resumable-stream`: an event stream that another endpoint may continue after a given event.
  */
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'stream' | 'resumable-stream';
 
-/** One target of a route; of several, each gets its share by weight. */
+/** A target of a route; requests are divided among the targets by weight. */
 export type RouteTarget = {
 	service: string;
 	weight: number;
 };
 
-/** A routing rule: the longest path prefix of the host that begins the path decides. */
+/** A routing rule. Among the routes of a host, the one with the longest matching path prefix applies. */
 export type Route = {
 	name: string;
 	host: string;
-	/** Begins and ends with a slash. */
+	/** Starts and ends with a slash. */
 	pathPrefix: string;
 	kind: RouteKind;
 	targets: readonly RouteTarget[];
 	/** The longest time until the final answer. */
 	timeoutMilliseconds: number;
-	/** Time to the answer, or to the first event of a stream, that still counts as prompt. */
+	/** The latency objective: the time to the answer, or to the first event of a stream. */
 	objectiveMilliseconds: number;
-	/** Longest pause between events of a stream that still counts as prompt; 0 where the route is no stream. */
+	/** The objective for the longest gap between events of a stream; 0 where the route is no stream. */
 	longestPauseMilliseconds: number;
-	/** How many endpoints one client attempt may be sent to. */
+	/** The maximum number of endpoints to which one request is sent. */
 	mostAttempts: number;
 	/** 0 is the most urgent. */
 	rank: number;
 	needsKey: boolean;
-	/** Requests carry a prompt in parts that model engines cache. */
+	/** Whether requests carry a prompt in blocks that model engines cache. */
 	carriesPrompt: boolean;
 };
 
-/** What a model engine of a service offers; all engines of a service are alike. */
+/** The properties of a service's model engines, which are all alike. */
 export type EngineTraits = {
-	/** Requests that run at once. */
+	/** The number of requests that run concurrently. */
 	slots: number;
 	capacityTokens: number;
 	bytesPerToken: number;
@@ -52,28 +52,28 @@
 	models: readonly string[];
 };
 
-/** What a cache store offers. */
+/** The properties of a cache store. */
 export type StoreTraits = {
 	address: string;
 	dataCentre: string;
 	capacityTokens: number;
 	linkMegabitsPerSecond: number;
-	/** Added to each transfer. */
+	/** The fixed time added to each transfer. */
 	firstMilliseconds: number;
-	/** The store never drops a part by itself. */
+	/** Whether the store evicts nothing by itself, so that the cache store manager frees its blocks. */
 	isManaged: boolean;
 };
 
-/** A declared service: a plain one, one of model engines, or a cache store. */
+/** A declared service: a plain service, model engines or a cache store. */
 export type RoutedService = {
 	name: string;
-	/** Connections that one endpoint takes from all instances together; 0 where it is not declared. */
+	/** The maximum number of connections to one endpoint from all instances together; 0 where it is not declared. */
 	connectionLimit: number;
 	engine?: EngineTraits;
 	store?: StoreTraits;
 };
 
-/** What a client may send, and how long it may take or stay idle. */
+/** Limits for callers: sizes of what they send, the time to send the headers, and the idle time of a connection. */
 export type ClientLimits = {
 	headerBytes: number;
 	bodyBytes: number;
@@ -81,21 +81,21 @@
 	idleMilliseconds: number;
 };
 
-/** Whom a key belongs to. */
+/** The workspace to which a key belongs. */
 export type WorkspaceGrant = {
 	name: string;
-	/** Goes before the route's rank where it is declared. */
+	/** Overrides the route's rank where it is declared. */
 	rank?: number;
-	/** Shares no cached part with any other workspace. */
+	/** Whether the workspace shares no cached blocks with other workspaces. */
 	isIsolated: boolean;
 };
 
-/** A whole configuration. */
+/** A complete configuration. */
 export type RoutedConfiguration = {
 	version: number;
 	routes: readonly Route[];
 	services: ReadonlyMap<string, RoutedService>;
 	limits: ClientLimits;
-	/** Grants by key; absent where no workspaces are declared, and then no route needs a key. */
+	/** Grants by key; absent where no workspaces are declared, in which case no route requires a key. */
 	grants?: ReadonlyMap<string, WorkspaceGrant>;
 };
--- a/src/shared/stop-on-signals.ts
+++ b/src/shared/stop-on-signals.ts
@@ -1,9 +1,10 @@
 import process from 'node:process';
 
 /**
- * Ends the process in order when it is told to.
+ * Stops the process gracefully on SIGTERM or SIGINT.
  *
- * @param stop - Finishes what the process has; it exits when that resolves. A second signal is not waited for.
+ * @param stop - Finishes the process's work; the process exits when it resolves. A second signal of the same kind ends the
+ * process at once.
  */
 export function stopOnSignals(stop: () => Promise<void>): void {
 	const end = async (): Promise<void> => {
--- a/src/shared/types.ts
+++ b/src/shared/types.ts
@@ -1,18 +1,18 @@
 /**
- * The vocabulary that more than one part of savorygauge uses: priority classes, refusals, findings, and the rows of a
- * declaration. Types that a single part uses stand beside that part.
+ * Types that several folders use: priority classes, refusals, findings, and the items of a declaration. Types that a single
+ * folder uses are declared there.
  */
 
 /** Any value that JSON can carry. */
 export type JsonValue = string | number | boolean | null | JsonValue[] | {[name: string]: JsonValue};
 
-/** How soon a caller needs the answer. `urgent` goes first; `overnight` may wait for hours. */
+/** How soon the caller needs the answer. `urgent` has precedence; `overnight` may wait for hours. */
 export type PriorityClass = 'urgent' | 'normal' | 'overnight';
 
-/** What a refusal says about the work: `not-run` is a promise, `unknown` means that it may or may not have run. */
+/** Whether a refused request has run. `not-run` is guaranteed; `unknown`: it may or may not have run. */
 export type RunState = 'not-run' | 'unknown';
 
-/** Why a request was refused or given up. */
+/** Why a request was refused or cancelled. */
 export type RefusalReason
 	= | 'bad-request'
 		| 'unauthorized'
@@ -43,24 +43,24 @@
 	reason: RefusalReason;
 	ran: RunState;
 	message: string;
-	/** When the caller may come back, in milliseconds from now. Absent where a repeat cannot help. */
+	/** When the caller may retry, in milliseconds from now. Absent where a retry cannot succeed. */
 	retryAfterMilliseconds?: number;
-	/** Where the outcome of a call that may have run can be asked later. */
+	/** The path where the outcome of a call that may have run can be queried later. */
 	askAt?: string;
 };
 
-/** Where a finding stands: a flag or variable by name, or a place in a file. Lines and columns count from 1. */
+/** The place of a finding: a flag or an environment variable, or a position in a file. Lines and columns count from 1. */
 export type Place
 	= | {source: 'flag' | 'environment'; name: string}
 		| {source: 'file'; file: string; line: number; column: number};
 
-/** One thing that is wrong with what somebody wrote, and where. */
+/** An error in a user's input, and its place. */
 export type Finding = {
 	place: Place;
 	message: string;
 };
 
-/** A declared call that may run at most once. `path` is a prefix of the path behind `/services/{service}`. */
+/** A declaration of calls that run at most once. `path` is a prefix of the path after `/services/{service}`. */
 export type NeverTwiceRule = {
 	method: string;
 	path: string;
@@ -69,23 +69,23 @@
 /** Whether the endpoints of a service check the fencing number of an order. */
 export type FencingCheck = 'checked' | 'ignored';
 
-/** A declared workspace: who may call, with which share and priority. */
+/** A declared workspace: its keys, priority, share, and the services that it may call. */
 export type WorkspaceItem = {
 	name: string;
 	/** SHA-256 digests, in hexadecimal, of the bearer keys. */
 	keyDigests: string[];
 	priority: PriorityClass;
-	/** Weight in fair sharing; 2 gets twice the share of 1. */
+	/** The weight in fair sharing; 2 gets twice the share of 1. */
 	share: number;
 	services: string[];
 };
 
-/** A declared service: a model behind model engines, or a plain service. */
+/** A declared service: a model that model engines serve, or a plain service. */
 export type ServiceItem
 	= | {name: string; kind: 'model'; model: string; weightVersion: string; fencing: FencingCheck; paused: boolean}
 		| {name: string; kind: 'plain'; neverTwice: NeverTwiceRule[]; fencing: FencingCheck; paused: boolean};
 
-/** A declared routing rule. The first rule, in order of name, whose members all match decides. */
+/** A declared routing rule. The first rule, in order of name, all of whose conditions match applies. */
 export type RuleItem = {
 	name: string;
 	workspace?: string;
@@ -95,20 +95,20 @@
 	dataCentres?: string[];
 };
 
-/** A declared limit, by name; the known names stand in `src/declaration/declaration-schema.ts`. */
+/** A declared limit; `src/declaration/declaration-schema.ts` lists the known names. */
 export type LimitItem = {
 	name: string;
 	value: number;
 };
 
-/** An endpoint that operators drained: it gets no new work until it is admitted again. Files never declare it. */
+/** An endpoint that operators have drained: it gets no new requests until it is admitted again. Not declared in files. */
 export type DrainItem = {
-	/** Name of the endpoint in the platform's list. */
+	/** The endpoint's name in the platform's list. */
 	name: string;
 	reason: string;
 };
 
-/** One declared thing with its kind. */
+/** A declared item with its kind. */
 export type ConfigurationItem
 	= | {kind: 'workspace'; item: WorkspaceItem}
 		| {kind: 'service'; item: ServiceItem}
@@ -116,7 +116,7 @@
 		| {kind: 'limit'; item: LimitItem}
 		| {kind: 'drain'; item: DrainItem};
 
-/** The kinds of declared things. */
+/** The kinds of declared items. */
 export type ConfigurationKind = ConfigurationItem['kind'];
 
 /** One edit of a configuration change. */
@@ -125,8 +125,8 @@
 		| {action: 'remove'; kind: ConfigurationKind; name: string};
 
 /**
- * One accepted change. Changes form a chain: `digest` covers `previousDigest` and the edits, so that two instances with
- * the same version and digest hold the same configuration.
+ * An accepted change. Changes form a chain: `digest` covers `previousDigest` and the edits, so that two instances with the
+ * same version and digest hold the same configuration.
  */
 export type ConfigurationChange = {
 	version: number;
@@ -139,19 +139,19 @@
 	edits: ConfigurationEdit[];
 };
 
-/** What a live or leaving process of the platform's list is. */
+/** The role of a live or leaving process in the platform's list. */
 export type InstanceRole = 'entry' | 'model-engine' | 'plain-service' | 'cache-store';
 
-/** One line of the platform's lagging instance list. Addresses are `IP:port`. */
+/** One entry of the platform's instance list, which lags. Addresses are `IP:port`. */
 export type ListedInstance = {
 	name: string;
 	role: InstanceRole;
 	dataCentre: string;
-	/** The declared service that an endpoint stands behind; empty for entries and stores. */
+	/** The declared service to which an endpoint belongs; empty for entries and stores. */
 	service: string;
-	/** Where callers' traffic, or the endpoint's requests, go. */
+	/** The address for callers' requests, or for requests to the endpoint. */
 	address: string;
-	/** Where peers connect; empty for endpoints. */
+	/** The address for peers' connections; empty for endpoints. */
 	peerAddress: string;
 	state: 'live' | 'leaving';
 };
