--- a/src/protocol/cache/piece-seal.ts
+++ b/src/protocol/cache/piece-seal.ts
@@ -1,7 +1,7 @@
 /**
  * Seals of saved cache blocks. A block can be read only with the seal of its length and digest, which a hint carries next to
- * the block's key and generation. The weight version is part of the key (`blockKeysOf`), so blocks of other weights are not
- * found.
+ * the block's key and generation. The weight version is part of the key (`promptBlockKeysOf`), so blocks of other weights are
+ * not found.
  */
 import {type Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
--- a/src/protocol/parts/store-ledger.ts
+++ b/src/protocol/parts/store-ledger.ts
@@ -20,8 +20,8 @@
 const highShare = 0.94;
 /**
  * Blocks are withdrawn until no more than this share is in use. The rest is for blocks that are being written, which events do
- * not report. A block that finds no room is only not saved, and a later request tries again. Unused room, where the blocks in use fill the
- * stores, costs repeated prefills.
+ * not report. A block that finds no room is only not saved, and a later request tries again. Unused room, where the blocks in
+ * use fill the stores, costs repeated prefills.
  */
 const lowShare = 0.88;
 /** Engines and stores allocate memory in units of this many tokens. */
