--- a/src/ports/cache-store.ts
+++ b/src/ports/cache-store.ts
@@ -30,7 +30,7 @@
 		| {kind: 'absent'}
 		| {kind: 'damaged'; detail: string};
 
-/** A cache store as savorygauge uses it. */
+/** The cache store's interface. */
 export interface CacheStore {
 	write(address: string, piece: PieceName, content: Buffer): Promise<Either<CacheStoreFailure, void>>;
 	seal(address: string, piece: PieceName, seal: PieceSeal): Promise<Either<CacheStoreFailure, void>>;
--- a/src/protocol/claim/claim-machine.ts
+++ b/src/protocol/claim/claim-machine.ts
@@ -1,6 +1,6 @@
 /**
- * The state machine of one non-idempotent call. The caller of the machine carries out one step at a time and reports its
- * result; the machine itself uses no clock, socket or random numbers.
+ * The state machine of one non-idempotent call. Its runner carries out one step at a time and reports the result; the machine
+ * itself uses no clock, socket or random numbers.
  *
  * A call goes through three writes: `claimed` (no other instance sends until the lease expires), `sending` (no other attempt
  * may ever send after this) and `recorded`. All of them are conditional on the revision of the claim's row, so a write by a
--- a/src/protocol/configuration/apply-change.ts
+++ b/src/protocol/configuration/apply-change.ts
@@ -38,11 +38,11 @@
 }
 
 /**
- * Applies edits that have no version.
+ * Applies edits and leaves the version and the digest as they are.
  *
  * @param state - The configuration; it is not changed.
  * @param edits - The edits, in order.
- * @returns The configuration with the edits; its version and digest are the old ones.
+ * @returns The configuration with the edits.
  */
 export function applyEdits(state: ConfigurationState, edits: readonly ConfigurationEdit[]): ConfigurationState {
 	const copies = {
--- a/src/protocol/duty/duty-lease.ts
+++ b/src/protocol/duty/duty-lease.ts
@@ -1,5 +1,5 @@
 /**
- * Leader leases: a lease lets one instance at a time lead, and is one row in the store.
+ * The leader lease: a row in the store that lets one instance at a time lead.
  *
  * Invariant: orders of two holders are at least a lease apart, even if processes are killed or suspended, the network is
  * partitioned, or the time of day jumps. The row holds the time of the grant by the store's steady clock, as it was at a read
