--- a/model/claim.pml
+++ b/model/claim.pml
@@ -1,10 +1,12 @@
 /*
- * The claim of a call that may never run twice; src/protocol/claim/claim-machine.ts carries it.
+ * The claim of a non-idempotent call; implemented in src/protocol/claim/claim-machine.ts.
  *
- * Three callers use one key. A holder may stand still at any point, for longer than its lease (the lease may lapse at any
- * time), or die. The answer of any write may be lost, with the write applied or not.
+ * Three callers use one key. A holder may be suspended at any point for longer than its lease (the lease may expire at any
+ * time), or fail. The answer to any write may be lost, whether the write was applied or not.
  *
- * BROKEN: the confirm is not conditional on the claim's revision.
+ * Invariants: the call runs at most once, and a caller that gets `not_run` has not run it.
+ *
+ * BROKEN: the confirming write is not conditional on the claim's revision.
  */
 #define CALLERS 3
 
@@ -15,7 +17,7 @@
 byte holder = 0;
 byte revision = 0;
 bool lapsed = false;
-byte lapses = 0; /* bounded: two holders could take over from each other for ever */
+byte lapses = 0; /* limited, since two holders could take over from each other endlessly */
 byte runs = 0;
 bool ran[CALLERS];
 mtype word[CALLERS] = none;
@@ -50,7 +52,7 @@
 		if
 		:: revision == seen -> stage = end; revision++
 		:: else
-		:: skip /* the write is lost for good */
+		:: skip /* the write is lost and not applied */
 		fi
 	}
 }
@@ -70,9 +72,9 @@
 	fi;
 	claim(seen);
 	if
-	:: true -> skip             /* the answer came, or was read back */
-	:: word[_pid] = not_run; goto done /* it is lost and cannot be read back: never confirmed */
-	:: goto done                 /* the holder dies */
+	:: true -> skip             /* the answer arrives, or the row is read */
+	:: word[_pid] = not_run; goto done /* the answer is lost and the row cannot be read: not confirmed */
+	:: goto done                 /* the holder fails */
 	fi;
 	if
 	:: !won -> goto look
@@ -81,7 +83,7 @@
 	confirm(seen);
 	if
 	:: true -> skip
-	:: word[_pid] = not_run; goto done /* lost and not read back: never sent */
+	:: word[_pid] = not_run; goto done /* the answer is lost and the row cannot be read: not sent */
 	:: goto done
 	fi;
 	if
@@ -89,14 +91,14 @@
 	:: else -> seen = seen + 1
 	fi;
 	if /* SEND */
-	:: goto done                 /* dies before the first byte */
+	:: goto done                 /* fails before the first byte */
 	:: true -> close(seen, abandoned); word[_pid] = not_run; goto done
 	:: atomic { runs++; ran[_pid] = true }
 	fi;
 	if
 	:: true -> close(seen, recorded); word[_pid] = answered
 	:: true -> close(seen, unknown_); word[_pid] = unknown_word
-	:: goto done                 /* dies behind the first byte */
+	:: goto done                 /* fails after the first byte */
 	fi;
 done:
 	skip
--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -1,12 +1,12 @@
 /*
- * Configuration: accept, spread, restart, never back; src/protocol/configuration and src/entry/configuration-holder.ts
- * carry it.
+ * Configuration changes: acceptance, distribution and restarts; implemented in src/protocol/configuration and
+ * src/entry/configuration-holder.ts.
  *
- * Two operators race on the head. Two instances follow the table and each other, are cut off, and are restarted, which
- * makes them forget all. What an instance serves by never falls behind what it served before, as long as the platform or
- * a peer within reach knows it.
+ * Two operators compete for the head. Two instances follow the table and each other, are partitioned from the platform, and
+ * are restarted, which loses their state. Invariant: an instance does not serve with an older version than before, as long as
+ * the platform, or a peer that it can reach, has the newer one.
  *
- * BROKEN: a restarted instance serves by the first version it hears of, before it has caught up.
+ * BROKEN: a restarted instance serves with the first version that it receives, before it has caught up.
  */
 #define MOST 3
 
@@ -15,7 +15,7 @@
 byte served[2];
 bool open_gate[2];
 bool platform_cut[2];
-byte accepted_by[4]; /* by version; 0 stands for none */
+byte accepted_by[4]; /* by version; 0 means none */
 
 /* ACCEPT: conditional on the revision of the head */
 active [2] proctype Operator() {
@@ -29,13 +29,13 @@
 	   atomic {
 		if
 		:: head == planned -> assert(accepted_by[head + 1] == 0); head++; accepted_by[head] = _pid + 1
-		:: else -> skip /* overtaken: the operator is told */
+		:: else -> skip /* overtaken: the operator gets an error */
 		fi
 	   }
 	od
 }
 
-/* OFFER: only the version that follows */
+/* OFFER: only the next version is applied */
 inline offer(version) {
 	if
 	:: version == held[me] + 1 -> held[me] = version
@@ -61,13 +61,13 @@
 		open_gate[me] = true;
 #else
 		if
-		:: held[me] == head -> open_gate[me] = true /* START GATE: the end of the table */
+		:: held[me] == head -> open_gate[me] = true /* START GATE: the table was read to its end */
 		:: else
 		fi;
 #endif
 		serve() }
 	:: atomic { held[1 - me] > held[me] -> offer(held[me] + 1); serve() }
-	   /* START GATE: the table out of reach; peers have brought what they have */
+	   /* START GATE: the table cannot be reached, and peers have sent their newest version */
 	:: atomic { platform_cut[me] && held[me] > 0 && held[me] >= held[1 - me] -> open_gate[me] = true; serve() }
 	:: atomic { restarts < 1 -> restarts++; held[me] = 0; open_gate[me] = false } /* RESTART */
 	:: atomic { platform_cut[me] = !platform_cut[me] }
--- a/model/duty-lease.pml
+++ b/model/duty-lease.pml
@@ -1,15 +1,15 @@
 /*
- * The lease on a duty, judged by the store's clock; src/protocol/duty carries it.
+ * The leader lease, granted by the store's clock; implemented in src/protocol/lease.
  *
- * Two instances read and write one row and give orders under it. Reads and writes take any time, answers of writes get lost,
- * holders stand still anywhere. A holder's own clocks may run ahead of the store's, never behind it: it goes by the longer
- * of two, of which at most one stands still. An order arrives within MARGIN of the look at the lease before it.
+ * Two instances read and write one row and give orders under it. Reads and writes take any time, answers to writes may be
+ * lost, and holders may be suspended at any point. A holder's time may run faster than the store's, but not slower: it is the
+ * longer of two clocks, of which at most one stops. An order arrives within MARGIN of the check of the lease before it.
  *
- * Orders of two holders are LEASE apart at least, and their numbers rise.
+ * Invariants: orders of two holders are at least LEASE apart, and their numbers increase.
  *
- * BROKEN: a holder counts its grant from the answer of the read, not from its sending.
- * BROKEN_LEASE: another instance takes the row as soon as the last grant is over, without waiting for a whole lease.
- * BROKEN_WRITE: the row is written without the condition that it is still the one that was read.
+ * BROKEN: a holder counts its grant from the answer to the read, not from the sending of the read.
+ * BROKEN_LEASE: another instance acquires the row as soon as the last grant is over, without waiting for a whole lease.
+ * BROKEN_WRITE: the row is written without the condition that it is unchanged since the read.
  */
 #define HOLDERS 2
 #define ACTING 2
@@ -28,13 +28,13 @@
 byte row_holder = NOBODY;
 byte row_number = 0;
 byte row_granted = 0;
-bool unchanged[HOLDERS + 1]; /* the row is still the one that this instance read */
+bool unchanged[HOLDERS + 1]; /* the row is unchanged since this instance read it */
 
 byte order_holder = NOBODY;
 byte order_at = 0;
 byte order_number = 0;
 
-/* Until when an order that was decided on has to arrive; END + 1 for none. */
+/* The time by which a decided order must arrive; END + 1 for none. */
 byte due[HOLDERS + 1] = END + 1;
 
 active proctype Clock() {
@@ -53,7 +53,7 @@
 	do
 	:: now >= END -> goto done
 	:: else ->
-		/* READ: sent at `asked`, looked at by the store at `read_at`, answered at any time behind it */
+		/* READ: sent at `asked`, served by the store at `read_at`, answered at any later time */
 		asked = now;
 		d_step {
 			read_at = now; seen_holder = row_holder; seen_number = row_number; seen_granted = row_granted; unchanged[me] = true
@@ -76,7 +76,7 @@
 		:: !may_take -> goto again
 		:: else
 		fi;
-		/* WRITE, on the condition that the row is still the one that was read */
+		/* WRITE, on the condition that the row is unchanged since the read */
 		d_step {
 #ifdef BROKEN_WRITE
 			is_written = true;
@@ -92,9 +92,9 @@
 		if
 		:: !is_written -> goto again
 		:: is_written /* the answer arrives */
-		:: is_written -> goto again /* the answer is lost: the write is not relied on */
+		:: is_written -> goto again /* the answer is lost: the lease is not used */
 		fi;
-		/* ORDER, as long as the grant lasts */
+		/* ORDER, while the grant is valid */
 		do
 		:: atomic { now < END && now - since < ACTING -> due[me] = now + MARGIN };
 			atomic {
--- a/model/fenced-order.pml
+++ b/model/fenced-order.pml
@@ -1,21 +1,22 @@
 /*
- * Orders to endpoints; src/protocol/order carries it.
+ * Orders to endpoints; implemented in src/protocol/order.
  *
- * Three instances hold the right to order one after the other; each gets a number through the table. One endpoint
- * refuses old numbers, one ignores them. A holder may stand still between its look at the table and its order.
+ * Three instances become holder one after another; each gets a fencing number through the table. One endpoint refuses older
+ * numbers, one ignores them. A holder may be suspended between reading the table and sending its order. Invariant: each
+ * number has one holder, and no endpoint follows the order of an older holder after that of a newer one.
  *
- * BROKEN: the number is read and written back without a condition, so that two holders share one.
- * BROKEN_WAIT: orders that are harmful when late go to the endpoint that ignores numbers without waiting until the
+ * BROKEN: the number is read and written without a condition, so that two holders may get the same one.
+ * BROKEN_WAIT: orders that are harmful when late are sent to the endpoint that ignores numbers without waiting until the
  * older holders' longest pause is over.
  */
 #define HOLDERS 3
 
 byte number = 0;
-byte owner[HOLDERS + 1];  /* holder + 1 by number */
-byte checking_seen = 0;   /* highest number that the checking endpoint has seen */
+byte owner[HOLDERS + 1];  /* the holder of each number, plus 1 */
+byte checking_seen = 0;   /* the highest number that the checking endpoint has seen */
 byte checking_state = 0;
 byte ignoring_state = 0;
-byte under_way[HOLDERS + 1]; /* a holder with this number may still send */
+byte under_way[HOLDERS + 1]; /* a holder with this number may still send an order */
 
 active [HOLDERS] proctype Holder() {
 	byte mine;
@@ -35,13 +36,13 @@
 		:: else /* stale */
 		fi
 	}
-	/* ORDER to the endpoint that ignores numbers: look, wait, send */
+	/* ORDER to the endpoint that ignores numbers: read, wait, send */
 	if
-	:: number != mine -> goto done /* a younger holder is there */
+	:: number != mine -> goto done /* there is a newer holder */
 	:: else
 	fi;
 #ifndef BROKEN_WAIT
-	/* WAIT: as long as an older holder may still be between its look and its order */
+	/* WAIT: while an older holder may be between its read and its order */
 	older = 1;
 	do
 	:: older < mine -> under_way[older] == 0; older++
--- a/model/stream.pml
+++ b/model/stream.pml
@@ -1,10 +1,11 @@
 /*
- * One answer out of several attempts; src/protocol/stream/stream-relay.ts carries it.
+ * One answer from several attempts; implemented in src/protocol/stream/stream-relay.ts.
  *
- * Two attempts deliver the tokens 0 to 3. The first may fall silent at any point and wake up late; the second goes on at
- * the token that was due when it began. What is passed on is 0, 1, 2, 3 in order, and is called whole only then.
+ * Two attempts deliver the tokens 0 to 3. The first may stop at any point and resume late; the second continues at the token
+ * that was next when it started. Invariant: the tokens passed on are 0, 1, 2, 3 in order, and the answer counts as complete
+ * only after all of them.
  *
- * BROKEN: events of an older attempt are not dropped, and a token's place is not compared.
+ * BROKEN: events of an older attempt are not dropped, and a token's index is not checked.
  */
 #define TOKENS 4
 
@@ -28,16 +29,16 @@
 	byte index = from;
 	do
 	:: index < TOKENS -> relay(mine, index); index++
-	:: index < TOKENS -> index++ /* the endpoint leaves one out */
+	:: index < TOKENS -> index++ /* the endpoint skips a token */
 	:: index == TOKENS ->
 	   atomic {
 		if
-		:: mine == attempt && passed == TOKENS -> whole = true /* WHOLE: end mark and count agree */
+		:: mine == attempt && passed == TOKENS -> whole = true /* WHOLE: the final event's count agrees */
 		:: else
 		fi
 	   }
 	   break
-	:: break /* the endpoint dies */
+	:: break /* the endpoint fails */
 	od;
 done:
 	assert(!whole || passed == TOKENS)
