--- a/model/cache-block.pml
+++ b/model/cache-block.pml
@@ -9,27 +9,27 @@
  */
 #define GENERATIONS 4
 
-byte generation = 0;             /* the generation that the place holds now; 0 if freed */
-byte issued = 0;                 /* the last generation issued; generations are unique */
-byte half[2];                    /* the generation that wrote each half */
-byte sealed = 0;                 /* the generation that is sealed */
-byte built[GENERATIONS + 1];     /* the weight version of each generation */
+byte generation = 0;              /* the generation that the place holds now; 0 if freed */
+byte last_issued = 0;             /* the last generation issued; generations are unique */
+byte halves[2];                   /* the generation that wrote each half */
+byte sealed = 0;                  /* the generation that is sealed */
+byte weights_of[GENERATIONS + 1]; /* the weight version of each generation */
 byte hint = 0;
 byte hint_weights = 0;
 byte weights = 1;
 
 active [2] proctype Writer() {
-	byte mine;
-	byte mine_built;
+	byte own;
+	byte own_weights;
 	byte rounds = 0;
 	do
 	:: rounds < 2 ->
 	   rounds++;
-	   atomic { issued++; mine = issued; mine_built = weights; built[mine] = mine_built; generation = mine; sealed = 0 } /* WRITE */
-	   if :: atomic { generation == mine -> half[0] = mine } :: generation != mine fi;
-	   if :: atomic { generation == mine -> half[1] = mine } :: generation != mine :: skip /* the writer fails */ fi;
+	   atomic { last_issued++; own = last_issued; own_weights = weights; weights_of[own] = own_weights; generation = own; sealed = 0 } /* WRITE */
+	   if :: atomic { generation == own -> halves[0] = own } :: generation != own fi;
+	   if :: atomic { generation == own -> halves[1] = own } :: generation != own :: skip /* the writer fails */ fi;
 	   if
-	   :: atomic { generation == mine && half[0] == mine && half[1] == mine -> sealed = mine; hint = mine; hint_weights = mine_built } /* SEAL */
+	   :: atomic { generation == own && halves[0] == own && halves[1] == own -> sealed = own; hint = own; hint_weights = own_weights } /* SEAL */
 	   :: else
 	   fi
 	:: rounds == 2 -> break
@@ -39,7 +39,7 @@
 active proctype Eviction() {
 	byte freed = 0;
 	do
-	:: freed < 2 -> atomic { freed++; generation = 0; sealed = 0; half[0] = 0; half[1] = 0 } /* FREE */
+	:: freed < 2 -> atomic { freed++; generation = 0; sealed = 0; halves[0] = 0; halves[1] = 0 } /* FREE */
 	:: freed == 2 -> break
 	od
 }
@@ -49,31 +49,31 @@
 }
 
 active proctype Reader() {
-	byte wanted;
-	byte wanted_weights;
-	byte first;
-	byte second;
+	byte hinted;
+	byte reader_weights;
+	byte first_half;
+	byte second_half;
 	byte rounds = 0;
 	do
 	:: rounds < 2 ->
 	   rounds++;
 	   /* the key contains the weight version: hints of another version are not found */
-	   atomic { wanted = hint; wanted_weights = weights }
+	   atomic { hinted = hint; reader_weights = weights }
 	   if
-	   :: wanted == 0 || hint_weights != wanted_weights -> skip /* miss */
+	   :: hinted == 0 || hint_weights != reader_weights -> skip /* miss */
 	   :: else ->
 	      if
-	      :: sealed != wanted -> skip /* READ: check before */
+	      :: sealed != hinted -> skip /* READ: check before */
 	      :: else ->
-	         first = half[0];
-	         second = half[1];
+	         first_half = halves[0];
+	         second_half = halves[1];
 	         if
 #ifndef BROKEN
-	         :: sealed != wanted -> skip /* READ: check after */
+	         :: sealed != hinted -> skip /* READ: check after */
 #endif
 	         :: else ->
-	            assert(first == wanted && second == wanted);
-	            assert(built[wanted] == wanted_weights)
+	            assert(first_half == hinted && second_half == hinted);
+	            assert(weights_of[hinted] == reader_weights)
 	         fi
 	      fi
 	   fi
--- a/model/claim.pml
+++ b/model/claim.pml
@@ -11,46 +11,46 @@
 #define CALLERS 3
 
 mtype = {absent, claimed, sending, recorded, abandoned, unknown_};
-mtype = {none, answered, not_run, unknown_word};
+mtype = {none, answered, not_run, outcome_unknown};
 
 mtype stage = absent;
 byte holder = 0;
 byte revision = 0;
-bool lapsed = false;
-byte lapses = 0; /* limited, since two holders could take over from each other endlessly */
+bool is_expired = false;
+byte expiries = 0; /* limited, since two holders could take over from each other endlessly */
 byte runs = 0;
 bool ran[CALLERS];
-mtype word[CALLERS] = none;
+mtype outcome[CALLERS] = none;
 
 /* CLAIM */
-inline claim(seen) {
+inline claim(seen_revision) {
 	atomic {
 		if
-		:: revision == seen -> stage = claimed; holder = _pid; revision++; lapsed = false; won = true
-		:: else -> won = false
+		:: revision == seen_revision -> stage = claimed; holder = _pid; revision++; is_expired = false; is_applied = true
+		:: else -> is_applied = false
 		fi
 	}
 }
 
 /* CONFIRM */
-inline confirm(seen) {
+inline confirm(seen_revision) {
 	atomic {
 #ifdef BROKEN
-		stage = sending; holder = _pid; revision++; won = true
+		stage = sending; holder = _pid; revision++; is_applied = true
 #else
 		if
-		:: revision == seen -> stage = sending; revision++; won = true
-		:: else -> won = false
+		:: revision == seen_revision -> stage = sending; revision++; is_applied = true
+		:: else -> is_applied = false
 		fi
 #endif
 	}
 }
 
 /* CLOSE: record, abandon or unknown */
-inline close(seen, end) {
+inline close(seen_revision, final_stage) {
 	atomic {
 		if
-		:: revision == seen -> stage = end; revision++
+		:: revision == seen_revision -> stage = final_stage; revision++
 		:: else
 		:: skip /* the write is lost and not applied */
 		fi
@@ -58,46 +58,46 @@
 }
 
 active [CALLERS] proctype Caller() {
-	byte seen;
-	bool won;
-	mtype found;
+	byte seen_revision;
+	bool is_applied;
+	mtype found_stage;
 
-look:
-	atomic { seen = revision; found = stage }
+read_row:
+	atomic { seen_revision = revision; found_stage = stage }
 	if
-	:: found == recorded -> word[_pid] = answered; goto done
-	:: found == unknown_ || found == sending -> word[_pid] = unknown_word; goto done
-	:: found == claimed && !lapsed -> word[_pid] = unknown_word; goto done /* in progress */
-	:: found == absent || found == abandoned || (found == claimed && lapsed) -> skip
+	:: found_stage == recorded -> outcome[_pid] = answered; goto done
+	:: found_stage == unknown_ || found_stage == sending -> outcome[_pid] = outcome_unknown; goto done
+	:: found_stage == claimed && !is_expired -> outcome[_pid] = outcome_unknown; goto done /* in progress */
+	:: found_stage == absent || found_stage == abandoned || (found_stage == claimed && is_expired) -> skip
 	fi;
-	claim(seen);
+	claim(seen_revision);
 	if
 	:: true -> skip             /* the answer arrives, or the row is read */
-	:: word[_pid] = not_run; goto done /* the answer is lost and the row cannot be read: not confirmed */
+	:: outcome[_pid] = not_run; goto done /* the answer is lost and the row cannot be read: not confirmed */
 	:: goto done                 /* the holder fails */
 	fi;
 	if
-	:: !won -> goto look
-	:: else -> seen = seen + 1
+	:: !is_applied -> goto read_row
+	:: else -> seen_revision = seen_revision + 1
 	fi;
-	confirm(seen);
+	confirm(seen_revision);
 	if
 	:: true -> skip
-	:: word[_pid] = not_run; goto done /* the answer is lost and the row cannot be read: not sent */
+	:: outcome[_pid] = not_run; goto done /* the answer is lost and the row cannot be read: not sent */
 	:: goto done
 	fi;
 	if
-	:: !won -> goto look
-	:: else -> seen = seen + 1
+	:: !is_applied -> goto read_row
+	:: else -> seen_revision = seen_revision + 1
 	fi;
 	if /* SEND */
 	:: goto done                 /* fails before the first byte */
-	:: true -> close(seen, abandoned); word[_pid] = not_run; goto done
+	:: true -> close(seen_revision, abandoned); outcome[_pid] = not_run; goto done
 	:: atomic { runs++; ran[_pid] = true }
 	fi;
 	if
-	:: true -> close(seen, recorded); word[_pid] = answered
-	:: true -> close(seen, unknown_); word[_pid] = unknown_word
+	:: true -> close(seen_revision, recorded); outcome[_pid] = answered
+	:: true -> close(seen_revision, unknown_); outcome[_pid] = outcome_unknown
 	:: goto done                 /* fails after the first byte */
 	fi;
 done:
@@ -107,11 +107,11 @@
 active proctype Lease() {
 end:
 	do
-	:: atomic { lapses < 3 && stage == claimed && !lapsed -> lapsed = true; lapses++ }
+	:: atomic { expiries < 3 && stage == claimed && !is_expired -> is_expired = true; expiries++ }
 	od
 }
 
 active proctype Monitor() {
 	assert(runs <= 1);
-	assert(!(word[0] == not_run && ran[0]) && !(word[1] == not_run && ran[1]) && !(word[2] == not_run && ran[2]))
+	assert(!(outcome[0] == not_run && ran[0]) && !(outcome[1] == not_run && ran[1]) && !(outcome[2] == not_run && ran[2]))
 }
--- a/model/configuration.pml
+++ b/model/configuration.pml
@@ -8,27 +8,27 @@
  *
  * BROKEN: a restarted instance serves with the first version that it receives, before it has caught up.
  */
-#define MOST 3
+#define MAX_VERSION 3
 
 byte head = 0;
 byte held[2];
 byte served[2];
-bool open_gate[2];
-bool platform_cut[2];
+bool is_open[2];
+bool is_partitioned[2];
 byte accepted_by[4]; /* by version; 0 means none */
 
 /* ACCEPT: conditional on the revision of the head */
 active [2] proctype Operator() {
-	byte planned;
+	byte planned_against;
 	do
-	:: planned = head;
+	:: planned_against = head;
 	   if
-	   :: planned >= MOST -> break
+	   :: planned_against >= MAX_VERSION -> break
 	   :: else
 	   fi;
 	   atomic {
 		if
-		:: head == planned -> assert(accepted_by[head + 1] == 0); head++; accepted_by[head] = _pid + 1
+		:: head == planned_against -> assert(accepted_by[head + 1] == 0); head++; accepted_by[head] = _pid + 1
 		:: else -> skip /* overtaken: the operator gets an error */
 		fi
 	   }
@@ -45,8 +45,8 @@
 
 inline serve() {
 	if
-	:: open_gate[me] && held[me] > 0 ->
-	   assert(held[me] >= served[me] || (platform_cut[me] && held[1 - me] < served[me]));
+	:: is_open[me] && held[me] > 0 ->
+	   assert(held[me] >= served[me] || (is_partitioned[me] && held[1 - me] < served[me]));
 	   served[me] = held[me]
 	:: else
 	fi
@@ -56,22 +56,22 @@
 	byte restarts = 0;
 	byte next;
 	do
-	:: atomic { !platform_cut[me] -> next = (held[me] < head -> held[me] + 1 : 0); offer(next);
+	:: atomic { !is_partitioned[me] -> next = (held[me] < head -> held[me] + 1 : 0); offer(next);
 #ifdef BROKEN
-		open_gate[me] = true;
+		is_open[me] = true;
 #else
 		if
-		:: held[me] == head -> open_gate[me] = true /* START GATE: the table was read to its end */
+		:: held[me] == head -> is_open[me] = true /* START GATE: the table was read to its end */
 		:: else
 		fi;
 #endif
 		serve() }
 	:: atomic { held[1 - me] > held[me] -> offer(held[me] + 1); serve() }
 	   /* START GATE: the table cannot be reached, and peers have sent their newest version */
-	:: atomic { platform_cut[me] && held[me] > 0 && held[me] >= held[1 - me] -> open_gate[me] = true; serve() }
-	:: atomic { restarts < 1 -> restarts++; held[me] = 0; open_gate[me] = false } /* RESTART */
-	:: atomic { platform_cut[me] = !platform_cut[me] }
-	:: atomic { restarts == 1 && held[me] == MOST && open_gate[me] -> break }
+	:: atomic { is_partitioned[me] && held[me] > 0 && held[me] >= held[1 - me] -> is_open[me] = true; serve() }
+	:: atomic { restarts < 1 -> restarts++; held[me] = 0; is_open[me] = false } /* RESTART */
+	:: atomic { is_partitioned[me] = !is_partitioned[me] }
+	:: atomic { restarts == 1 && held[me] == MAX_VERSION && is_open[me] -> break }
 	od
 }
 
--- a/model/duty-lease.pml
+++ b/model/duty-lease.pml
@@ -12,16 +12,16 @@
  * BROKEN_WRITE: the row is written without the condition that it is unchanged since the read.
  */
 #define HOLDERS 2
-#define ACTING 2
+#define GRANT 2
 #define LEASE 2
 #define MARGIN 1
 #define END 8
 #define NOBODY 0
 
 #ifdef BROKEN_LEASE
-#define FREE_AFTER (ACTING + MARGIN)
+#define FREE_AFTER (GRANT + MARGIN)
 #else
-#define FREE_AFTER (ACTING + LEASE + MARGIN)
+#define FREE_AFTER (GRANT + LEASE + MARGIN)
 #endif
 
 byte now = 0;
@@ -46,34 +46,34 @@
 
 active [HOLDERS] proctype Holder() {
 	byte me = _pid; /* the clock is process 0 */
-	byte asked, since, read_at, seen_holder, seen_number, seen_granted, number;
-	bool may_take, is_written;
-again:
-	since = 0; number = 0; is_written = false; may_take = false;
+	byte sent_at, since, read_at, seen_holder, seen_number, seen_granted, number;
+	bool may_acquire, is_written;
+retry:
+	since = 0; number = 0; is_written = false; may_acquire = false;
 	do
 	:: now >= END -> goto done
 	:: else ->
-		/* READ: sent at `asked`, served by the store at `read_at`, answered at any later time */
-		asked = now;
+		/* READ: sent at `sent_at`, served by the store at `read_at`, answered at any later time */
+		sent_at = now;
 		d_step {
 			read_at = now; seen_holder = row_holder; seen_number = row_number; seen_granted = row_granted; unchanged[me] = true
 		};
 #ifdef BROKEN
 		since = now;
 #else
-		since = asked;
+		since = sent_at;
 #endif
 		/* DECIDE */
 		d_step {
-			may_take = (seen_holder == NOBODY || seen_holder == me || read_at >= seen_granted + FREE_AFTER);
+			may_acquire = (seen_holder == NOBODY || seen_holder == me || read_at >= seen_granted + FREE_AFTER);
 			if
 			:: seen_holder == me -> number = seen_number
 			:: else -> number = seen_number + 1
 			fi;
-			asked = 0; seen_holder = 0; seen_number = 0; seen_granted = 0
+			sent_at = 0; seen_holder = 0; seen_number = 0; seen_granted = 0
 		};
 		if
-		:: !may_take -> goto again
+		:: !may_acquire -> goto retry
 		:: else
 		fi;
 		/* WRITE, on the condition that the row is unchanged since the read */
@@ -90,13 +90,13 @@
 			read_at = 0
 		};
 		if
-		:: !is_written -> goto again
+		:: !is_written -> goto retry
 		:: is_written /* the answer arrives */
-		:: is_written -> goto again /* the answer is lost: the lease is not used */
+		:: is_written -> goto retry /* the answer is lost: the lease is not used */
 		fi;
 		/* ORDER, while the grant is valid */
 		do
-		:: atomic { now < END && now - since < ACTING -> due[me] = now + MARGIN };
+		:: atomic { now < END && now - since < GRANT -> due[me] = now + MARGIN };
 			atomic {
 				assert(order_holder == NOBODY || order_holder == me || now >= order_at + LEASE);
 				assert(order_holder == NOBODY || order_holder == me || number > order_number);
@@ -106,7 +106,7 @@
 			}
 		:: break
 		od;
-		since = 0; number = 0; is_written = false; may_take = false
+		since = 0; number = 0; is_written = false; may_acquire = false
 	od;
 done:
 	skip
--- a/model/fenced-order.pml
+++ b/model/fenced-order.pml
@@ -16,40 +16,40 @@
 byte checking_seen = 0;   /* the highest number that the checking endpoint has seen */
 byte checking_state = 0;
 byte ignoring_state = 0;
-byte under_way[HOLDERS + 1]; /* a holder with this number may still send an order */
+byte in_flight[HOLDERS + 1]; /* a holder with this number may still send an order */
 
 active [HOLDERS] proctype Holder() {
-	byte mine;
+	byte own;
 	byte older;
 	/* ALLOCATE */
 #ifdef BROKEN
-	mine = number + 1;
-	number = mine;
+	own = number + 1;
+	number = own;
 #else
-	atomic { number++; mine = number };
+	atomic { number++; own = number };
 #endif
-	atomic { assert(owner[mine] == 0); owner[mine] = _pid + 1; under_way[mine] = 1 }
+	atomic { assert(owner[own] == 0); owner[own] = _pid + 1; in_flight[own] = 1 }
 	/* ORDER to the endpoint that checks */
 	atomic {
 		if
-		:: mine >= checking_seen -> assert(mine >= checking_state); checking_seen = mine; checking_state = mine
+		:: own >= checking_seen -> assert(own >= checking_state); checking_seen = own; checking_state = own
 		:: else /* stale */
 		fi
 	}
 	/* ORDER to the endpoint that ignores numbers: read, wait, send */
 	if
-	:: number != mine -> goto done /* there is a newer holder */
+	:: number != own -> goto done /* there is a newer holder */
 	:: else
 	fi;
 #ifndef BROKEN_WAIT
 	/* WAIT: while an older holder may be between its read and its order */
 	older = 1;
 	do
-	:: older < mine -> under_way[older] == 0; older++
+	:: older < own -> in_flight[older] == 0; older++
 	:: else -> break
 	od;
 #endif
-	atomic { assert(mine > ignoring_state); ignoring_state = mine }
+	atomic { assert(own > ignoring_state); ignoring_state = own }
 done:
-	under_way[mine] = 0
+	in_flight[own] = 0
 }
--- a/model/stream.pml
+++ b/model/stream.pml
@@ -10,30 +10,30 @@
 #define TOKENS 4
 
 byte attempt = 0;
-byte passed = 0;
-bool whole = false;
+byte passed_on = 0;
+bool is_complete = false;
 
-inline relay(mine, index) {
+inline relay(own, index) {
 	atomic {
 		if
 #ifndef BROKEN
-		:: mine != attempt || whole -> skip  /* DROP */
-		:: mine == attempt && !whole && index != passed -> goto done /* RESTART */
+		:: own != attempt || is_complete -> skip  /* DROP */
+		:: own == attempt && !is_complete && index != passed_on -> goto done /* RESTART */
 #endif
-		:: else -> assert(index == passed); passed++ /* PASS ON */
+		:: else -> assert(index == passed_on); passed_on++ /* PASS ON */
 		fi
 	}
 }
 
-proctype Attempt(byte mine; byte from) {
-	byte index = from;
+proctype Attempt(byte own; byte first_index) {
+	byte index = first_index;
 	do
-	:: index < TOKENS -> relay(mine, index); index++
+	:: index < TOKENS -> relay(own, index); index++
 	:: index < TOKENS -> index++ /* the endpoint skips a token */
 	:: index == TOKENS ->
 	   atomic {
 		if
-		:: mine == attempt && passed == TOKENS -> whole = true /* WHOLE: the final event's count agrees */
+		:: own == attempt && passed_on == TOKENS -> is_complete = true /* WHOLE: the final event's count agrees */
 		:: else
 		fi
 	   }
@@ -41,10 +41,10 @@
 	:: break /* the endpoint fails */
 	od;
 done:
-	assert(!whole || passed == TOKENS)
+	assert(!is_complete || passed_on == TOKENS)
 }
 
 init {
 	atomic { attempt = 1; run Attempt(1, 0) }
-	atomic { attempt = 2; run Attempt(2, passed) }
+	atomic { attempt = 2; run Attempt(2, passed_on) }
 }
