--- a/src/protocol/parts/cache-salt.ts
+++ b/src/protocol/parts/cache-salt.ts
@@ -10,7 +10,7 @@
 	return `${scope}-w${version}`;
 }
 
-/** Returns the weight version in a salt; `undefined` for a text that `cacheSalt` did not create. */
+/** Returns the weight version in a salt; `undefined` for a text without one. */
 export function versionOfSalt(salt: string): number | undefined {
 	const digits = /-w(?<digits>\d+)$/v.exec(salt)?.groups?.digits;
 	return digits === undefined ? undefined : Number(digits);
--- a/src/protocol/parts/store-ledger.ts
+++ b/src/protocol/parts/store-ledger.ts
@@ -137,7 +137,7 @@
 	/**
 	 * Withdraws the blocks that no engine can use any more, and the least recently used ones if the store is too full.
 	 *
-	 * @param now - Milliseconds on the clock of the other methods.
+	 * @param now - Milliseconds of the steady clock, as in all methods.
 	 * @param isExpired - Whether no engine can use the blocks of a salt, because none serves its weight version any more. New
 	 * weights fill the stores with new blocks within seconds, faster than eviction of a few percent at a time makes room.
 	 */
