--- a/model/duty-lease.pml
+++ b/model/duty-lease.pml
@@ -1,40 +1,40 @@
 /*
- * The lease on a duty, judged by the store's clock; src/protocol/duty carries it.
+ * The leader lease, granted by the store's clock; implemented in src/protocol/lease.
  *
- * Two instances read and write one row and give orders under it. Reads and writes take any time, answers of writes get lost,
- * holders stand still anywhere. A holder's own clocks may run ahead of the store's, never behind it: it goes by the longer
- * of two, of which at most one stands still. An order arrives within MARGIN of the look at the lease before it.
+ * Two instances read and write one row and give orders under it. Reads and writes take any time, answers to writes may be
+ * lost, and holders may be suspended at any point. A holder's time may run faster than the store's, but not slower: it is the
+ * longer of two clocks, of which at most one stops. An order arrives within MARGIN of the check of the lease before it.
  *
- * Orders of two holders are LEASE apart at least, and their numbers rise.
+ * Invariants: orders of two holders are at least LEASE apart, and their numbers increase.
  *
- * BROKEN: a holder counts its grant from the answer of the read, not from its sending.
- * BROKEN_LEASE: another instance takes the row as soon as the last grant is over, without waiting for a whole lease.
- * BROKEN_WRITE: the row is written without the condition that it is still the one that was read.
+ * BROKEN: a holder counts its grant from the answer to the read, not from the sending of the read.
+ * BROKEN_LEASE: another instance acquires the row as soon as the last grant is over, without waiting for a whole lease.
+ * BROKEN_WRITE: the row is written without the condition that it is unchanged since the read.
  */
 #define HOLDERS 2
-#define ACTING 2
+#define GRANT 2
 #define LEASE 2
 #define MARGIN 1
 #define END 8
 #define NOBODY 0
 
 #ifdef BROKEN_LEASE
-#define FREE_AFTER (ACTING + MARGIN)
+#define FREE_AFTER (GRANT + MARGIN)
 #else
-#define FREE_AFTER (ACTING + LEASE + MARGIN)
+#define FREE_AFTER (GRANT + LEASE + MARGIN)
 #endif
 
 byte now = 0;
 byte row_holder = NOBODY;
 byte row_number = 0;
 byte row_granted = 0;
-bool unchanged[HOLDERS + 1]; /* the row is still the one that this instance read */
+bool unchanged[HOLDERS + 1]; /* the row is unchanged since this instance read it */
 
 byte order_holder = NOBODY;
 byte order_at = 0;
 byte order_number = 0;
 
-/* Until when an order that was decided on has to arrive; END + 1 for none. */
+/* The time by which a decided order must arrive; END + 1 for none. */
 byte due[HOLDERS + 1] = END + 1;
 
 active proctype Clock() {
@@ -46,37 +46,37 @@
 
 active [HOLDERS] proctype Holder() {
 	byte me = _pid; /* the clock is process 0 */
-	byte asked, since, read_at, seen_holder, seen_number, seen_granted, number;
-	bool may_take, is_written;
-again:
-	since = 0; number = 0; is_written = false; may_take = false;
+	byte sent_at, since, read_at, seen_holder, seen_number, seen_granted, number;
+	bool may_acquire, is_written;
+retry:
+	since = 0; number = 0; is_written = false; may_acquire = false;
 	do
 	:: now >= END -> goto done
 	:: else ->
-		/* READ: sent at `asked`, looked at by the store at `read_at`, answered at any time behind it */
-		asked = now;
+		/* READ: sent at `sent_at`, served by the store at `read_at`, answered at any later time */
+		sent_at = now;
 		d_step {
 			read_at = now; seen_holder = row_holder; seen_number = row_number; seen_granted = row_granted; unchanged[me] = true
 		};
 #ifdef BROKEN
 		since = now;
 #else
-		since = asked;
+		since = sent_at;
 #endif
 		/* DECIDE */
 		d_step {
-			may_take = (seen_holder == NOBODY || seen_holder == me || read_at >= seen_granted + FREE_AFTER);
+			may_acquire = (seen_holder == NOBODY || seen_holder == me || read_at >= seen_granted + FREE_AFTER);
 			if
 			:: seen_holder == me -> number = seen_number
 			:: else -> number = seen_number + 1
 			fi;
-			asked = 0; seen_holder = 0; seen_number = 0; seen_granted = 0
+			sent_at = 0; seen_holder = 0; seen_number = 0; seen_granted = 0
 		};
 		if
-		:: !may_take -> goto again
+		:: !may_acquire -> goto retry
 		:: else
 		fi;
-		/* WRITE, on the condition that the row is still the one that was read */
+		/* WRITE, on the condition that the row is unchanged since the read */
 		d_step {
 #ifdef BROKEN_WRITE
 			is_written = true;
@@ -90,13 +90,13 @@
 			read_at = 0
 		};
 		if
-		:: !is_written -> goto again
+		:: !is_written -> goto retry
 		:: is_written /* the answer arrives */
-		:: is_written -> goto again /* the answer is lost: the write is not relied on */
+		:: is_written -> goto retry /* the answer is lost: the lease is not used */
 		fi;
-		/* ORDER, as long as the grant lasts */
+		/* ORDER, while the grant is valid */
 		do
-		:: atomic { now < END && now - since < ACTING -> due[me] = now + MARGIN };
+		:: atomic { now < END && now - since < GRANT -> due[me] = now + MARGIN };
 			atomic {
 				assert(order_holder == NOBODY || order_holder == me || now >= order_at + LEASE);
 				assert(order_holder == NOBODY || order_holder == me || number > order_number);
@@ -106,7 +106,7 @@
 			}
 		:: break
 		od;
-		since = 0; number = 0; is_written = false; may_take = false
+		since = 0; number = 0; is_written = false; may_acquire = false
 	od;
 done:
 	skip
--- a/model/stream.pml
+++ b/model/stream.pml
@@ -1,49 +1,50 @@
 /*
- * One answer out of several attempts; src/protocol/stream/stream-relay.ts carries it.
+ * One answer from several attempts; implemented in src/protocol/stream/stream-relay.ts.
  *
- * Two attempts deliver the tokens 0 to 3. The first may fall silent at any point and wake up late; the second goes on at
- * the token that was due when it began. What is passed on is 0, 1, 2, 3 in order, and is called whole only then.
+ * Two attempts deliver the tokens 0 to 3. The first may stop at any point and resume late; the second continues at the token
+ * that was next when it started. Invariant: the tokens passed on are 0, 1, 2, 3 in order, and the answer counts as complete
+ * only after all of them.
  *
- * BROKEN: events of an older attempt are not dropped, and a token's place is not compared.
+ * BROKEN: events of an older attempt are not dropped, and a token's index is not checked.
  */
 #define TOKENS 4
 
 byte attempt = 0;
-byte passed = 0;
-bool whole = false;
+byte passed_on = 0;
+bool is_complete = false;
 
-inline relay(mine, index) {
+inline relay(own, index) {
 	atomic {
 		if
 #ifndef BROKEN
-		:: mine != attempt || whole -> skip  /* DROP */
-		:: mine == attempt && !whole && index != passed -> goto done /* RESTART */
+		:: own != attempt || is_complete -> skip  /* DROP */
+		:: own == attempt && !is_complete && index != passed_on -> goto done /* RESTART */
 #endif
-		:: else -> assert(index == passed); passed++ /* PASS ON */
+		:: else -> assert(index == passed_on); passed_on++ /* PASS ON */
 		fi
 	}
 }
 
-proctype Attempt(byte mine; byte from) {
-	byte index = from;
+proctype Attempt(byte own; byte first_index) {
+	byte index = first_index;
 	do
-	:: index < TOKENS -> relay(mine, index); index++
-	:: index < TOKENS -> index++ /* the endpoint leaves one out */
+	:: index < TOKENS -> relay(own, index); index++
+	:: index < TOKENS -> index++ /* the endpoint skips a token */
 	:: index == TOKENS ->
 	   atomic {
 		if
-		:: mine == attempt && passed == TOKENS -> whole = true /* WHOLE: end mark and count agree */
+		:: own == attempt && passed_on == TOKENS -> is_complete = true /* WHOLE: the final event's count agrees */
 		:: else
 		fi
 	   }
 	   break
-	:: break /* the endpoint dies */
+	:: break /* the endpoint fails */
 	od;
 done:
-	assert(!whole || passed == TOKENS)
+	assert(!is_complete || passed_on == TOKENS)
 }
 
 init {
 	atomic { attempt = 1; run Attempt(1, 0) }
-	atomic { attempt = 2; run Attempt(2, passed) }
+	atomic { attempt = 2; run Attempt(2, passed_on) }
 }
