--- a/src/decision/placement/admit-prompt.test.ts
+++ b/src/decision/placement/admit-prompt.test.ts
@@ -12,11 +12,11 @@
 };
 const load = (changes: Partial<EndpointLoad>): EndpointLoad => ({...noLoad, requests: 5, ...changes});
 
-test('an engine with nothing left to read takes whatever comes', () => {
+test('an engine with nothing left to prefill accepts every prompt', () => {
 	assert.equal(admitsPrompt(overnight, load({heldTokens: 99_000}), engine), true);
 });
 
-test('work that can wait is refused when it would be late or push others out, urgent work is not', () => {
+test('overnight prompts are refused where they would be late or evict others, urgent prompts are not', () => {
 	const behind = load({unreadTokens: [0, 0, 40_000], heldTokens: 60_000});
 	assert.equal(admitsPrompt(overnight, behind, engine), false);
 	assert.equal(admitsPrompt(urgent, behind, engine), true);
@@ -25,6 +25,6 @@
 	assert.equal(admitsPrompt(urgent, full, engine), true);
 });
 
-test('urgent work is refused when more of its own kind is waiting than can be read in time', () => {
+test('urgent prompts are refused when more urgent tokens are waiting than can be prefilled in time', () => {
 	assert.equal(admitsPrompt(urgent, load({unreadTokens: [60_000, 0, 0]}), engine), false);
 });
--- a/src/decision/placement/admit-prompt.ts
+++ b/src/decision/placement/admit-prompt.ts
@@ -1,45 +1,46 @@
 /**
- * Whether a prompt still fits an engine.
+ * Decides whether an engine has room for a prompt.
  *
- * Load it answers: fewer engines than the prompts need, after crashes or in a burst. Without it every prompt is sent; the
- * engines' memory fills, running prompts are pushed out and read again, reading slows all tokens, and soon no prompt is
- * answered in time, the urgent ones included. Refused at once, the caller can come back when there is room.
+ * Without this check every prompt is sent, even when there are fewer engines than the load needs, after crashes or in a
+ * burst. The engines' memory then fills, running prompts are evicted and prefilled a second time, prefill slows every
+ * token, and soon no prompt meets its objective, urgent ones included. A caller that is refused at once can retry when
+ * there is room.
  *
- * Urgent prompts may push others out, so they are let in further. Nothing is refused while an engine has nothing left to
- * read: it would stand idle.
+ * Urgent prompts may evict others, so their limits are wider. An engine with nothing left to prefill accepts every
+ * prompt, since it would be idle otherwise.
  */
 import {type EndpointLoad, unreadBefore} from './endpoint-load.js';
 
-/** What a prompt asks of an engine. */
+/** What a prompt needs from an engine. */
 export type PromptNeed = {
 	rank: number;
-	/** Time to the first token that still counts as prompt. */
+	/** Time to the first token that still meets the objective. */
 	objectiveMilliseconds: number;
-	/** Tokens of memory from the start to the end. */
+	/** KV memory that it needs from start to end, in tokens. */
 	heldTokens: number;
-	/** Tokens that this engine would read for it. */
+	/** Tokens that this engine would have to prefill for it. */
 	readTokens: number;
 };
 
 /**
- * Part of the objective that may be spent waiting for more urgent and earlier prompts to be read, by rank. The most urgent
- * prompts pass all others, so what they wait for is little; they are refused only if they would surely be late.
+ * Share of the objective that may pass while more urgent and earlier prompts are prefilled, by rank. The most urgent
+ * prompts overtake all others and so wait for little; they are refused only if they would certainly be late.
  */
 const waitShares = [1.5, 1, 0.7];
 /**
- * Part of the engine's memory that requests under way may claim, by rank. The rest is for what the others sent since the
- * last news of them: where it is missing, running prompts are pushed out of memory and read again, the long ones first,
- * and on the busiest days a fifth of all reading was that. More room than this pushed out no fewer prompts.
+ * Share of the engine's memory that requests in flight may claim, by rank. The rest is a reserve for what other instances
+ * have sent since their last report. Without it, running prompts are evicted and prefilled again, the long ones first,
+ * which on the busiest days was a fifth of all prefill. A larger reserve prevented no further evictions.
  */
 const memoryShares = [1, 0.9, 0.75];
 
 /**
- * Decides whether an engine takes a prompt.
+ * Decides whether an engine accepts a prompt.
  *
  * @param need - The prompt.
- * @param load - What all instances have under way at the engine.
- * @param engine - Its memory in tokens, and how many it reads in a millisecond.
- * @returns Whether the prompt is sent there.
+ * @param load - The load of all instances at the engine.
+ * @param engine - Its memory in tokens, and its prefill speed in tokens per millisecond.
+ * @returns Whether the prompt may be sent there.
  */
 export function admitsPrompt(need: PromptNeed, load: EndpointLoad, engine: {capacityTokens: number; tokensPerMillisecond: number}): boolean {
 	const rank = Math.min(waitShares.length - 1, need.rank);
--- a/src/decision/placement/believed-parts.ts
+++ b/src/decision/placement/believed-parts.ts
@@ -1,6 +1,6 @@
 /**
- * Which prompt parts this instance believes an engine to keep, from what it sent there itself. Bounded as the engine's
- * memory is, and given up in the same order. A hint: a wrong one costs one prefill.
+ * Estimates which prompt blocks an engine has cached, from what this instance sent there. The estimate is bounded like
+ * the engine's memory and evicts in the same order. It is only a hint: a wrong estimate costs one prefill.
  */
 import {type PromptPart} from '../../shared/prompt-shape.js';
 
@@ -13,7 +13,7 @@
 		this.#capacityTokens = capacityTokens;
 	}
 
-	/** Takes the parts of a prompt that the engine was sent, at a time of the steady clock in milliseconds. */
+	/** Adds the blocks of a prompt that was sent to the engine; `now` is in milliseconds of the steady clock. */
 	learn(scope: string, parts: readonly PromptPart[], now: number): void {
 		for (const {id, tokens} of parts) {
 			const key = `${scope}|${id}`;
@@ -32,7 +32,10 @@
 		}
 	}
 
-	/** Tokens of a part that the engine is believed to keep, if it was sent there at `since` or later. */
+	/**
+	 * Tokens of a block that the engine has probably cached, if the block was sent there at `since` or later; 0
+	 * otherwise.
+	 */
 	tokensOf(scope: string, {id}: PromptPart, since: number): number {
 		const part = this.#parts.get(`${scope}|${id}`);
 		return part === undefined || part.at < since ? 0 : part.tokens;
--- a/src/decision/placement/candidate-estimates.ts
+++ b/src/decision/placement/candidate-estimates.ts
@@ -1,6 +1,6 @@
 /**
- * What it would cost to place a request at an endpoint, and whether the endpoint still takes it: out of what it has to read
- * and fetch for the request, what lies before that, and how far away it is. Costs are in milliseconds.
+ * Estimates the cost of placing a request at an endpoint, and whether the endpoint accepts it, from the tokens to prefill
+ * and to fetch, the work ahead of the request, and the distance to the endpoint. Costs are in milliseconds.
  */
 import {hashOf} from '../../shared/hash-of.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
@@ -12,53 +12,55 @@
 import {type OthersAt, type PlacementBasis, type PlacementRequest} from './placement.js';
 import {promptWork, type PromptWork} from './prompt-work.js';
 
-/** Reading parts again takes an engine's time from all others there; its own caller waits for it once, others as well. */
+/** Factor on the time of prefill: its own caller waits for it once, and it delays all other requests on the engine too. */
 const rereadWeight = 3;
 /**
- * Part of the cost of reading a part that nobody keeps, by which its home is preferred. Callers of one part come within
- * milliseconds of each other; the one who finds the part kept saves all of that cost, so half of it is worth waiting for.
+ * Share of the prefill cost of a block that is cached nowhere, by which its owner is preferred. Callers of one block
+ * arrive within milliseconds of each other. Each one that finds the block cached saves the whole cost, so it pays to wait
+ * for half of it.
  */
 const coldHomeShare = 0.5;
 /**
- * What was sent to an engine is taken for kept this long before the engine's own events have to say so: reading the longest
- * prompt, the events' delay, and two questions to the hub.
+ * Blocks that were sent to an engine count as cached for this long, after which its own cache events must confirm them.
+ * It covers the prefill of the longest prompt, the delay of the events, and two queries to the coordinator.
  */
 const sentLifeMilliseconds = 1000;
-/** One running request slows the tokens of the others by about a tenth of a millisecond a step, over some dozens of steps. */
+/** Cost of a running request: it slows the tokens of the others by about 0.1 ms a step, over some dozens of steps. */
 const runningMilliseconds = 3;
-/** A waiting request stands for a full engine: a slot comes free after about the time of a short answer. */
+/** Cost of a waiting request: the engine is full, and a slot becomes free after about the time of a short answer. */
 const waitingMilliseconds = 200;
-/** A call to a plain service takes a slot for tens of milliseconds; each one ahead is weighed like one of those. */
+/** Cost of a call ahead at a plain service: calls hold a slot for tens of milliseconds. */
 const callMilliseconds = 40;
-/** A round trip between data centres, and the price of bytes that cross. */
+/** Cost of an endpoint in another data centre: a round trip, and the price of the bytes that cross. */
 const otherDataCentreMilliseconds = 6;
 /**
- * Weighed against an engine whose weights were replaced by newer ones: an answer on them is worth a fifth less, about as
+ * Cost of an engine whose weights are older than the wanted version: an answer from them is worth a fifth less, about as
  * much as this delay costs a prompt with a short objective.
  */
 const oldWeightsMilliseconds = 150;
-/** A service counts as full when each of its endpoints has this multiple of its slots running or waiting. */
+/** A service is full when each of its endpoints has this multiple of its slots running or waiting. */
 const fullShare = 2;
 /**
- * Where the hub is far away or silent, what instances know of each other's work is some hundred milliseconds old. Many that
- * choose the best engine by the same old news choose the same one, and its memory runs over; so costs that differ by less
- * than this are taken for equal, and the request's id decides. About what one long prompt adds to an engine's cost.
+ * Where the coordinator is far away or unresponsive, what instances know of each other's load is some hundred
+ * milliseconds old. Many instances that choose the best engine from the same stale loads choose the same one, and its
+ * memory overflows. Costs that differ by less than this therefore count as equal, and the request's id decides. It is
+ * about what one long prompt adds to an engine's cost.
  */
 const staleNewsMilliseconds = 80;
 
 const hashRange = 2 ** 32;
 const noWork: PromptWork = {keptTokens: 0, fetchTokens: 0, readTokens: 0};
 
-/** An endpoint that a request could go to. */
+/** An endpoint that a request could be sent to. */
 export type Candidate = {endpoint: EndpointRecord; isAdmitted: boolean; basis: PlacementBasis};
 
-/** What all instances have under way at an endpoint; `isWhole` if the work of the others is known. */
+/** The load of an endpoint; `includesOthers` is false while the load of the other instances is unknown. */
 export type SharedLoad = {load: EndpointLoad; isWhole: boolean};
 
-/** Requests at an endpoint, and how many it runs at a time. */
+/** Requests at an endpoint, and how many it runs concurrently. */
 type Occupancy = {occupancy: number; slots: number};
 
-/** How an endpoint stands to a prompt. */
+/** What the estimate of a prompt at an endpoint starts from. */
 type Situation = {isHome: boolean; shared: SharedLoad; occupied: Occupancy};
 
 export class CandidateEstimates {
@@ -67,9 +69,9 @@
 	readonly #othersAt: OthersAt;
 
 	/**
-	 * @param dataCentre - Where this instance stands.
-	 * @param memories - What is remembered of endpoints.
-	 * @param othersAt - What the other instances have under way.
+	 * @param dataCentre - Data centre of this instance.
+	 * @param memories - State per endpoint and service.
+	 * @param othersAt - Gives the load of the other instances.
 	 */
 	constructor(dataCentre: string, memories: EndpointMemories, othersAt: OthersAt) {
 		this.#dataCentre = dataCentre;
@@ -77,7 +79,7 @@
 		this.#othersAt = othersAt;
 	}
 
-	/** What all instances have under way at an endpoint, as far as known here. */
+	/** The load of all instances at an endpoint, as far as it is known here. */
 	loadAt(endpoint: EndpointRecord, now: number): SharedLoad {
 		const own = this.#memories.outlookOf(endpoint).loadAt(now);
 		const others = this.#othersAt(endpoint.name, now);
@@ -85,11 +87,12 @@
 	}
 
 	/**
-	 * Estimates a place.
+	 * Estimates the cost of an endpoint for a request.
 	 *
 	 * @param request - The request.
-	 * @param endpoint - Where it could go.
-	 * @param isHome - Whether its last shared part is read there if nobody keeps it.
+	 * @param endpoint - The candidate.
+	 * @param isHome - Whether the endpoint owns the prompt's last shared block, which it prefills if no engine has it
+	 * cached.
 	 * @param now - Milliseconds of the steady clock.
 	 */
 	estimate(request: PlacementRequest, endpoint: EndpointRecord, isHome: boolean, now: number): Candidate {
@@ -103,7 +106,10 @@
 			: this.#estimatePrompt(request, endpoint, {isHome, shared, occupied}, now);
 	}
 
-	/** What an engine has to read for a prompt; the time in which it fetches counts as well, since it reads no other meanwhile. */
+	/**
+	 * Tokens that an engine has to prefill for a prompt. The time of its fetches counts as the tokens that it could
+	 * prefill meanwhile, since it prefills no other prompt during a fetch.
+	 */
 	unreadTokensOf(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork): number {
 		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
 		return Math.round(work.readTokens + (speed * fetchMillisecondsOf(request, endpoint, work)));
@@ -141,13 +147,16 @@
 		return dataCentre === this.#dataCentre ? 0 : otherDataCentreMilliseconds;
 	}
 
-	/** How long a prompt waits for its first token at an engine that has a slot for it. */
+	/** Expected time to the first token at an engine with a free slot, in milliseconds. */
 	#waitOf(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, before: number): number {
 		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
 		return ((before + work.readTokens) / speed) + fetchMillisecondsOf(request, endpoint, work);
 	}
 
-	/** What fetching, reading and waiting for the reading of others cost, in milliseconds; less at the home of unread parts. */
+	/**
+	 * Cost of the fetch, the prefill and the prefill ahead of it, in milliseconds; lower at the owner of uncached shared
+	 * blocks.
+	 */
 	#readingCost(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, {before, isHome}: {before: number; isHome: boolean}): number {
 		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
 		const reading = rereadWeight * work.readTokens / speed;
@@ -155,7 +164,7 @@
 		return reading + fetchMillisecondsOf(request, endpoint, work) + (before / speed) - preference;
 	}
 
-	/** Without the other instances' work nothing can be said; the engine's own queue decides then. */
+	/** Accepts every prompt while the load of the other instances is unknown; the engine's own queue is the limit then. */
 	#admits(request: PlacementRequest, readTokens: number, load: EndpointLoad | undefined): boolean {
 		const capacityTokens = request.engine?.capacityTokens ?? 0;
 		if (load === undefined || capacityTokens === 0) {
@@ -167,7 +176,7 @@
 		}, load, {capacityTokens, tokensPerMillisecond: this.#memories.speedOf(request.service).tokensPerMillisecond});
 	}
 
-	/** What an engine would have to do for a prompt. */
+	/** The work that a prompt would cause at an engine. */
 	#workAt(request: PlacementRequest, endpoint: EndpointRecord, isHome: boolean, now: number): PromptWork {
 		const {parts} = request.prompt!;
 		const version = endpoint.weightVersions.get(request.prompt!.model);
@@ -184,22 +193,22 @@
 	}
 }
 
-/** How long an engine fetches for a prompt. */
+/** Time that an engine spends on fetches for a prompt. */
 function fetchMillisecondsOf(request: PlacementRequest, endpoint: EndpointRecord, {fetchTokens}: PromptWork): number {
 	return fetchTokens === 0 ? 0 : fetchTokens / fetchTokensPerMillisecond(request.engine, request.isSourceNear(endpoint));
 }
 
-/** Shared tokens of a prompt that an engine would have to read. */
+/** Tokens of shared blocks that an engine would have to prefill. */
 function unreadSharedTokens({prompt}: PlacementRequest, {readTokens}: PromptWork): number {
 	return Math.max(0, readTokens - (prompt?.parts.at(-1)?.tokens ?? 0));
 }
 
-/** Memory that a prompt needs from its start to its end. */
+/** KV memory that a prompt needs from start to end, in tokens. */
 export function heldTokensOf({prompt}: PlacementRequest): number {
 	return prompt === undefined ? 0 : prompt.promptTokens + prompt.mostOutputTokens;
 }
 
-/** Parts that were made under other weights are not found. */
+/** The scope of cached blocks at an engine. It includes the weight version, since blocks from other weights do not match. */
 export function scopeAt({cacheScope, prompt}: PlacementRequest, {weightVersions}: EndpointRecord): string {
 	return `${cacheScope}@${weightVersions.get(prompt?.model ?? '') ?? 0}`;
 }
--- a/src/decision/placement/cost-placement.test.ts
+++ b/src/decision/placement/cost-placement.test.ts
@@ -57,7 +57,7 @@
 	assert.ok(Math.max(...homes.values()) < 80);
 });
 
-test('a subject whose home is far behind goes elsewhere, and a tired service refuses what can wait', () => {
+test('a subject whose owner has a long backlog goes elsewhere, and a full service refuses all but urgent prompts', () => {
 	const loads = new Map<string, EndpointLoad>();
 	const policy = new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad);
 	const home = chosen(policy, promptOf('subject', 'a'));
@@ -75,8 +75,8 @@
 	assert.notEqual(chosen(policy, promptOf('subject', 'a', {rank: 0})), 'overloaded');
 });
 
-test('an engine that cannot be reached is left to probes, not to callers', () => {
-	// A data centre is cut off. The first caller finds out; the others go elsewhere until a probe connects again.
+test('an unreachable engine is retried by probes, not by requests', () => {
+	// A data centre is cut off. The first request finds out; later ones go elsewhere until a probe connects.
 	const policy = new CostPlacement('split');
 	const request = promptOf('subject', 'a');
 	const home = engines.find(({name}) => name === chosen(policy, request))!;
@@ -95,7 +95,7 @@
 	assert.equal(chosen(policy, promptOf('subject', 'b'), engines, 1000), home.name);
 });
 
-test('an engine that was sent requests and says nothing is avoided before its row lapses', () => {
+test('an engine that does not answer its requests is avoided before its row in the list expires', () => {
 	const loads = new Map<string, EndpointLoad>();
 	const policy = new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad);
 	const home = chosen(policy, promptOf('subject', 'a'));
@@ -109,7 +109,7 @@
 	assert.equal(chosen(policy, promptOf('subject', 'a')), home);
 });
 
-test('engines that load weights are spared while others serve', () => {
+test('engines that are loading weights get no requests while others serve', () => {
 	const policy = new CostPlacement('split');
 	const home = chosen(policy, promptOf('subject', 'a'));
 	const loading = new Set([home]);
@@ -117,7 +117,7 @@
 	assert.equal(chosen(policy, promptOf('subject', 'a', {loading: new Set(engines.map(({name}) => name)), wantedVersion: 2})), home);
 });
 
-test('a prompt goes to the engine that keeps its parts, whichever is their home', () => {
+test('a prompt goes to the engine that has its blocks cached, whichever owns them', () => {
 	const policy = new CostPlacement('split');
 	const home = chosen(policy, promptOf('subject', 'a'));
 	const holder = engines.find(({name}) => name !== home)!.name;
@@ -127,9 +127,10 @@
 	assert.equal(placement.kind === 'send' && placement.basis.readTokens, 2500);
 });
 
-test('a home that is known to be empty is counted with all that it has to read', () => {
-	// An engine loads new weights and drops all that it kept. As long as each instance presumes the parts at their home,
-	// each sends its prompts there and takes the engine for nearly idle; it reads for seconds, and all its callers are late.
+test('for an owner that is known to have nothing cached, the whole prompt counts as prefill', () => {
+	// An engine loads new weights and drops its cache. If every instance presumed the blocks at their owner, all would
+	// send their prompts there and take the engine for nearly idle, while it prefills for seconds and all its callers are
+	// late.
 	const policy = new CostPlacement('split');
 	const home = chosen(policy, promptOf('subject', 'a'));
 	const nobody = (): number[] => [0, 0, 0];
@@ -138,7 +139,7 @@
 	assert.equal(first.kind === 'send' && first.basis.readTokens, 11_000);
 });
 
-test('callers who come together for a part that nobody keeps are sent to one engine, and it counts as kept there', () => {
+test('callers that arrive together for an uncached block are sent to one engine, where it then counts as cached', () => {
 	const policy = new CostPlacement('split', () => noLoad);
 	const nobody = (): number[] => [0, 0, 0];
 	const request = promptOf('subject', 'a', {keptAt: nobody});
@@ -156,7 +157,7 @@
 	}
 });
 
-test('parts that can be fetched make every engine about as good', () => {
+test('blocks that can be fetched make all engines about equal', () => {
 	const policy = new CostPlacement('split');
 	const home = chosen(policy, promptOf('subject', 'a'));
 	const keptAt = (): number[] => [0, 0, 0];
@@ -166,9 +167,10 @@
 	assert.equal(placement.kind === 'send' && placement.basis.readTokens, 2500);
 });
 
-test('instances that share old news do not all choose the same engine', () => {
-	// Eighteen instances hear the same loads, some hundred milliseconds old, and each has a prompt whose parts any engine can
-	// fetch. One engine is a little less busy. If all choose it, it gets twenty long prompts at once and its memory runs over.
+test('instances that share stale loads do not all choose the same engine', () => {
+	// Eighteen instances know the same loads, some hundred milliseconds old, and each has a prompt whose blocks any
+	// engine can fetch. One engine is slightly less busy. If all chose it, it would get twenty long prompts at once and
+	// its memory would overflow.
 	const loads = new Map(engines.map(({name}, index) => [name, {...noLoad, requests: 5 + index}]));
 	const policies = Array.from({length: 18}, () => new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad));
 	const counts = new Map<string, number>();
--- a/src/decision/placement/cost-placement.ts
+++ b/src/decision/placement/cost-placement.ts
@@ -1,15 +1,17 @@
 /**
- * Places each request where it costs the least time, its own and that of others.
+ * Places each request on the endpoint where it costs the least time, counting its own time and the time it takes from
+ * others.
  *
- * Load it answers: prompts whose long shared parts return to any of many instances, quick questions among them, and
- * engines that crash or fill. Without it a returning prompt lands on an engine that does not keep its parts and they are
- * read again, which takes most of an engine's time: reading is what engines are busy with, not writing.
+ * Prompts with long shared blocks return to any of many instances, mixed with short urgent prompts, while engines crash
+ * or fill up. Placed without regard to caches, a returning prompt reaches an engine that has not cached its blocks, and
+ * they are prefilled again. Prefill, not decoding, takes most of an engine's time.
  *
- * What engines keep is known from their own events, as the hub passes them on, and from what was sent there just now. A
- * part that nobody keeps goes to its home, the first engine by rendezvous hash of its id: all instances name the same home,
- * so that callers who come together for one part do not have it read in several places. While nothing is known of an
- * engine, its home is presumed to keep a part. Another engine is taken when the wait is longer than reading the part again
- * elsewhere, with reading weighed for the time that it takes from others.
+ * What engines have cached is known from their own cache events, relayed by the coordinator, and from what was sent to
+ * them within the last second. A block that no engine has cached is prefilled by its owner, the first engine by
+ * rendezvous hash of the block's id. All instances compute the same owner, so callers that arrive together for one block
+ * do not have it prefilled in several places. While nothing is known of an engine's cache, the owner is presumed to have
+ * the block. Another engine is chosen when the wait at the owner is longer than a second prefill elsewhere, where prefill
+ * is weighted for the time that it takes from others.
  */
 import {spreadRetry} from '../limits/spread-retry.js';
 import {type EndpointRecord, incarnationOf} from '../../shared/endpoint-record.js';
@@ -25,11 +27,11 @@
 } from './placement.js';
 import {shortlist} from './shortlist.js';
 
-/** When to come back if no endpoint is known, or all are left alone: the time of a heartbeat or two. */
+/** Retry delay if no endpoint may get the request: one or two heartbeats. */
 const noEndpointRetryMilliseconds = 800;
-/** When to come back to a service that is full: some slots come free in this time. */
+/** Shortest retry delay of a full service: some slots become free in this time. */
 const overloadRetryMilliseconds = 600;
-/** Callers do not wait longer than a third of the time that they have left; more would be for nothing. */
+/** Longest retry delay. Callers wait for at most a third of the time that they have left, so a longer one is useless. */
 const longestOverloadRetryMilliseconds = 2500;
 
 export class CostPlacement implements PlacementPolicy {
@@ -39,15 +41,15 @@
 	readonly #unreachable = new Map<string, EndpointRecord>();
 
 	/**
-	 * @param dataCentre - Where this instance stands.
-	 * @param othersAt - What the other instances have under way.
+	 * @param dataCentre - Data centre of this instance.
+	 * @param othersAt - Gives the load of the other instances.
 	 */
 	constructor(dataCentre: string, othersAt: OthersAt = () => undefined) {
 		this.#dataCentre = dataCentre;
 		this.#estimates = new CandidateEstimates(dataCentre, this.#memories, othersAt);
 	}
 
-	/** What this instance has under way, by endpoint. */
+	/** The load of this instance, by endpoint. */
 	ownLoads(now: number): Map<string, EndpointLoad> {
 		return this.#memories.loadsAt(now);
 	}
@@ -96,7 +98,8 @@
 
 			case 'answered': {
 				const first = outlook.answered(request.id, event.load, now);
-				// Alone in the reading and with nothing to fetch, the delay of the first token shows how fast the engine reads.
+				// With no prefill ahead and nothing to fetch, the delay of the first token shows how fast the engine
+				// prefills.
 				if (request.prompt !== undefined && first?.basis.unreadBefore === 0 && first.basis.fetchTokens === 0) {
 					this.#memories.speedOf(request.service).observe(first.basis.readTokens, first.milliseconds);
 				}
@@ -149,17 +152,18 @@
 		return this.#estimates.loadAt(endpoint, now).load.heardAgoMilliseconds;
 	}
 
-	/** The endpoints that could get a request now. */
+	/** The endpoints that may get a request now. */
 	#inView(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): readonly EndpointRecord[] {
 		const untried = endpoints.filter(endpoint => !request.tried.has(endpoint.name) && beginsInGrant(request, endpoint, 0, now));
 		const awake = untried.filter(endpoint => !isLoading(request, endpoint));
 		const reached = awake.filter(endpoint => !this.#memories.outlookOf(endpoint).isUnreachable && !this.isSilent(endpoint, now));
 		const closed = reached.filter(endpoint => !this.#memories.outlookOf(endpoint).isOpen(now));
-		// With every endpoint left alone, the rest would be refused though one may be back; then all are tried.
+		// If this leaves no endpoint, the exclusions are lifted one by one: the request would be refused although an
+		// endpoint may have recovered.
 		return [closed, reached, awake, untried].find(({length}) => length > 0) ?? [];
 	}
 
-	/** When a refused caller finds room again: when the least laden engine has read what lies before such a prompt. */
+	/** Retry delay of a refused caller: until the least loaded engine has prefilled what is ahead of such a prompt. */
 	#overloadRetry(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): number {
 		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
 		const waits = endpoints.map(endpoint => unreadBefore(this.#estimates.loadAt(endpoint, now).load, request.rank) / speed);
@@ -168,7 +172,10 @@
 	}
 }
 
-/** Whether the engine loads weights; one that shows the named weights is done, whatever an old hint says. */
+/**
+ * Whether the engine is loading weights. One that reports the wanted version is done, even if an older hint says
+ * otherwise.
+ */
 function isLoading(request: PlacementRequest, endpoint: EndpointRecord): boolean {
 	return request.loading.has(endpoint.name) && isBehind(request, endpoint);
 }
--- a/src/decision/placement/endpoint-load.ts
+++ b/src/decision/placement/endpoint-load.ts
@@ -1,26 +1,26 @@
-/** What is under way at an endpoint, of one instance or of several together. */
+/** The load of one endpoint: the requests in flight there, of one instance or the sum over several. */
 
 export type EndpointLoad = {
 	requests: number;
-	/** Prompt tokens that the endpoint has yet to read, by rank; the last entry holds all less urgent ranks. */
+	/** Prompt tokens that the endpoint has yet to prefill, by rank; the last entry covers all less urgent ranks. */
 	unreadTokens: readonly number[];
-	/** Tokens of memory that all requests under way may come to need. */
+	/** KV memory that all requests in flight may come to need, in tokens. */
 	heldTokens: number;
-	/** For how long the oldest request without a byte of its answer has waited, in milliseconds. */
+	/** How long the oldest request without a byte of its answer has waited, in milliseconds. */
 	oldestWaitMilliseconds: number;
-	/** How long ago the last byte came from the endpoint, in milliseconds. */
+	/** Time since the last byte from the endpoint, in milliseconds. */
 	heardAgoMilliseconds: number;
 };
 
-/** Ranks that are told apart; prompts come in two or three. */
+/** Ranks that a load distinguishes; prompts have two or three. */
 export const toldRanks = 3;
 
-/** An endpoint that nobody uses. */
+/** The load of an unused endpoint. */
 export const noLoad: EndpointLoad = {
 	requests: 0, unreadTokens: [0, 0, 0], heldTokens: 0, oldestWaitMilliseconds: 0, heardAgoMilliseconds: Number.POSITIVE_INFINITY,
 };
 
-/** Adds what two sets of instances have under way. */
+/** Adds the loads of two sets of instances. */
 export function addLoads(one: EndpointLoad, other: EndpointLoad): EndpointLoad {
 	return {
 		requests: one.requests + other.requests,
@@ -31,18 +31,19 @@
 	};
 }
 
-/** Tokens that are read before those of a rank: engines read more urgent prompts first. */
+/** Tokens to prefill of a rank and all more urgent ones; engines prefill more urgent prompts first. */
 export function unreadBefore({unreadTokens}: EndpointLoad, rank: number): number {
 	return unreadTokens.slice(0, rank + 1).reduce((sum, tokens) => sum + tokens, 0);
 }
 
 /**
- * Tokens that are read before those of a prompt that comes now. A more urgent prompt passes those that wait for a slot, but
- * not those that have one: an engine reads what it has let in to its end, also a long prompt before a short urgent one.
+ * Tokens that an engine prefills before those of a prompt that arrives now. A more urgent prompt overtakes requests that
+ * wait for a slot, but not those that have one: an engine completes the prefill of each prompt that it has admitted, even
+ * that of a long prompt before a short urgent one.
  *
- * @param load - What is under way at the engine.
+ * @param load - The load of the engine.
  * @param rank - The prompt's rank.
- * @param slots - Requests that the engine runs at a time.
+ * @param slots - Requests that the engine runs concurrently.
  */
 export function unreadAhead({requests, unreadTokens}: EndpointLoad, rank: number, slots: number): number {
 	const letInShare = Math.min(1, slots / Math.max(1, requests));
@@ -50,19 +51,19 @@
 }
 
 /**
- * With requests waiting and not a byte from an endpoint for so long, it is taken for dead: a working engine sends some
- * event every few dozen milliseconds, and a plain service answers within its usual work time. Less would blame an endpoint
- * for one long prompt; a row in the list lapses only after several heartbeats.
+ * An endpoint with waiting requests counts as unresponsive after this time without a byte: a working engine sends some
+ * event every few dozen milliseconds, and a plain service answers within its usual work time. A shorter time would blame
+ * an endpoint for one long prompt; its row in the endpoint list expires only after several missed heartbeats.
  */
 export const silenceMilliseconds = 700;
 
 /**
- * The same where nothing is known of the other instances. One of many has a single request at an endpoint, and hears nothing
- * from it while that waits in the endpoint's queue behind those of the others.
+ * The same while the load of the other instances is unknown. An instance with a single request at an endpoint receives
+ * nothing from it while that request queues there after the requests of other instances.
  */
 export const lonelySilenceMilliseconds = 1400;
 
-/** Whether an endpoint has fallen silent with requests waiting, for longer than a time in milliseconds. */
+/** Whether an endpoint has had a request waiting and sent no byte for longer than a limit in milliseconds. */
 export function isSilent({oldestWaitMilliseconds, heardAgoMilliseconds}: EndpointLoad, longestMilliseconds = silenceMilliseconds): boolean {
 	return oldestWaitMilliseconds > longestMilliseconds && heardAgoMilliseconds > longestMilliseconds;
 }
--- a/src/decision/placement/endpoint-memories.ts
+++ b/src/decision/placement/endpoint-memories.ts
@@ -1,4 +1,4 @@
-/** What placing remembers: of each incarnation of an endpoint, and of the engines of each service together. */
+/** State that placement keeps for each incarnation of an endpoint, and for the engines of each service together. */
 import {type EndpointRecord, incarnationOf} from '../../shared/endpoint-record.js';
 import {BelievedParts} from './believed-parts.js';
 import {type EndpointLoad} from './endpoint-load.js';
@@ -7,12 +7,12 @@
 
 export class EndpointMemories {
 	readonly #outlooks = new Map<string, {name: string; outlook: EndpointOutlook}>();
-	/** The same by record: each placing asks for those of all endpoints, several times. */
+	/** The same by record, since each placement looks up all endpoints several times. */
 	readonly #outlookByRecord = new WeakMap<EndpointRecord, EndpointOutlook>();
 	readonly #parts = new Map<string, BelievedParts>();
 	readonly #speeds = new Map<string, ReadingSpeed>();
 
-	/** The present state of an endpoint as this instance knows it. */
+	/** The tracker of an endpoint's incarnation. */
 	outlookOf(endpoint: EndpointRecord): EndpointOutlook {
 		const known = this.#outlookByRecord.get(endpoint);
 		if (known !== undefined) {
@@ -24,17 +24,17 @@
 		return outlook;
 	}
 
-	/** The parts that were sent to an engine with that much memory. */
+	/** The estimated cache of an engine with this much memory. */
 	partsOf(endpoint: EndpointRecord, capacityTokens: number): BelievedParts {
 		return remembered(this.#parts, incarnationOf(endpoint), () => new BelievedParts(capacityTokens));
 	}
 
-	/** How fast the engines of a service read. */
+	/** Prefill speed of the engines of a service. */
 	speedOf(service: string): ReadingSpeed {
 		return remembered(this.#speeds, service, () => new ReadingSpeed());
 	}
 
-	/** What this instance has under way, by the name of the endpoint. */
+	/** The load of this instance by the name of the endpoint; endpoints without its requests are absent. */
 	loadsAt(now: number): Map<string, EndpointLoad> {
 		const loads = new Map<string, EndpointLoad>();
 		for (const {name, outlook} of this.#outlooks.values()) {
@@ -47,7 +47,7 @@
 		return loads;
 	}
 
-	/** Forgets an incarnation that is gone. */
+	/** Forgets an incarnation that has ended. */
 	forget(endpoint: EndpointRecord): void {
 		this.#outlookByRecord.delete(endpoint);
 		this.#outlooks.delete(incarnationOf(endpoint));
--- a/src/decision/placement/endpoint-outlook.ts
+++ b/src/decision/placement/endpoint-outlook.ts
@@ -2,30 +2,33 @@
  * What this instance knows of one endpoint: its own requests there, the load that the endpoint reported last, and whether
  * it fails.
  *
- * Load it answers: an endpoint that crashes, hangs or fails while its row in the list still says that it is ready.
- * Without it, an endpoint that refuses connections looks idle and draws every request.
+ * An endpoint may crash, hang or fail while its row in the list still says that it is ready. Without this state, an
+ * endpoint that refuses connections would look idle and attract every request.
  */
 import {type EndpointLoad, toldRanks} from './endpoint-load.js';
 import {type PlacementBasis, type ReportedLoad} from './placement.js';
 
-/** After so many failures in a row the endpoint is left alone; a single one may be the request's own. */
+/** Consecutive failures that open the circuit; a single one may be the request's own. */
 const failuresToOpen = 2;
-/** First pause; doubles with each failure behind it. A connection that fails is retried within a heartbeat or two. */
+/**
+ * How long the circuit is open at first; doubles with each further failure. A failed connection is retried within a
+ * heartbeat or two.
+ */
 const firstPauseMilliseconds = 500;
 const longestPauseMilliseconds = 8000;
 /**
- * An endpoint that cannot be reached is asked for a connection this often, with no caller waiting for it; doubles up to the
- * longest. A restarted process is back within a second.
+ * First interval between connection attempts to an unreachable endpoint, with no caller waiting for them; doubles up to
+ * the longest. A restarted process is back within a second.
  */
 const firstProbePauseMilliseconds = 200;
 const longestProbePauseMilliseconds = 1000;
-/** A report older than this says nothing of the present: a batch of short requests comes and goes in this time. */
+/** Older load reports are ignored: a batch of short requests comes and goes in this time. */
 const reportLifeMilliseconds = 2000;
 
-/** A request of this instance at the endpoint. */
+/** A request of this instance in flight at the endpoint. */
 type UnderWay = {rank: number; sentAt: number; unreadTokens: number; heldTokens: number; isAnswered: boolean; basis: PlacementBasis};
 
-/** How the first token of a request came. */
+/** The delay of a request's first token, and the basis of its placement. */
 export type FirstToken = {basis: PlacementBasis; milliseconds: number};
 
 export class EndpointOutlook {
@@ -38,12 +41,15 @@
 	#heardAt = Number.NEGATIVE_INFINITY;
 	#probe: {at: number; pause: number} | undefined;
 
-	/** Requests of this instance under way. */
+	/** Number of this instance's requests in flight. */
 	get underWay(): number {
 		return this.#requests.size;
 	}
 
-	/** Notes a send; `heldTokens` is its whole need of memory, `unreadTokens` what keeps the engine from reading others. */
+	/**
+	 * Records a send. `heldTokens` is the request's whole need of memory, `pendingPrefillTokens` what keeps the engine
+	 * from prefilling others.
+	 */
 	sent(id: string, {rank, heldTokens, unreadTokens, basis}: {rank: number; heldTokens: number; unreadTokens: number; basis: PlacementBasis}, now: number): void {
 		this.#requests.set(id, {
 			rank: Math.min(toldRanks - 1, rank), sentAt: now, unreadTokens, heldTokens, isAnswered: false, basis,
@@ -51,7 +57,7 @@
 		this.#sentSinceReport++;
 	}
 
-	/** Notes the first byte of an answer; gives how it came, if the request was sent from here. */
+	/** Records the first byte of an answer. Returns its delay if the request was sent from here. */
 	answered(id: string, report: ReportedLoad | undefined, now: number): FirstToken | undefined {
 		const request = this.#requests.get(id);
 		if (request !== undefined) {
@@ -72,7 +78,7 @@
 		return request === undefined ? undefined : {basis: request.basis, milliseconds: now - request.sentAt};
 	}
 
-	/** Notes that bytes came. */
+	/** Records that bytes arrived. */
 	heard(now: number): void {
 		this.#heardAt = now;
 	}
@@ -89,17 +95,17 @@
 		}
 	}
 
-	/** Whether the endpoint is left alone for now. */
+	/** Whether the circuit is open: the endpoint gets no requests for now. */
 	isOpen(now: number): boolean {
 		return now < this.#openUntil;
 	}
 
-	/** Whether no connection to the endpoint comes about. */
+	/** Whether connections to the endpoint fail. */
 	get isUnreachable(): boolean {
 		return this.#probe !== undefined;
 	}
 
-	/** Notes that no connection came about, or that the endpoint fell silent. */
+	/** Records that a connection failed, or that the endpoint became unresponsive. */
 	unreachable(now: number): void {
 		this.#probe ??= {at: now + firstProbePauseMilliseconds, pause: firstProbePauseMilliseconds};
 	}
@@ -108,7 +114,7 @@
 		return this.#probe !== undefined && now >= this.#probe.at;
 	}
 
-	/** Notes how a try to connect ended. */
+	/** Records the outcome of a connection attempt. */
 	probed(isReached: boolean, now: number): void {
 		if (isReached || this.#probe === undefined) {
 			this.#probe = undefined;
@@ -119,7 +125,7 @@
 		this.#probe = {at: now + pause, pause};
 	}
 
-	/** What this instance has under way there. */
+	/** The load of this instance at the endpoint. */
 	loadAt(now: number): EndpointLoad {
 		const unreadTokens = Array.from({length: toldRanks}, () => 0);
 		let heldTokens = 0;
@@ -135,7 +141,7 @@
 		};
 	}
 
-	/** Requests running or waiting there by its last report; `undefined` if that is too old. */
+	/** Requests running or waiting there by its last report, with those sent since; `undefined` if the report is too old. */
 	reportedOccupancy(now: number): number | undefined {
 		return this.#report !== undefined && now - this.#reportAt < reportLifeMilliseconds
 			? this.#report.running + this.#report.waiting + this.#sentSinceReport
--- a/src/decision/placement/fetch-speed.test.ts
+++ b/src/decision/placement/fetch-speed.test.ts
@@ -12,16 +12,16 @@
 	slots: 12, capacityTokens: 75_000, bytesPerToken: 327_680, linkMegabitsPerSecond: 260_000, models: ['lease'],
 };
 
-test('the speed of a fetch follows the declared link and the size of a token', () => {
+test('fetch speed follows from the declared link rate and the size of a token', () => {
 	assert.equal(Math.round(fetchTokensPerMillisecond(traits, true)), 89);
 	assert.equal(Math.round(fetchTokensPerMillisecond(traits, false)), 45);
 	assert.equal(Math.round(fetchTokensPerMillisecond({...traits, bytesPerToken: 18_432}, true)), 1587);
 	assert.equal(fetchTokensPerMillisecond(undefined, true), fetchTokensPerMillisecond({...traits, linkMegabitsPerSecond: 0}, true));
 });
 
-test('an engine that fetches a long part is left to itself by the prompts that come meanwhile', () => {
-	// A long prompt's shared part comes over the link for a quarter of a second. The engine reads no other prompt meanwhile,
-	// but with nothing to read it looked idle, and short prompts were sent there.
+test('prompts avoid an engine while it fetches a long block', () => {
+	// A long prompt's shared block takes a quarter of a second to fetch, and the engine prefills no other prompt
+	// meanwhile. If only its pending prefill counted, it would look idle and short prompts would be sent there.
 	const engines = ['e0', 'e1'].map(name => testEndpoint({name, slots: 12, weightVersions: new Map([['lease', 1]])}));
 	const policy = new CostPlacement('split', () => noLoad);
 	const requestOf = (id: string, parts: Array<{id: string; tokens: number}>): PlacementRequest => testPromptRequest({
--- a/src/decision/placement/fresh-news.test.ts
+++ b/src/decision/placement/fresh-news.test.ts
@@ -1,7 +1,7 @@
 /**
- * Plays clumps of prompts on eight instances before nine engines, once with news of the other instances' work that are some
- * hundred milliseconds old, once with news that were asked for right before each placing. Of 3,600 prompts 2,935 had their
- * first token in time with old news, and 3,566 with fresh ones.
+ * Simulates bursts of prompts on eight instances in front of nine engines, once with loads of the other instances that
+ * are 300 ms old, once with loads queried right before each placement. Of 3,600 prompts 2,935 had their first token in
+ * time with stale loads, and 3,566 with fresh ones.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -16,7 +16,7 @@
 const engineCount = 9;
 const tokensPerMillisecond = 55;
 const objectiveMilliseconds = 600;
-/** Prompts in one clump, and the mean pause between clumps: engines read for four fifths of the time. */
+/** Prompts in one burst, and the mean pause between bursts; engines prefill for four fifths of the time. */
 const clumpSize = 24;
 const clumpPauseMilliseconds = 260;
 const clumps = 150;
@@ -48,10 +48,10 @@
 	};
 }
 
-/** What the callers of a run got. */
+/** How many prompts of a run were answered in time, answered late, and refused. */
 type Outcome = {inTime: number; late: number; refused: number};
 
-/** Things that happen later, in the order of their times. */
+/** Events that are due at later times, run in the order of those times. */
 class Agenda {
 	#entries: Array<{at: number; act: () => void}> = [];
 
@@ -59,7 +59,7 @@
 		this.#entries.push({at, act});
 	}
 
-	/** Lets all that is due by `now` happen. */
+	/** Runs all events that are due by `now`. */
 	run(now: number): void {
 		for (;;) {
 			const due = this.#entries.filter(({at}) => at <= now).toSorted((one, other) => one.at - other.at)[0];
@@ -136,10 +136,10 @@
 	}, now);
 }
 
-test('clumps of prompts are answered in time where each is placed on fresh news', t => {
+test('bursts of prompts are answered in time when each is placed by fresh loads', t => {
 	const old = play(300);
 	const fresh = play(0);
-	t.diagnostic(`old news ${JSON.stringify(old)}, fresh news ${JSON.stringify(fresh)}`);
+	t.diagnostic(`stale loads ${JSON.stringify(old)}, fresh loads ${JSON.stringify(fresh)}`);
 	const all = clumps * clumpSize;
 	assert.ok(fresh.inTime > 0.97 * all, JSON.stringify(fresh));
 	assert.ok(old.inTime < 0.9 * all, JSON.stringify(old));
--- a/src/decision/placement/home-of.ts
+++ b/src/decision/placement/home-of.ts
@@ -1,16 +1,19 @@
-/** Where the last shared part of a prompt is read if nobody keeps it: by rendezvous hash, the same at all instances. */
+/**
+ * Determines which engine owns the last shared block of a prompt, and so prefills the block if no engine has it cached.
+ * Owners follow from rendezvous hashing and are the same at all instances.
+ */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {hashOf} from '../../shared/hash-of.js';
 import {type PromptShape} from '../../shared/prompt-shape.js';
 
 /**
- * Gives the home of a prompt, and those that take its place when it is gone.
+ * Returns the owner of a prompt's last shared block, and the engines that replace the owner in turn if it leaves.
  *
- * @param prompt - Its last shared part counts; its own part if it shares none.
- * @param cacheScope - Who shares cached parts with it.
- * @param endpoints - The engines to choose from. When one joins or leaves, only its own parts change their home.
- * @param count - How many to give.
- * @returns The home first; nothing without engines or parts.
+ * @param prompt - Its last shared block counts; its own block if it shares none.
+ * @param cacheScope - The scope within which cached blocks are shared.
+ * @param endpoints - The engines to choose from. If one joins or leaves, only the blocks that it owns change their owner.
+ * @param count - Maximum number of engines to return.
+ * @returns The owner first; empty without engines or blocks.
  */
 export function homesOf({parts}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
 	const part = parts.at(-2) ?? parts.at(-1);
--- a/src/decision/placement/long-among-short.test.ts
+++ b/src/decision/placement/long-among-short.test.ts
@@ -12,7 +12,7 @@
 	name: `e${index}`, address: `10.0.0.${index}:1`, slots: 12, weightVersions: new Map([['lease', 1]]),
 }));
 
-/** A kind of prompt: how often it comes, its size, and by when its first token is due. */
+/** A kind of prompt: its rate, its size range, and the objective of its first token. */
 type Kind = {rank: number; perSecond: number; leastTokens: number; mostTokens: number; objectiveMilliseconds: number};
 
 const long: Kind = {
@@ -33,7 +33,7 @@
 	});
 }
 
-/** Prompts of a kind by random times, as they come to the instances. */
+/** Prompts of a kind at random arrival times. */
 function arrivalsOf(kind: Kind, random: () => number): Array<{kind: Kind; at: number; tokens: number}> {
 	const count = kind.perSecond * seconds;
 	return Array.from({length: count}, () => ({
@@ -41,7 +41,10 @@
 	}));
 }
 
-/** Plays the load; gives how many prompts of each rank were answered in time. Engines read what they let in to its end. */
+/**
+ * Simulates the load and returns how many prompts of each kind were answered in time. Engines complete the prefill of
+ * each prompt that they have admitted.
+ */
 function play(): Map<Kind, number> {
 	const random = seededRandom(7);
 	const played = new ReadingEngines('split', engines);
@@ -56,10 +59,10 @@
 	return inTime;
 }
 
-test('short urgent prompts do not wait behind long ones that an engine has let in', t => {
-	// Long prompts of some ten thousand tokens come among many short ones that are more urgent. An engine passes them only in
-	// its queue: once it has let a long prompt in, it reads it to its end. A short prompt that is sent there waits for
-	// hundreds of milliseconds while other engines stand idle.
+test('short urgent prompts do not wait behind long ones that an engine has admitted', t => {
+	// Long prompts of some ten thousand tokens arrive among many short ones that are more urgent. A short prompt
+	// overtakes long ones only in an engine's queue: once the engine has admitted a long prompt, it completes its
+	// prefill. A short prompt that is sent there waits for hundreds of milliseconds while other engines are idle.
 	const inTime = play();
 	const shareOf = (kind: Kind): number => inTime.get(kind)! / (kind.perSecond * seconds);
 	t.diagnostic(`in time: short ${shareOf(short).toFixed(3)}, long ${shareOf(long).toFixed(3)}`);
--- a/src/decision/placement/near-source.test.ts
+++ b/src/decision/placement/near-source.test.ts
@@ -7,7 +7,7 @@
 import {type PlacementRequest} from './placement.js';
 
 const tokensPerMillisecond = 64;
-/** Within a data centre; a transfer from another one takes twice as long. */
+/** Tokens that are fetched in a millisecond within a data centre; a transfer from another one takes twice as long. */
 const fetchPerMillisecond = 89;
 const seconds = 30;
 const longsPerSecond = 38;
@@ -31,7 +31,10 @@
 	});
 }
 
-/** Plays long prompts whose shared parts lie in a store of one data centre; gives the share that was answered in time. */
+/**
+ * Simulates long prompts whose shared blocks are in a store of one data centre; returns the share that was answered in
+ * time.
+ */
 function play(isSourceNear: PlacementRequest['isSourceNear']): number {
 	const random = seededRandom(5);
 	const played = new ReadingEngines('mobile', engines);
@@ -50,12 +53,13 @@
 	return inTime / arrivals.length;
 }
 
-test('long parts are fetched by engines beside their store as far as these have room', t => {
-	// All stores stand in one data centre. Engines elsewhere take twice as long for a fetch, and their links and queues fill; the
-	// callers of long prompts, and of short ones behind them, are late while engines beside the stores have time.
+test('long blocks are fetched by engines in the data centre of their store as long as these have room', t => {
+	// All stores are in one data centre. Fetches to engines elsewhere take twice as long and fill their links and queues;
+	// the callers of long prompts, and of short ones behind them, are late while engines near the stores have capacity
+	// left.
 	const blind = play(() => false);
 	const near = play(({dataCentre}) => dataCentre === storeDataCentre);
-	t.diagnostic(`in time: ${blind.toFixed(3)} where the distance is not known, ${near.toFixed(3)} where it is`);
+	t.diagnostic(`in time: ${blind.toFixed(3)} with the distance unknown, ${near.toFixed(3)} with it known`);
 	assert.ok(near >= 0.95, `${near}`);
 	assert.ok(blind < near, `${blind}`);
 });
--- a/src/decision/placement/older-weights.test.ts
+++ b/src/decision/placement/older-weights.test.ts
@@ -16,9 +16,10 @@
 	return placement.kind === 'send' ? placement.endpoint.name : placement.reason;
 };
 
-test('no prompt is sent to older weights when it would begin behind the time granted for them', () => {
-	// Operators name new weights; the instance that orders engines to load them stands still. Callers get answers on the old
-	// weights for as long as that takes, though the operators were promised that none begins on them after six seconds.
+test('no prompt is sent to older weights if it would start after the end of their grant', () => {
+	// Operators name new weights, and the instance that orders the engines to load them hangs. Without the limit callers
+	// would get answers on the old weights for all that time, though operators were promised that none starts on them
+	// after six seconds.
 	const policy = new CostPlacement('split');
 	const engines = [engine('e0', 1), engine('e1', 1)];
 	assert.match(placeOf(policy, prompt(), engines, 4000), /^e[01]$/v);
@@ -26,9 +27,9 @@
 	assert.equal(placeOf(policy, prompt(), [...engines, engine('e2', 2)], 5000), 'e2');
 });
 
-test('the wait at an engine counts: a prompt begins only when the engine gets to it', () => {
-	// Two seconds before the end one engine has three seconds of reading before it. A prompt that is sent there now begins
-	// a second too late.
+test('the wait at an engine counts, since a prompt starts only when the engine gets to it', () => {
+	// Two seconds before the end of the grant an engine has three seconds of prefill ahead. A prompt that is sent
+	// there now would start a second too late.
 	const loads = new Map<string, EndpointLoad>([['e0', {...noLoad, requests: 10, unreadTokens: [0, 165_000, 0]}]]);
 	const policy = new CostPlacement('split', name => loads.get(name) ?? noLoad);
 	const urgent = prompt({objectiveMilliseconds: 60_000});
@@ -37,7 +38,7 @@
 	assert.equal(placeOf(policy, urgent, [engine('e0', 2)], 4000), 'e0');
 });
 
-test('weights of unknown age are taken for overdue: a process that has just started cannot tell', () => {
+test('weights of unknown age count as overdue, as in a process that has just started', () => {
 	const policy = new CostPlacement('split');
 	const request = prompt({olderWeightsUntil: () => 100});
 	assert.equal(placeOf(policy, request, [engine('e0', 1)], 100), 'no-endpoint');
--- a/src/decision/placement/older-weights.ts
+++ b/src/decision/placement/older-weights.ts
@@ -1,31 +1,34 @@
 /**
- * Engines whose weights are older than those that were named.
+ * Rules for engines whose weights are older than the wanted version of a model.
  *
- * Load it answers: new weights are named while instances restart and the holder of the duty to load them stands still. The
- * operators grant a time within which runs may still begin on the older weights. Without an end of its own, placing goes on
- * sending to engines that nobody has brought to the new weights, and their answers are wrong for whoever relies on the
- * change. A prompt begins only when its engine gets to it, so the wait there counts as well.
+ * In a rollout of new weights, operators grant a time within which runs may still start on the older ones. Instances
+ * restart meanwhile, and the lease holder that orders the loads may hang. If placement did not enforce the end of the
+ * grant itself, it would go on sending prompts to engines that were never updated, and callers that rely on the change
+ * would get wrong answers. A prompt starts only when its engine gets to it, so the wait there counts too.
  */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type PlacementRequest} from './placement.js';
 
-/** What a prompt may wait at an engine beyond what is expected: prompts that others sent since the last news of them. */
+/** Allowance for a longer wait at an engine than expected: other instances send prompts that they have not reported yet. */
 const beginMarginMilliseconds = 1000;
 
-/** Whether the engine has older weights than were named for the model. */
+/** Whether the engine's weights are older than the wanted version of the prompt's model. */
 export function isBehind(request: PlacementRequest, endpoint: EndpointRecord): boolean {
 	const {prompt, wantedVersion} = request;
 	return wantedVersion !== undefined && prompt !== undefined && versionAt(endpoint, prompt.model) < wantedVersion;
 }
 
-/** Until when runs may begin on the weights that the engine has, in milliseconds of the steady clock. */
+/**
+ * Until when runs may start on the weights that the engine has, in milliseconds of the steady clock; infinite if they are
+ * not older.
+ */
 export function grantEnd(request: PlacementRequest, endpoint: EndpointRecord): number {
 	const {prompt} = request;
 	return prompt === undefined || !isBehind(request, endpoint) ? Number.POSITIVE_INFINITY : request.olderWeightsUntil(versionAt(endpoint, prompt.model));
 }
 
 /**
- * Decides whether a prompt that is sent now begins on weights that are still granted.
+ * Decides whether a prompt that is sent now starts while runs may still start on the engine's weights.
  *
  * @param request - The prompt.
  * @param endpoint - The engine.
--- a/src/decision/placement/placement.ts
+++ b/src/decision/placement/placement.ts
@@ -1,4 +1,4 @@
-/** What placing decides, and what it is told. */
+/** Types of placement: the request, the decision, the events that it learns from, and the policy. */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type EngineTraits} from '../../shared/routed-configuration.js';
 import {type PromptShape} from '../../shared/prompt-shape.js';
@@ -11,79 +11,83 @@
 	service: string;
 	/** 0 is the most urgent. */
 	rank: number;
-	/** Time to the first byte that still counts as prompt. */
+	/** Time to the first byte that still meets the objective. */
 	objectiveMilliseconds: number;
 	/** Absent for calls to plain services. */
 	prompt: PromptShape | undefined;
-	/** Cached parts are shared only under the same text. */
+	/** Cached blocks are shared only within the same scope. */
 	cacheScope: string;
 	engine: EngineTraits | undefined;
-	/** Endpoints that had it already. */
+	/** Endpoints that the request was already sent to. */
 	tried: ReadonlySet<string>;
-	/** The weights that its model is to be served with; absent if none were named. */
+	/** The weight version that its model should be served with; absent if operators named none. */
 	wantedVersion: number | undefined;
-	/** Until when runs may begin on weights of a version that is older than the wanted one, in milliseconds of the steady clock. */
+	/** Until when runs may start on weights of a version older than the wanted one, in milliseconds of the steady clock. */
 	olderWeightsUntil: (weightVersion: number) => number;
-	/** Which parts of the prompt any engine with a weight version can fetch from a store or another engine, by index. */
+	/** Which blocks of the prompt an engine with a weight version can fetch from a store or another engine, by index. */
 	fetchableUnder: (weightVersion: number) => readonly boolean[];
-	/** Whether the largest part that an engine would fetch lies in its own data centre. */
+	/** Whether the largest block that an engine would fetch is stored or cached in the engine's own data centre. */
 	isSourceNear: (endpoint: EndpointRecord) => boolean;
-	/** Tokens of each part that an engine keeps, by its own events; `undefined` while those are not known. */
+	/** Tokens of each block that an engine has cached, by its own events; `undefined` while those are unknown. */
 	keptAt: (endpoint: EndpointRecord) => readonly number[] | undefined;
-	/** Engines that load weights now and reject what is sent to them. */
+	/** Engines that are loading weights and reject what is sent to them. */
 	loading: ReadonlySet<string>;
 };
 
-/** What a place was chosen by; logged, and the base on which placing learns. */
+/** The estimates that an endpoint was chosen by. They are logged, and the prefill speed is learned from them. */
 export type PlacementBasis = PromptWork & {
-	/** Tokens that the engine reads before those of this prompt; `undefined` while the other instances' work is not known. */
+	/**
+	 * Tokens that the engine prefills before those of this prompt; `undefined` while the load of the other instances is
+	 * unknown.
+	 */
 	unreadBefore: number | undefined;
 	/** Requests at the endpoint. */
 	occupancy: number;
 	costMilliseconds: number;
 };
 
-/** Where a request goes and by what, or that there is no place for it. */
+/** The endpoint that a request is sent to and the basis of that choice, or the reason for a refusal. */
 export type Placement
 	= | {kind: 'send'; endpoint: EndpointRecord; basis: PlacementBasis}
 		| {kind: 'none'; reason: 'no-endpoint' | 'overloaded'; retryAfterMilliseconds: number};
 
-/** An endpoint's own word on its load, as an answer carries it. */
+/** The load that an endpoint reports in the headers of an answer. */
 export type ReportedLoad = {
 	running: number;
 	waiting: number;
 	slots: number;
 };
 
-/** What became of a request that was placed. All times are milliseconds of the steady clock. */
+/** What happened to a placed request. */
 export type PlacementEvent
 	= | {kind: 'sent'; request: PlacementRequest; endpoint: EndpointRecord; basis: PlacementBasis}
 		| {kind: 'answered'; request: PlacementRequest; endpoint: EndpointRecord; load: ReportedLoad | undefined}
 		| {kind: 'ended'; request: PlacementRequest; endpoint: EndpointRecord; outcome: 'whole' | 'rejected' | 'failed' | 'unreachable' | 'cancelled'};
 
-/** What all other instances have under way at an endpoint; `undefined` while that is not known. */
+/** Gives the load of all other instances at an endpoint; `undefined` while it is unknown. */
 export type OthersAt = (endpoint: string, now: number) => EndpointLoad | undefined;
 
 /** Places requests on endpoints. */
 export interface PlacementPolicy {
 	/**
-	 * The endpoints worth asking about before the request is placed: all, or a bounded number of many.
+	 * Chooses the endpoints to query the coordinator about before the request is placed: all of a few, or a bounded
+	 * number of many.
 	 *
-	 * @param sample - 0 for the first look; each further one is at others.
+	 * @param sample - 0 for the first sample; each further one draws other endpoints.
 	 */
 	choices(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number, sample: number): EndpointRecord[];
 	place(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): Placement;
 	observe(event: PlacementEvent, now: number): void;
-	/** Notes that bytes came from an endpoint. */
+	/** Records that bytes arrived from an endpoint. */
 	heard(endpoint: EndpointRecord, now: number): void;
-	/** Whether an endpoint has fallen silent with requests waiting. */
+	/** Whether an endpoint with waiting requests has become unresponsive. */
 	isSilent(endpoint: EndpointRecord, now: number): boolean;
-	/** How long ago the last byte came from an endpoint to any instance, in milliseconds. */
+	/** Time since the last byte from an endpoint to any instance, in milliseconds. */
 	idleMilliseconds(endpoint: EndpointRecord, now: number): number;
-	/** Endpoints that cannot be reached and are due for a try to connect. */
+	/** Unreachable endpoints that are due for a connection attempt. */
 	dueProbes(now: number): EndpointRecord[];
-	/** Notes how a try to connect ended. */
+	/** Records the outcome of a connection attempt. */
 	probed(endpoint: EndpointRecord, isReached: boolean, now: number): void;
-	/** Forgets an incarnation that is gone. */
+	/** Forgets an incarnation that has ended. */
 	forget(endpoint: EndpointRecord): void;
 }
--- a/src/decision/placement/prompt-work.test.ts
+++ b/src/decision/placement/prompt-work.test.ts
@@ -9,13 +9,13 @@
 	keptTokens: (index: number) => kept[index] ?? 0, isFetchable: (index: number) => fetchable[index] ?? false,
 });
 
-test('kept and fetched parts count from the start; what is behind a gap is read', () => {
+test('cached and fetched blocks count from the start, and everything after a gap is prefilled', () => {
 	assert.deepEqual(promptWork(prompt, sources([100, 1000], [])), {keptTokens: 1100, fetchTokens: 0, readTokens: 500});
 	assert.deepEqual(promptWork(prompt, sources([100, 0], [true, true])), {keptTokens: 100, fetchTokens: 1000, readTokens: 500});
 	assert.deepEqual(promptWork(prompt, sources([0, 1000], [false, true])), {keptTokens: 0, fetchTokens: 0, readTokens: 1600});
 	assert.deepEqual(promptWork(prompt, sources([100, 400], [])), {keptTokens: 500, fetchTokens: 0, readTokens: 1100});
 });
 
-test('the own part of a prompt is never fetched', () => {
+test('the last block of a prompt, which is its own, is never fetched', () => {
 	assert.deepEqual(promptWork(prompt, sources([100, 1000, 0], [true, true, true])), {keptTokens: 1100, fetchTokens: 0, readTokens: 500});
 });
--- a/src/decision/placement/prompt-work.ts
+++ b/src/decision/placement/prompt-work.ts
@@ -1,30 +1,32 @@
 /**
- * What an engine has to do for a prompt: parts that it keeps are used as they are, shared parts that others keep are
- * fetched, and all behind the first part of neither kind is read. Engines find a part only if all parts before it are at
- * hand, so the parts count from the prompt's start.
+ * Divides a prompt by what an engine has to do for it. Blocks that it has cached are reused, shared blocks that are
+ * cached elsewhere are fetched, and everything after the first block that is neither is prefilled. Engines match a cached
+ * block only if all blocks before it are present, so blocks count from the prompt's start.
  */
 import {type PromptShape} from '../../shared/prompt-shape.js';
 
-/** Where the parts of a prompt are, by their index in the prompt. */
+/** Where the blocks of a prompt are cached, by their index in the prompt. */
 export type PartSources = {
-	/** Tokens of a part that the engine keeps. */
+	/** Tokens of a block that the engine has cached. */
 	keptTokens(index: number): number;
-	/** Whether a store or another engine keeps the whole part. */
+	/** Whether a store or another engine has the whole block. */
 	isFetchable(index: number): boolean;
 };
 
-/** Tokens by what the engine does for them; together they are the prompt. */
+/** Tokens by what the engine does for them; their sum is the prompt. */
 export type PromptWork = {
+	/** Cached at the engine. */
 	keptTokens: number;
 	fetchTokens: number;
+	/** To be prefilled. */
 	readTokens: number;
 };
 
 /**
- * Works out what an engine does for a prompt.
+ * Computes what an engine has to do for a prompt.
  *
- * @param prompt - The prompt; its last part is its own and is never fetched.
- * @param sources - Where its parts are.
+ * @param prompt - Its last block is its own and is never fetched.
+ * @param sources - Where its blocks are cached.
  */
 export function promptWork({parts, promptTokens}: PromptShape, sources: PartSources): PromptWork {
 	let keptTokens = 0;
--- a/src/decision/placement/reading-speed.test.ts
+++ b/src/decision/placement/reading-speed.test.ts
@@ -3,7 +3,7 @@
 import {seededRandom} from '../../peer/random/seeded-random.js';
 import {ReadingSpeed} from './reading-speed.js';
 
-test('the speed of engines is learned from the delays of some hundred prompts, whatever else delays them', () => {
+test('prefill speed is learned from the delays of some hundred prompts, whatever else delays them', () => {
 	for (const speed of [30, 55, 112, 250]) {
 		const learned = new ReadingSpeed();
 		const random = seededRandom(7);
@@ -16,7 +16,7 @@
 	}
 });
 
-test('without measurements, and with nonsense, the speed stays within what engines can be', () => {
+test('without samples, and with contradictory ones, the speed stays within bounds', () => {
 	assert.ok(Math.abs(new ReadingSpeed().tokensPerMillisecond - 55) < 1);
 	const confused = new ReadingSpeed();
 	for (let sample = 0; sample < 2000; sample++) {
--- a/src/decision/placement/reading-speed.ts
+++ b/src/decision/placement/reading-speed.ts
@@ -1,22 +1,23 @@
 /**
- * Learns how many prompt tokens the engines of a service read in a millisecond.
+ * Learns how many prompt tokens the engines of a service prefill in a millisecond.
  *
- * Load it answers: engines of other make than the last ones. With a speed that is half of the true one, callers are
- * refused at engines that would answer them in time, and short waits look longer than reading a part anew elsewhere; with
- * twice the true one, prompts are sent to engines where they come too late.
+ * Engines differ between deployments. At half of the true speed, callers are refused at engines that would answer them in
+ * time, and short waits look longer than a second prefill elsewhere; at twice the true speed, prompts are sent to engines
+ * where they are late.
  *
- * The delay of the first token grows with the tokens read for it. The slope of that line is taken over the prompts that
- * were alone in the reading when they were sent; what else delays a first token moves the line, not its slope.
+ * The delay of the first token grows linearly with the tokens prefilled for it. The slope is fitted over prompts that had
+ * no prefill ahead of them when they were sent; anything else that delays a first token shifts the line but not its
+ * slope.
  */
 
-/** Before anything is measured: the lower end of what current engines state, so that no engine is swamped at first. */
+/** Used before the first sample: the lower end of what current engines state, so that no engine is overloaded at first. */
 const firstGuess = 55;
-/** Outside these bounds a slope says more of the noise than of the engines. */
+/** A slope outside these bounds reflects noise rather than the engines. */
 const slowest = 20;
 const fastest = 500;
-/** Each sample takes this part of the weight of all older ones; about 400 count. */
+/** Each sample multiplies the weight of all older ones by this; about 400 samples count. */
 const keptWeight = 0.9975;
-/** The first guess counts as much as this many samples, spread over short and long prompts. */
+/** The initial speed counts as much as this many samples, spread over short and long prompts. */
 const guessSamples = 8;
 const guessTokens = [500, 10_000];
 
@@ -36,9 +37,9 @@
 	}
 
 	/**
-	 * Takes one prompt.
+	 * Adds the sample of one prompt.
 	 *
-	 * @param tokens - Read for it by the engine.
+	 * @param tokens - Tokens that the engine prefilled for it.
 	 * @param milliseconds - From its sending to its first token.
 	 */
 	observe(tokens: number, milliseconds: number): void {
@@ -49,7 +50,7 @@
 		this.#product = (keptWeight * this.#product) + (tokens * milliseconds);
 	}
 
-	/** The speed by what was measured so far. */
+	/** The speed estimated from all samples so far. */
 	get tokensPerMillisecond(): number {
 		const spread = this.#tokensSquared - ((this.#tokens ** 2) / this.#weight);
 		const together = this.#product - (this.#tokens * this.#milliseconds / this.#weight);
--- a/src/decision/placement/shortlist.test.ts
+++ b/src/decision/placement/shortlist.test.ts
@@ -28,7 +28,7 @@
 	loading: new Set(),
 });
 
-test('a few of many are looked at, the homes of the prompt and the own data centre among them', () => {
+test('a few of many endpoints are considered, the owners and the own data centre among them', () => {
 	const request = requestOf('a1');
 	const chosen = shortlist(request, engines, 'zadar');
 	assert.equal(chosen.length, shortlistLength);
@@ -36,12 +36,12 @@
 	assert.ok(chosen.filter(({dataCentre}) => dataCentre === 'zadar').length >= 7);
 });
 
-test('all are looked at where there are few', () => {
+test('all are considered where there are few', () => {
 	assert.equal(shortlist(requestOf('a1'), engines.slice(0, shortlistLength), 'zadar').length, shortlistLength);
 });
 
-test('requests that come together spread over all endpoints', () => {
-	// Guards against instances that all choose the engine that looked idle in the same news.
+test('simultaneous requests spread over all endpoints', () => {
+	// Instances must not all choose the engine that looked idle in the same report.
 	const counts = new Map<string, number>();
 	for (let index = 0; index < 2000; index++) {
 		for (const {name} of shortlist(requestOf(`r${index}`), engines, dataCentres[index % dataCentres.length]!)) {
@@ -53,7 +53,7 @@
 	assert.ok(Math.max(...counts.values()) < 2 * 2000 * shortlistLength / engines.length);
 });
 
-test('a further look is at others, and so is a further try', () => {
+test('a further sample draws other endpoints, and so does a further attempt', () => {
 	const names = (chosen: Array<{name: string}>): string => chosen.slice(2).map(({name}) => name).join(' ');
 	const first = names(shortlist(requestOf('a1'), engines, 'zadar'));
 	assert.notEqual(names(shortlist(requestOf('a1'), engines, 'zadar', 1)), first);
--- a/src/decision/placement/shortlist.ts
+++ b/src/decision/placement/shortlist.ts
@@ -1,33 +1,36 @@
 /**
- * The endpoints that are looked at for one request, where there are many.
+ * Chooses the endpoints that are considered for one request, where there are many.
  *
- * Load it answers: hundreds of instances before dozens or hundreds of endpoints. To weigh each endpoint for each request, an
- * instance would have to know what all others do at all of them: news that grow with both. The better of a few at random is
- * nearly as good as the best of all, and does not draw all instances to the one that looked idle in the last news. Where a
- * prompt would be read anew is the same for all instances, so its home and the next one are always among them; endpoints of
- * the own data centre are, so that an instance that is cut off from the others has some to choose from.
+ * A deployment may have hundreds of instances in front of dozens or hundreds of endpoints. To weigh every endpoint for
+ * each request, an instance would have to know the load of all other instances at all endpoints, and the reports would
+ * grow with both numbers. The better of a few random endpoints is nearly as good as the best of all, and does not draw
+ * all instances to the one that looked idle in the last report.
+ *
+ * The owner of a prompt's blocks is the same for all instances, so the owner and its successor are always included.
+ * Endpoints of the instance's own data centre are included too, so that an instance that is cut off from the others has
+ * some to choose from.
  */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {hashOf} from '../../shared/hash-of.js';
 import {homesOf} from './home-of.js';
 import {type PlacementRequest} from './placement.js';
 
-/** Fewer endpoints are all looked at. */
+/** Up to this many endpoints are all considered. */
 export const shortlistLength = 16;
-/** How many of them are the homes of the prompt. */
+/** How many of them own the prompt's blocks. */
 const homes = 2;
-/** How many are of the own data centre at least, with the homes. */
+/** Owners, and endpoints of the instance's own data centre that are drawn up to this number in all. */
 const nearLength = 9;
-/** Draws that hit an endpoint that was drawn before are repeated, this often at most. */
+/** A draw that hits an endpoint already chosen is repeated; this bounds the draws for each endpoint wanted. */
 const drawsPerPlace = 4;
 
 /**
- * Gives the endpoints to look at.
+ * Returns the endpoints to consider.
  *
- * @param request - The request; its id and the endpoints that it tried before decide the draw.
- * @param endpoints - All that could take it.
- * @param dataCentre - Where this instance stands.
- * @param sample - Which draw for the same request.
+ * @param request - The request; its id and the endpoints it was already sent to decide the draw.
+ * @param endpoints - All that could serve it.
+ * @param dataCentre - Data centre of this instance.
+ * @param sample - Number of the draw for the same request.
  */
 export function shortlist(request: PlacementRequest, endpoints: readonly EndpointRecord[], dataCentre: string, sample = 0): EndpointRecord[] {
 	if (endpoints.length <= shortlistLength) {
@@ -43,7 +46,7 @@
 	return [...chosen];
 }
 
-/** Adds endpoints by the seed until there are enough, or hardly any is left to draw. */
+/** Draws endpoints by the seed until there are enough, or the draws are used up. */
 function draw(endpoints: readonly EndpointRecord[], length: number, chosen: Set<EndpointRecord>, seed: string): void {
 	for (let count = 0; chosen.size < length && endpoints.length > 0 && count < drawsPerPlace * length; count++) {
 		chosen.add(endpoints[hashOf(`${seed}|${count}`) % endpoints.length]!);
