--- a/src/decision/testing/reading-engines.ts
+++ b/src/decision/testing/reading-engines.ts
@@ -1,4 +1,7 @@
-/** Engines of a played load that read what they let in one prompt after the other, and one instance that places there. */
+/**
+ * Simulated engines that prefill the prompts they admit one after the other, and one instance that places prompts on
+ * them.
+ */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {CostPlacement} from '../placement/cost-placement.js';
 import {noLoad} from '../placement/endpoint-load.js';
@@ -13,7 +16,7 @@
 	#underWay: UnderWay[] = [];
 
 	/**
-	 * @param dataCentre - Where the instance stands.
+	 * @param dataCentre - Data centre of the instance.
 	 * @param engines - The engines.
 	 */
 	constructor(dataCentre: string, engines: readonly EndpointRecord[]) {
@@ -25,9 +28,9 @@
 	 * Places a prompt.
 	 *
 	 * @param request - The prompt.
-	 * @param now - Milliseconds; never less than before.
-	 * @param workAt - How long an engine works on it.
-	 * @returns How long its first token takes; `undefined` if it is refused.
+	 * @param now - Milliseconds; never less than in an earlier call.
+	 * @param workAt - How long an engine works on it, in milliseconds.
+	 * @returns Milliseconds to its first token; `undefined` if it is refused.
 	 */
 	send(request: PlacementRequest, now: number, workAt: (endpoint: EndpointRecord) => number): number | undefined {
 		this.#finish(now);
--- a/src/decision/testing/test-prompt-request.ts
+++ b/src/decision/testing/test-prompt-request.ts
@@ -1,6 +1,6 @@
 import {type PlacementRequest} from '../placement/placement.js';
 
-/** A prompt of 640 tokens that shares no part and that nobody keeps; each test names only what it is about. */
+/** A prompt of 640 tokens that shares no block and is cached nowhere; a test changes only what it is about. */
 export function testPromptRequest(changes: Partial<PlacementRequest> = {}): PlacementRequest {
 	return {
 		id: 'a',
