--- a/src/decision/admission/admission-policy.ts
+++ b/src/decision/admission/admission-policy.ts
@@ -1,6 +1,6 @@
 /**
- * Who is let in, who waits and who is turned away. A policy is a state machine: each call takes an event and the
- * present time and gives the actions that follow, for this and for other requests.
+ * Decides which requests are admitted, wait or are refused. A policy is a state machine: each call takes an event and the
+ * current time and returns the actions that follow, for this request and others.
  */
 import {type PriorityClass, type Refusal} from '../../shared/types.js';
 
@@ -17,31 +17,31 @@
 	deadline: number;
 };
 
-/** What follows for one request. A request without an action waits. */
+/** Action for one request. A request without an action waits. */
 export type AdmissionAction
 	= | {kind: 'admit'; requestId: string}
 		| {kind: 'refuse'; requestId: string; refusal: Refusal};
 
-/** How many requests of a service this instance may have under way: those that can wait, and urgent ones. */
+/** How many requests of a service this instance may have in flight: non-urgent and urgent ones. */
 export type ServiceCapacity = {
 	places: number;
 	urgentPlaces: number;
 };
 
-/** Lets requests in. */
+/** Admits requests. */
 export interface AdmissionPolicy {
-	/** A request came. */
+	/** A request arrived. */
 	arrive(request: AdmissionRequest, now: number): AdmissionAction[];
-	/** The first token of an admitted request came. */
+	/** The first token of an admitted request arrived. */
 	firstToken(requestId: string, now: number): void;
 	/** An admitted request ended. */
 	finish(requestId: string, now: number): AdmissionAction[];
-	/** The caller of a request that waits or was admitted hung up. */
+	/** The caller of a waiting or admitted request has disconnected. */
 	cancel(requestId: string, now: number): AdmissionAction[];
-	/** Time passed: deadlines are looked at. */
+	/** Time has passed: deadlines are checked. */
 	advance(now: number): AdmissionAction[];
-	/** How many requests of a service this instance may have under way, as known now. */
+	/** Sets how many requests of a service this instance may have in flight from now on. */
 	setCapacity(service: string, capacity: ServiceCapacity, now: number): AdmissionAction[];
-	/** Requests that wait, for operators. */
+	/** The waiting requests, for operators. */
 	waiting(): readonly AdmissionRequest[];
 }
--- a/src/decision/admission/bounded-queue-admission.ts
+++ b/src/decision/admission/bounded-queue-admission.ts
@@ -1,6 +1,6 @@
 /**
- * A baseline: a fixed number of requests at a time per service, first come first served within a class, and a bounded
- * queue. It answers saturation; it knows nothing of shares, so one workspace can take all places.
+ * Baseline: a fixed number of concurrent requests per service, first come first served within a class, and a bounded
+ * queue. It bounds the load at saturation but has no fair shares, so one workspace can take all of the capacity.
  */
 import {type PriorityClass, type Refusal} from '../../shared/types.js';
 import {
@@ -20,7 +20,7 @@
 
 	arrive(request: AdmissionRequest, now: number): AdmissionAction[] {
 		if (this.#queue.length >= queueLimitRequests) {
-			return [refuse(request, 'overloaded', 'too many requests wait')];
+			return [refuse(request, 'overloaded', 'too many requests are waiting')];
 		}
 
 		this.#queue.push(request);
@@ -28,7 +28,7 @@
 	}
 
 	firstToken(): void {
-		// Knows nothing of time.
+		// This policy does not depend on latency.
 	}
 
 	finish(requestId: string, now: number): AdmissionAction[] {
@@ -52,7 +52,7 @@
 			this.#queue = this.#queue.filter(request => request.deadline > now);
 		}
 
-		return [...late.map(request => refuse(request, 'deadline', 'the deadline passed while it waited')), ...this.#admit()];
+		return [...late.map(request => refuse(request, 'deadline', 'the deadline passed while the request waited')), ...this.#admit()];
 	}
 
 	setCapacity(service: string, capacity: ServiceCapacity, now: number): AdmissionAction[] {
--- a/src/decision/admission/fair-share-admission.test.ts
+++ b/src/decision/admission/fair-share-admission.test.ts
@@ -17,7 +17,7 @@
 	return actions.filter(({kind}) => kind === 'admit').map(({requestId}) => requestId);
 }
 
-/** A policy with one place, which is taken. */
+/** A policy with capacity for one request, which is taken. */
 function busyPolicy(): FairShareAdmission {
 	const policy = new FairShareAdmission();
 	policy.setCapacity('permits', {places: 1, urgentPlaces: 1}, 0);
@@ -25,7 +25,7 @@
 	return policy;
 }
 
-/** Lets requests end one after the other, and gives the order in which the waiting ones were let in. */
+/** Ends requests one after the other; returns the order in which the waiting ones were admitted. */
 function drain(policy: FairShareAdmission, first: string, from = 1000): string[] {
 	const order: string[] = [];
 	let now = from;
@@ -38,9 +38,9 @@
 	return order;
 }
 
-// A council sends a hundred checks, then a busker sends two. Served in order of arrival the busker would wait for all of
-// the council's; served in turns by weight the busker is done after a few.
-test('a small workspace is not stood behind the backlog of a large one', () => {
+// A council sends a hundred checks, and after them a busker sends two. In order of arrival the busker would wait for all
+// of the council's; in turns by weight the busker is served after a few.
+test('a small workspace does not wait for the whole backlog of a large one', () => {
 	const policy = busyPolicy();
 	for (let index = 0; index < 100; index++) {
 		policy.arrive(requestOf(`council-${index}`, 'council', 'normal'), 1);
@@ -53,13 +53,13 @@
 	assert.ok(order.indexOf('busker-1') <= 4, `busker served at ${order.indexOf('busker-1')}`);
 });
 
-test('an urgent request goes first, and has a place of its own when all others are taken', () => {
+test('an urgent request goes first, and has capacity of its own when the rest is taken', () => {
 	const policy = busyPolicy();
 	policy.arrive(requestOf('check', 'council', 'overnight'), 1);
 	assert.deepEqual(admittedIn(policy.arrive(requestOf('quay', 'busker', 'urgent'), 2)), ['quay']);
 });
 
-test('overnight work is served while normal work goes on waiting', () => {
+test('overnight work is served even while normal work keeps waiting', () => {
 	const policy = busyPolicy();
 	policy.arrive(requestOf('check', 'council', 'overnight'), 1);
 	for (let index = 0; index < 3 * overnightTurn; index++) {
@@ -69,7 +69,7 @@
 	assert.ok(drain(policy, 'first').indexOf('check') <= overnightTurn);
 });
 
-test('overnight work that waited long is taken as normal work', () => {
+test('overnight work that has waited long counts as normal work', () => {
 	const policy = busyPolicy();
 	policy.arrive(requestOf('check', 'council', 'overnight'), 1);
 	policy.advance(ageingMilliseconds + 2);
@@ -77,9 +77,9 @@
 	assert.equal(drain(policy, 'first', ageingMilliseconds + 4)[0], 'check');
 });
 
-// Work ends at a known speed, and the queue is longer than the deadline allows. Said at once, the caller has all its time
-// left to go elsewhere; said at the deadline, as a plain queue would, it has none.
-test('what cannot make its deadline is refused on arrival, as not run, with a true time to come back', () => {
+// Work ends at a known rate, and the queue is longer than the deadline allows. Refused at once, the caller has all its
+// time left to go elsewhere; refused at the deadline, as by a plain queue, it has none.
+test('a request that cannot meet its deadline is refused on arrival, as not run, with a realistic retry delay', () => {
 	const policy = busyPolicy();
 	for (let index = 0; index < 50; index++) {
 		policy.arrive(requestOf(`check-${index}`, 'council', 'normal'), 1);
@@ -97,10 +97,10 @@
 	assert.equal(action.refusal.reason, 'deadline');
 	assert.equal(action.refusal.ran, 'not-run');
 	const wait = action.refusal.retryAfterMilliseconds!;
-	assert.ok(wait > 10_000 && wait < 120_000, `told to come back after ${wait} ms; forty requests at one a second wait`);
+	assert.ok(wait > 10_000 && wait < 120_000, `retry after ${wait} ms, with forty requests waiting at one a second`);
 });
 
-test('a caller that hangs up leaves the queue, and its place is given on', () => {
+test('a caller that disconnects leaves the queue, and its capacity goes to the next', () => {
 	const policy = busyPolicy();
 	policy.arrive(requestOf('gone', 'council', 'normal'), 1);
 	policy.arrive(requestOf('stays', 'council', 'normal'), 2);
@@ -108,7 +108,7 @@
 	assert.deepEqual(admittedIn(policy.cancel('first', 4)), ['stays']);
 });
 
-test('a flood fills the queue to its bound and pushes out its own requests, not those of others', () => {
+test('a flood fills the queue to its limit and drops its own requests, not those of others', () => {
 	const policy = busyPolicy();
 	policy.arrive(requestOf('busker', 'busker', 'normal'), 1);
 	const refused: string[] = [];
@@ -122,8 +122,8 @@
 });
 
 // First tokens were slow for a while, so normal work with a short deadline is refused. With none admitted nothing would
-// show that the service has recovered, unless the memory of the slow time fades by itself.
-test('a service that was slow once does not refuse normal work for good', () => {
+// show that the service has recovered, unless the average decays by itself.
+test('a service that was slow once admits normal work again', () => {
 	const policy = busyPolicy();
 	policy.firstToken('first', 60_000);
 	policy.finish('first', 61_000);
--- a/src/decision/admission/fair-share-admission.ts
+++ b/src/decision/admission/fair-share-admission.ts
@@ -1,11 +1,13 @@
 /**
- * Admission with fair shares, classes and deadlines.
+ * Admission with fair shares per workspace, priority classes and deadlines.
  *
- * Load it answers: more work than the endpoints can do, most of it from a few large workspaces, with urgent questions
- * among work that can wait. Without it the largest workspace takes the places of the small ones, an urgent question
- * stands behind a night's rulebooks, and a caller hears at its deadline what could have been said at once. Urgent work
- * goes first and has places of its own; each class is served in fair order of workspaces; what cannot make its deadline
- * is refused on arrival with the time at which the queue will have room; a full queue is emptied at its longest lane.
+ * There may be more work than the endpoints can do, most of it from a few large workspaces, with urgent questions among
+ * overnight work. Without fair shares the largest workspace takes the capacity of the small ones, an urgent question
+ * waits behind a night's batch, and a caller is told only at its deadline that the request could not meet it.
+ *
+ * Here urgent work goes first and has capacity of its own. Each class is served in fair order of workspaces. A request
+ * that cannot meet its deadline is refused on arrival, with the time at which the queue will have room. A full queue
+ * drops requests of its longest lane.
  */
 import {type Refusal} from '../../shared/types.js';
 import {spreadRetry} from '../limits/spread-retry.js';
@@ -14,21 +16,28 @@
 } from './admission-policy.js';
 import {costOf, ServiceQueue} from './service-queue.js';
 
-/** Requests that wait in one instance at most: at about 400 bytes each, under half a megabyte. */
+/** Most requests that may wait in one instance: at about 400 bytes each, under half a megabyte. */
 export const queueLimitRequests = 1000;
-/** Out of so many admitted requests one goes to overnight work even while normal work waits, so that it never starves. */
+/**
+ * One of this many admitted requests is overnight work even while normal work waits, so that overnight work does not
+ * starve.
+ */
 export const overnightTurn = 8;
 const leastRetryMilliseconds = 1000;
 const longestRetryMilliseconds = 3_600_000;
 const defaultCapacity: ServiceCapacity = {places: 8, urgentPlaces: 16};
-/** Time over which the speed of service is averaged: long enough for ten overnight prompts, short enough for a fault. */
+/**
+ * Time over which the rate of served work is averaged: long enough for ten overnight prompts, short enough to notice a
+ * fault.
+ */
 const rateWindowMilliseconds = 20_000;
 
 /** Weight of one request in the average time from admission to first token. */
 const startWeight = 0.1;
 /**
- * The average is believed less and less while no first token comes: with none admitted because of it, nothing would
- * ever correct it, and a service that was slow once would refuse all normal work from then on.
+ * Time over which that average decays while no first token arrives. A high average can keep normal requests from being
+ * admitted at all, and then nothing would correct it: a service that was slow once would refuse all normal work from then
+ * on.
  */
 const startMemoryMilliseconds = 30_000;
 
@@ -38,10 +47,13 @@
 	running: number;
 	runningUrgent: number;
 	turn: number;
-	/** How long normal requests take from admission to their first token, and when that was last seen. */
+	/** Average time of normal requests from admission to first token, and when it was last updated. */
 	startMilliseconds: number;
 	startedAt: number;
-	/** Work that ended lately, decaying over `rateWindowMilliseconds`, and since when it is known. */
+	/**
+	 * Work that ended lately, decaying over `rateWindowMilliseconds`, when it was last updated, and since when it is
+	 * counted.
+	 */
 	endedWork: number;
 	endedAt: number;
 	knownSince: number;
@@ -128,7 +140,7 @@
 		return actions;
 	}
 
-	/** The service with the most that wait gives up requests until the instance's bound holds. */
+	/** Drops a request of the service with the longest queue if the instance's limit is exceeded. */
 	#boundMemory(now: number): AdmissionAction[] {
 		const services = [...this.#services.values()];
 		const total = services.reduce((sum, {queue}) => sum + queue.size, 0);
@@ -175,7 +187,7 @@
 	return (queue.take(first) ?? queue.take(second))?.request;
 }
 
-/** How long a new request would wait, from the work before it and the speed at which work ended lately. */
+/** Expected wait of a new request in milliseconds, from the work ahead of it and the rate at which work ended lately. */
 function expectedWait(service: Service, request: AdmissionRequest, now: number): number {
 	if (request.priority === 'urgent' && service.runningUrgent < service.capacity.urgentPlaces) {
 		return 0;
@@ -187,7 +199,7 @@
 	return rate <= 0 || ahead === 0 ? 0 : ahead / rate;
 }
 
-/** How long a normal request that is admitted now will take to its first token. */
+/** Expected time from admission to first token of a normal request that is admitted now. */
 function startOf({startMilliseconds, startedAt}: Service, now: number): number {
 	return startMilliseconds * Math.exp(-(now - startedAt) / startMemoryMilliseconds);
 }
@@ -200,7 +212,7 @@
 	const refusal: Refusal = {
 		reason,
 		ran: 'not-run',
-		message: reason === 'deadline' ? 'the queue is longer than the deadline allows' : 'too many requests of this workspace wait',
+		message: reason === 'deadline' ? 'the queue is longer than the deadline allows' : 'too many requests of this workspace are waiting',
 		retryAfterMilliseconds: spreadRetry(Math.min(longestRetryMilliseconds, Math.max(leastRetryMilliseconds, waitMilliseconds)), request.requestId),
 	};
 	return {kind: 'refuse', requestId: request.requestId, refusal};
--- a/src/decision/admission/service-queue.ts
+++ b/src/decision/admission/service-queue.ts
@@ -1,27 +1,29 @@
 /**
  * The waiting requests of one service: a lane per workspace, a queue per class in each lane, and start-time fair queueing
- * over the lanes. A lane's virtual time is the work that it was given, over its weight; the lane furthest behind is next.
+ * over the lanes. A lane's virtual time is the work that was served for it, divided by its weight; the lane with the
+ * least virtual time is next.
  */
 import {type PriorityClass} from '../../shared/types.js';
 import {type AdmissionRequest} from './admission-policy.js';
 
 /**
- * Overnight work that waited this long is taken as normal work. At ten minutes a night's backlog still yields to a
- * burst, and a stream of normal work that never ends cannot hold it back until its deadline hours later.
+ * Overnight work that has waited this long counts as normal work. At ten minutes a night's backlog still yields to a
+ * burst, while an endless stream of normal work cannot hold it back until its deadline hours later.
  */
 export const ageingMilliseconds = 600_000;
-/** Work that a request costs beside its prompt: its answer, and the step overhead of a short prompt. */
+/** Work of a request besides its prompt: its answer, and the step overhead of a short prompt. */
 const overheadTokens = 256;
 /**
- * Work that a lane may be behind when it comes back: two long prompts. With none, a small workspace that asks now and
- * then at one of many instances loses its claim between any two prompts (measured: 63% of its fair share).
+ * Credit that a lane may have when it becomes active again: two long prompts. Without any, a small workspace that sends a
+ * request now and then through one of many instances loses its claim between any two prompts, and got 63% of its fair
+ * share.
  */
 export const savedTokens = 65_536;
-/** Lanes that are remembered: more than the workspaces that one instance meets in an hour at the target size. */
+/** Lanes that are remembered: more than the workspaces that one instance serves in an hour at the target size. */
 const laneLimit = 2000;
 const classes: readonly PriorityClass[] = ['urgent', 'normal', 'overnight'];
 
-/** A request that waits. */
+/** A waiting request. */
 export type WaitingRequest = {request: AdmissionRequest; arrivedAt: number; cost: number};
 
 type Lane = {workspace: string; share: number; virtualTime: number; queues: Record<PriorityClass, WaitingRequest[]>};
@@ -41,12 +43,12 @@
 		return this.#size;
 	}
 
-	/** Puts a request at the end of its lane's queue. */
+	/** Adds a request to the end of its lane's queue. */
 	push(request: AdmissionRequest, now: number): void {
 		const lane = this.#laneOf(request);
 		if (classes.every(priority => lane.queues[priority].length === 0)) {
-			// An idle lane saves little credit: without this, a workspace that was away for an hour would hold all places
-			// for as long as its unused share lasts, and the others would see nothing served.
+			// An idle lane keeps little credit. Otherwise a workspace that was away for an hour would take all of the
+			// capacity for as long as its unused share lasts, and no other workspace would be served.
 			lane.virtualTime = Math.max(lane.virtualTime, this.#virtualNow() - (savedTokens / request.share));
 		}
 
@@ -56,7 +58,7 @@
 		this.#earliestDeadline = Math.min(this.#earliestDeadline, request.deadline);
 	}
 
-	/** Takes the next request of a class, in fair order over the workspaces. */
+	/** Removes and returns the next request of a class, in fair order over the workspaces. */
 	take(priority: PriorityClass): WaitingRequest | undefined {
 		let next: Lane | undefined;
 		for (const lane of this.#lanes.values()) {
@@ -76,7 +78,7 @@
 		return waiting;
 	}
 
-	/** Takes one certain request out. */
+	/** Removes a request; false if it does not wait here. */
 	remove(requestId: string): boolean {
 		for (const lane of this.#lanes.values()) {
 			for (const priority of classes) {
@@ -93,7 +95,8 @@
 	}
 
 	/**
-	 * Takes out what can no longer make its deadline, and puts overnight work that waited long behind the normal.
+	 * Removes and returns the requests that can no longer meet their deadline, and moves overnight work that has waited
+	 * long to the end of the normal queue.
 	 *
 	 * @param now - Milliseconds since the epoch.
 	 * @param startMilliseconds - How long a normal request takes from admission to its first token.
@@ -124,7 +127,7 @@
 		return late;
 	}
 
-	/** Takes out the newest and least urgent request of the lane that waits with the most work for its weight. */
+	/** Removes the newest and least urgent request of the lane with the most waiting work for its weight. */
 	dropFromLongest(): AdmissionRequest | undefined {
 		let longest: Lane | undefined;
 		let most = -1;
@@ -143,8 +146,8 @@
 	}
 
 	/**
-	 * Works out the work that will be served before a new request: of higher classes all, of its own class what fair
-	 * order puts first, which is at most its own lane's work times how many weights share the service.
+	 * Computes the work that is served before a new request: all work of higher classes, and of its own class what fair
+	 * order puts first, which is at most its own lane's work times the ratio of all active weights to its own.
 	 */
 	workAhead(request: AdmissionRequest): number {
 		let higher = 0;
@@ -165,7 +168,7 @@
 		return higher + Math.min(same, own * Math.max(1, weights / request.share));
 	}
 
-	/** All that wait. */
+	/** All waiting requests. */
 	list(): AdmissionRequest[] {
 		return [...this.#lanes.values()].flatMap(lane => classes.flatMap(priority => lane.queues[priority].map(({request}) => request)));
 	}
@@ -183,7 +186,7 @@
 		return lane;
 	}
 
-	/** The virtual time of the lane that is furthest behind of those that wait; the last such one while none waits. */
+	/** The least virtual time of all waiting lanes; its last value while none waits. */
 	#virtualNow(): number {
 		let least = Number.POSITIVE_INFINITY;
 		for (const lane of this.#lanes.values()) {
@@ -195,7 +198,7 @@
 		return least === Number.POSITIVE_INFINITY ? this.#lastVirtualTime : least;
 	}
 
-	/** Forgets a lane that waits for nothing, so that memory follows the workspaces in use. */
+	/** Forgets an idle lane above the limit, so that memory follows the workspaces in use. */
 	#boundLanes(): void {
 		if (this.#lanes.size > laneLimit) {
 			const idle = [...this.#lanes.values()].find(lane => classes.every(priority => lane.queues[priority].length === 0));
