--- a/src/decision/limits/limits.test.ts
+++ b/src/decision/limits/limits.test.ts
@@ -13,20 +13,20 @@
 		}
 	}
 
-	assert.ok(repeats <= (1000 * repeatsPerAttempt) + workspaceReserve, `${repeats} repeats`);
+	assert.ok(repeats <= (1000 * repeatsPerAttempt) + workspaceReserve, `${repeats} retries`);
 });
 
-test('a workspace whose prompts always break uses up its own repeats only', () => {
+test('a workspace whose prompts always fail uses up only its own retries', () => {
 	const budget = new RetryBudget();
 	while (budget.takeRepeat('broken', 'engine-0')) {
-		// Uses the budget up.
+		// Uses up the budget.
 	}
 
 	assert.equal(budget.takeRepeat('broken', 'engine-1'), false);
 	assert.equal(budget.takeRepeat('whole', 'engine-1'), true);
 });
 
-test('callers refused in one moment are told times over half of the wait, never sooner than it', () => {
+test('callers refused at the same moment get delays spread over half of the computed one, and never shorter ones', () => {
 	const times = Array.from({length: 1000}, (_, index) => spreadRetry(2000, `request-${index}`));
 	assert.ok(Math.min(...times) >= 2000);
 	assert.ok(Math.max(...times) <= 3000);
--- a/src/decision/limits/retry-budget.ts
+++ b/src/decision/limits/retry-budget.ts
@@ -1,37 +1,37 @@
 /**
- * How much of the work may be repeated.
+ * Limits how much of the work may be retried.
  *
- * Load it answers: endpoints that fail while there is much to do. Without it each prompt that breaks off is run up to
- * four times, the load on what is left grows fourfold just when it has least room, and an outage lasts until callers
- * give up. A budget in share of first attempts keeps the growth to a fifth, whatever happens. One caller's prompts that
- * always break cannot use up the others' repeats, since each workspace has its own budget; an endpoint that breaks
- * everything cannot make a flood of repeats, since its repeats have a budget too.
+ * Endpoints may fail while there is much to do. Without a limit each prompt that fails is run up to four times, the load
+ * on the remaining endpoints grows fourfold just when they have the least capacity, and an outage lasts until callers
+ * cancel. A budget as a share of first attempts limits the growth to a fifth in every case. Each workspace has its own
+ * budget, so that one caller's prompts that always fail cannot use up the retries of others; each endpoint has one too,
+ * so that an endpoint that fails everything cannot cause a flood of retries.
  */
 
-/** Repeats per first attempt in the long run. */
+/** Retries per first attempt in the long run. */
 export const repeatsPerAttempt = 0.2;
-/** Repeats saved at most by a workspace: enough for the streams that it has at one endpoint which dies. */
+/** Most retries that a workspace can save up: enough for the streams that it has at one endpoint which fails. */
 export const workspaceReserve = 20;
-/** Repeats saved at most for one endpoint's failures: two full batches. */
+/** Most retries that can be saved up for one endpoint's failures: two full batches. */
 export const endpointReserve = 40;
-/** Budgets that are remembered; the least recently used is forgotten, and starts full again. */
+/** Budgets that are remembered; the least recently used is forgotten, and is full when it is used again. */
 const budgetLimit = 4000;
 
 export class RetryBudget {
 	readonly #left = new Map<string, number>();
 
-	/** Takes a first attempt. */
+	/** Counts a first attempt. */
 	attempted(workspace: string, endpoint: string): void {
 		this.#add(`workspace ${workspace}`, repeatsPerAttempt, workspaceReserve);
 		this.#add(`endpoint ${endpoint}`, repeatsPerAttempt, endpointReserve);
 	}
 
 	/**
-	 * Takes a repeat out of both budgets, if both have one.
+	 * Takes a retry out of both budgets, if both have one.
 	 *
 	 * @param workspace - Whose prompt it is.
 	 * @param endpoint - The endpoint that failed it.
-	 * @returns False if the prompt must not be repeated now.
+	 * @returns False if the prompt must not be retried now.
 	 */
 	takeRepeat(workspace: string, endpoint: string): boolean {
 		const workspaceKey = `workspace ${workspace}`;
--- a/src/decision/limits/shared-repeat-budget.test.ts
+++ b/src/decision/limits/shared-repeat-budget.test.ts
@@ -2,9 +2,9 @@
 import {test} from 'node:test';
 import {SharedRepeatBudget} from './shared-repeat-budget.js';
 
-test('a failing service gets a bounded share of repeats from all instances together', () => {
-	// All endpoints of a service fail. 18 instances with uneven traffic repeat whatever they may. In every window the
-	// repeats stay under a fifth of the requests and a small extra for each instance.
+test('a failing service gets a bounded share of retries from all instances together', () => {
+	// All endpoints of a service fail, and 18 instances with uneven traffic retry as much as they may. In every window
+	// the retries stay below a fifth of the requests and a small extra for each instance.
 	const bounds = {ratio: 0.2, windowMilliseconds: 10_000};
 	const budgets = Array.from({length: 18}, () => new SharedRepeatBudget(bounds));
 	const repeatsAt: number[] = [];
@@ -23,11 +23,11 @@
 	}
 
 	const repeats = repeatsAt.filter(at => at >= 20_000).length;
-	assert.ok(repeats <= (0.2 * requests) + 18, `${repeats} repeats for ${requests} requests`);
-	assert.ok(repeats > 0.1 * requests, `${repeats} repeats for ${requests} requests`);
+	assert.ok(repeats <= (0.2 * requests) + 18, `${repeats} retries for ${requests} requests`);
+	assert.ok(repeats > 0.1 * requests, `${repeats} retries for ${requests} requests`);
 });
 
-test('a service that was never sent to may be repeated to once in a window', () => {
+test('a service without requests allows one retry in a window', () => {
 	const budget = new SharedRepeatBudget({ratio: 0.2, windowMilliseconds: 10_000});
 	assert.equal(budget.takeRepeat('desk', 0), true);
 	assert.equal(budget.takeRepeat('desk', 5000), false);
--- a/src/decision/limits/shared-repeat-budget.ts
+++ b/src/decision/limits/shared-repeat-budget.ts
@@ -1,27 +1,27 @@
 /**
- * Repeats at a service, bounded for all instances together without a counter that they share.
+ * Limits the retries at a service, for all instances together without a shared counter.
  *
- * Load it answers: endpoints that fail much of what they get. Every instance then repeats, and the service, already short
- * of room, gets a multiple of its load. The deployment allows a share of the requests as repeats in each window. Each
- * instance takes that share of the requests that it sent itself; the sum over all instances then keeps the bound,
- * whatever their number and however uneven the requests fall on them.
+ * Endpoints may fail much of what they get. If every instance retried freely, a service that is already short of capacity
+ * would get a multiple of its load. The deployment allows a share of the requests as retries in each window. Each
+ * instance takes that share of the requests that it sent itself, so the sum over all instances keeps the limit, however
+ * many there are and however unevenly the requests are spread over them.
  */
 
 /** What a deployment allows. */
 export type RepeatBounds = {
-	/** Repeats for each request, in a window. */
+	/** Retries per request, in a window. */
 	ratio: number;
 	windowMilliseconds: number;
 };
 
-/** The part of the allowed share that is used: arrivals are counted at the endpoint, a little later than the sends here. */
+/** Share of the allowed retries that is used: endpoints count arrivals a little later than the sends are counted here. */
 const usedShare = 0.8;
 /**
- * Repeats that an instance may make in a window without requests to earn them. Deployments allow an extra of two or more
- * for each instance; one leaves room for instances that join.
+ * Retries that an instance may make in a window without requests to earn them. Deployments allow two or more extra for
+ * each instance; with one, there is room for instances that join.
  */
 const freeRepeats = 1;
-/** The window is counted in slices, so that what is too old falls out in small steps. */
+/** The window is counted in slices, so that old counts expire in small steps. */
 const slices = 10;
 
 type Slice = {number: number; requests: number; repeats: number};
@@ -34,15 +34,15 @@
 		this.#bounds = bounds;
 	}
 
-	/** Counts a request's first send to a service, at a time of the steady clock in milliseconds. */
+	/** Counts a request's first send to a service; `now` is in milliseconds of the steady clock. */
 	countRequest(service: string, now: number): void {
 		this.#sliceAt(service, now).requests++;
 	}
 
 	/**
-	 * Takes one repeat.
+	 * Takes one retry.
 	 *
-	 * @param service - Where it would go.
+	 * @param service - The service to retry at.
 	 * @param now - Milliseconds of the steady clock.
 	 * @returns False if none is left.
 	 */
--- a/src/decision/limits/spread-retry.ts
+++ b/src/decision/limits/spread-retry.ts
@@ -1,19 +1,22 @@
 import {hashOf} from '../../shared/hash-of.js';
 
 const hashRange = 2 ** 32;
-/** The longest wait told, as a share of the wait worked out; the shortest is the wait itself, which is never too soon. */
+/**
+ * Longest delay, as a multiple of the computed one. The shortest is the computed delay itself, so that no caller retries
+ * too early.
+ */
 const mostSpread = 1.5;
 
 /**
- * Spreads the time at which refused callers come back.
+ * Spreads the retries of refused callers over time.
  *
- * Load it answers: an outage or a full queue that refuses many callers at the same moment. Told the same time, they all
- * come back in the same second and are refused again, and the wave goes on after the cause has ended. The spread is
- * decided by the request's id, so that the same run gives the same times.
+ * An outage or a full queue refuses many callers at the same moment. With the same delay, all of them would retry in the
+ * same second and be refused again, and the wave would continue after the cause has ended. The delay depends on the
+ * request's id, so that the same run gives the same delays.
  *
- * @param milliseconds - The wait that was worked out.
- * @param requestId - Whose wait.
- * @returns From the wait up to half as long again.
+ * @param milliseconds - The computed delay.
+ * @param requestId - The refused request.
+ * @returns The delay, up to half as long again.
  */
 export function spreadRetry(milliseconds: number, requestId: string): number {
 	return Math.round(milliseconds * (1 + ((mostSpread - 1) * hashOf(requestId) / hashRange)));
