--- a/src/decision/attempts/next-step.test.ts
+++ b/src/decision/attempts/next-step.test.ts
@@ -7,7 +7,7 @@
 };
 const always = (): boolean => true;
 
-test('a call that may not run twice is repeated only while it surely has not run', () => {
+test('a non-idempotent call is retried only if it certainly has not run', () => {
 	const booking: TryState = {...state, kind: 'non-idempotent'};
 	assert.equal(decideNextStep('rejected', booking, always), 'repeat');
 	assert.equal(decideNextStep('not-sent', {...booking, sends: 0}, always), 'repeat');
@@ -16,13 +16,13 @@
 	assert.equal(decideNextStep('rejected', {...booking, kind: 'stream', mayHaveRun: true}, always), 'fail');
 });
 
-test('"not run" is said only where no try may have run', () => {
+test('the answer is "not run" only if no attempt may have run', () => {
 	assert.equal(decideNextStep('rejected', {...state, sends: 2}, always), 'refuse');
 	assert.equal(decideNextStep('rejected', {...state, sends: 2, mayHaveRun: true}, always), 'fail');
 	assert.equal(decideNextStep('unknown', {...state, sends: 2, mayHaveRun: true}, always), 'fail');
 });
 
-test('a broken stream goes on elsewhere only where it may be resumed', () => {
+test('a cut stream continues at another endpoint only if it is resumable', () => {
 	assert.equal(decideNextStep('cut', {...state, kind: 'resumable-stream', mayHaveRun: true}, always), 'resume');
 	assert.equal(decideNextStep('cut', {...state, kind: 'stream', mayHaveRun: true}, always), 'break-off');
 	assert.equal(decideNextStep('cut', {
@@ -30,22 +30,22 @@
 	}, always), 'break-off');
 });
 
-test('nothing goes on behind a failure that broke off', () => {
+test('an answer that cannot be continued is aborted', () => {
 	assert.equal(decideNextStep('torn', {...state, kind: 'resumable-stream', mayHaveRun: true}, always), 'break-off');
 });
 
-test('repeats stop at the budget, the number of endpoints and the time left', () => {
+test('retries are limited by the budget, the number of endpoints and the time left', () => {
 	assert.equal(decideNextStep('rejected', state, () => false), 'refuse');
 	assert.equal(decideNextStep('rejected', {...state, leftMilliseconds: 20}, always), 'refuse');
 	assert.equal(decideNextStep('failed', {...state, mayHaveRun: true, sends: 2}, always), 'pass-on');
 });
 
-test('what never left needs no budget', () => {
+test('a request that was never sent needs no budget', () => {
 	assert.equal(decideNextStep('not-sent', {...state, sends: 0}, () => false), 'repeat');
 });
 
-test('a plain answer that broke off behind its first bytes is not continued by another one', () => {
-	// An endpoint dies in the middle of a lookup's answer. Asked again, another endpoint answers from the start, and the
-	// caller would get that answer behind the part of the first one.
+test('a plain answer that is cut after its first bytes is not continued by another one', () => {
+	// An endpoint crashes in the middle of a lookup's answer. On a retry, another endpoint answers from the start, and
+	// the caller would get that answer appended to the first part of the other.
 	assert.equal(decideNextStep('cut', {...state, mayHaveRun: true}, always), 'break-off');
 });
--- a/src/decision/attempts/next-step.ts
+++ b/src/decision/attempts/next-step.ts
@@ -1,59 +1,59 @@
 /**
- * What is done when one try at an endpoint did not end in a whole answer.
+ * Decides what to do after an attempt at an endpoint that did not end in a complete answer.
  *
- * Load it answers: endpoints that crash, reject, fail or cut their answers while callers wait. Without it either a caller
- * gets an error that a second endpoint would have spared it, or a call that must not repeat runs twice, or a refusal says
- * "not run" of work that ran.
+ * Endpoints crash, reject, fail or cut their answers while callers wait. A wrong step has one of three results: a caller
+ * gets an error that a second endpoint would have avoided, a non-idempotent call runs twice, or a refusal says "not run"
+ * of work that ran.
  */
 import {type RouteKind} from '../../shared/routed-configuration.js';
 
 /**
- * How a try ended.
+ * How an attempt ended.
  *
- * - `not-sent`: no byte left.
- * - `rejected`: the endpoint says that it did not run the request.
+ * - `not-sent`: no byte was sent.
+ * - `rejected`: the endpoint answered that it did not run the request.
  * - `unknown`: it was sent, and no usable answer came.
  * - `failed`: the endpoint ran it and answered with a failure, which was not passed on yet.
- * - `cut`: the answer broke off after parts of it were passed on; for an event stream behind a whole event.
- * - `torn`: the same of an answer behind which none can go on: other than a 200, such as a failure's page, since it holds
- *   no events, or a stream to be resumed whose events have no ids.
+ * - `cut`: the answer ended early after some of it was passed on; for an event stream, after a complete event.
+ * - `torn`: the same for an answer that cannot be continued: one with a status other than 200, such as an error page,
+ *   which holds no events, or a resumable stream whose events have no ids.
  */
 export type TryOutcome = 'not-sent' | 'rejected' | 'unknown' | 'failed' | 'cut' | 'torn';
 
-/** What is known when the step is decided. */
+/** What the decision depends on. */
 export type TryState = {
 	kind: RouteKind;
-	/** Endpoints that the request was sent to so far. */
+	/** Number of endpoints that the request was sent to so far. */
 	sends: number;
 	mostSends: number;
-	/** Whether an earlier try may have run. */
+	/** Whether any attempt so far may have run. */
 	mayHaveRun: boolean;
-	/** Milliseconds until the caller or the route gives up. */
+	/** Milliseconds until the timeout of the caller or the route. */
 	leftMilliseconds: number;
 };
 
 /**
  * The step.
  *
- * - `repeat`: send it again, from its start.
- * - `resume`: send it again, to go on behind the last event passed on.
- * - `refuse`: tell the caller that it has not run.
- * - `pass-on`: give the caller the endpoint's failure.
- * - `fail`: tell the caller that the outcome is not known.
- * - `break-off`: end the answer so that it does not look complete.
+ * - `repeat`: retry from the start.
+ * - `resume`: retry, and continue after the last event that was passed on.
+ * - `refuse`: answer that the request has not run.
+ * - `pass-on`: pass the endpoint's failure on to the caller.
+ * - `fail`: answer that the outcome is unknown.
+ * - `break-off`: abort the answer so that it does not look complete.
  */
 export type NextStep = 'repeat' | 'resume' | 'refuse' | 'pass-on' | 'fail' | 'break-off';
 
-/** With less time left a second endpoint can hardly answer, and its work would be for nothing: a short call's usual time. */
+/** With less time left a second endpoint can hardly answer, and its work would be wasted: the usual time of a short call. */
 export const leastRepeatMilliseconds = 50;
 
 /**
- * Decides the step after a try.
+ * Decides the step after an attempt.
  *
  * @param outcome - How it ended.
- * @param state - What is known.
- * @param takeRepeat - Takes one repeat from the budget that all instances share; false if none is left. Called only
- * where a repeat would be made.
+ * @param state - What else is known.
+ * @param takeRepeat - Takes one retry from the budget of all instances; false if none is left. Called only where the
+ * request would be retried.
  * @returns The step.
  */
 export function decideNextStep(outcome: TryOutcome, state: TryState, takeRepeat: () => boolean): NextStep {
@@ -61,7 +61,8 @@
 		return 'break-off';
 	}
 
-	// Behind a part of an answer only a stream can go on; another whole answer would be joined to that part.
+	// After the first bytes of an answer only a stream can continue; any other second answer would be appended to the
+	// partial one.
 	const mayRepeat = outcome === 'cut'
 		? state.kind === 'resumable-stream'
 		: isRepeatable(state.kind) || (!state.mayHaveRun && (outcome === 'not-sent' || outcome === 'rejected'));
@@ -81,7 +82,7 @@
 	return state.mayHaveRun || outcome === 'unknown' ? 'fail' : 'refuse';
 }
 
-/** Whether a request of this kind may run more than once. */
+/** Whether requests of this kind may run more than once. */
 export function isRepeatable(kind: RouteKind): boolean {
 	return kind === 'idempotent' || kind === 'resumable-stream';
 }
