--- a/src/decision/kept/kept-prefixes.test.ts
+++ b/src/decision/kept/kept-prefixes.test.ts
@@ -8,7 +8,7 @@
 	return keys.map((pieceKey, index) => ({sequence: firstSequence + index, kind, pieceKey}));
 }
 
-test('late, repeated and lost events: what is believed stays close to what is kept', () => {
+test('with late, repeated and lost events, the known blocks stay close to the cached ones', () => {
 	const prefixes = new KeptPrefixes();
 	const stored = eventsOf('stored', prefix, 1);
 	prefixes.takeEvents('engine', stored.filter(({sequence}) => sequence !== 4));
@@ -16,10 +16,10 @@
 	assert.equal(prefixes.leadingPieces(prefix).get('engine'), 10, 'one lost event does not hide the rest of the prefix');
 	prefixes.takeEvents('engine', eventsOf('evicted', prefix.slice(8), 11));
 	prefixes.takeEvents('engine', stored);
-	assert.equal(prefixes.leadingPieces(prefix).get('engine'), 8, 'repeated older events do not bring evicted pieces back');
+	assert.equal(prefixes.leadingPieces(prefix).get('engine'), 8, 'repeated older events do not bring evicted blocks back');
 });
 
-test('a wrong belief is forgotten when the holder turns out not to have the pieces', () => {
+test('a wrong entry is removed when the holder turns out not to have the blocks', () => {
 	const prefixes = new KeptPrefixes();
 	prefixes.learn('store', prefix);
 	prefixes.forget('store', prefix.slice(3));
@@ -28,7 +28,7 @@
 	assert.equal(prefixes.leadingPieces(prefix).size, 0);
 });
 
-test('beliefs never outgrow the holder\'s own room, oldest first', () => {
+test('known blocks never exceed the holder\'s capacity, and the oldest are dropped first', () => {
 	const prefixes = new KeptPrefixes();
 	prefixes.setRoom('engine', 5);
 	prefixes.learn('engine', prefix.toReversed());
--- a/src/decision/kept/kept-prefixes.ts
+++ b/src/decision/kept/kept-prefixes.ts
@@ -1,21 +1,23 @@
 /**
- * What this instance believes of who holds which cache pieces: engines and stores, by name.
+ * Tracks which engines and stores hold which cache blocks, as far as this instance knows.
  *
- * Load it answers: prompts that return to one of many endpoints. Without it a returning prompt lands where its prefix is
- * not, and is recomputed. All of it is a hint. Events come late and with gaps, so a belief may be wrong in both ways: a
- * piece that went unseen costs one miss, after which the answer's own count of cached tokens corrects the belief; a piece
- * that is not known of costs one recompute, after which it is known. The room per holder is bounded as the holder's own
- * is, and given up in the same order, so a lost eviction is forgotten about when the holder forgets, and memory is bounded.
+ * Prompts return to one of many endpoints. Without this knowledge a returning prompt is sent to an endpoint that does not
+ * have its prefix cached, and is recomputed. All of it is a hint. Events arrive late and with gaps, so an entry may be
+ * wrong in both directions: a block whose eviction was missed costs one miss, after which the answer's count of cached
+ * tokens corrects the entry; a block that is not known costs one recompute, after which it is known.
+ *
+ * The blocks per holder are bounded like the holder's own cache and evicted in the same order. A block whose eviction
+ * event was lost is therefore dropped at about the same time as at the holder, and memory is bounded.
  */
 import {type CacheEvent} from '../../ports/model-engine.js';
 
-/** Pieces believed to be at a holder that has not said how much room it has. */
+/** Capacity assumed for a holder that has not reported its own, in blocks. */
 const defaultRoomPieces = 4096;
 
 /**
- * So many unknown pieces in a row are passed over when a later one of the same prefix is known. The pieces of a prefix
- * come and go together, the last ones first; a hole is nearly always a lost event. With one event in fifty lost, a prefix
- * of eighteen pieces would otherwise be known whole in two cases of three only.
+ * Number of unknown blocks in a row that are skipped when a later block of the same prefix is known. The blocks of a
+ * prefix are stored and evicted together, the last ones first, so a gap is nearly always a lost event. With one event in
+ * fifty lost, a prefix of eighteen blocks would otherwise be known in full in only two of three cases.
  */
 const holePieces = 2;
 
@@ -25,7 +27,7 @@
 	readonly #holders = new Map<string, Holder>();
 	readonly #holdersOfKey = new Map<string, Set<string>>();
 
-	/** Takes pieces that a holder now has, by its own word or because it just ran a prompt with them. */
+	/** Adds blocks that a holder now has, by its own events or because it has just run a prompt with them. */
 	learn(name: string, pieceKeys: readonly string[]): void {
 		const holder = this.#holderOf(name);
 		for (const key of pieceKeys) {
@@ -39,7 +41,7 @@
 		}
 	}
 
-	/** Takes pieces that a holder turned out not to have. */
+	/** Removes blocks that a holder turned out not to have. */
 	forget(name: string, pieceKeys: readonly string[]): void {
 		const holder = this.#holderOf(name);
 		for (const key of pieceKeys) {
@@ -47,21 +49,21 @@
 		}
 	}
 
-	/** Forgets all of a holder: it left, died, or its content was thrown away. */
+	/** Removes a holder that has left, crashed or dropped its content. */
 	forgetHolder(name: string): void {
 		const holder = this.#holderOf(name);
 		this.forget(name, [...holder.keys]);
 		this.#holders.delete(name);
 	}
 
-	/** Sets how many pieces a holder has room for. */
+	/** Sets how many blocks a holder has room for. */
 	setRoom(name: string, pieces: number): void {
 		this.#holderOf(name).room = pieces;
 	}
 
 	/**
-	 * Takes a holder's cache events. A repeated or older one is passed over. After a hole the beliefs stay: dropping them
-	 * all would recompute every prefix of that holder, where a wrong one costs a single miss.
+	 * Applies a holder's cache events; repeated and older ones are skipped. After a gap the known blocks stay: dropping
+	 * all of them would recompute every prefix of that holder, whereas a wrong one costs a single miss.
 	 */
 	takeEvents(name: string, events: readonly CacheEvent[]): void {
 		const holder = this.#holderOf(name);
@@ -80,27 +82,27 @@
 		}
 	}
 
-	/** The newest event taken from a holder; 0 before the first. */
+	/** Sequence number of the newest event applied from a holder; 0 before the first. */
 	lastSequenceOf(name: string): number {
 		return this.#holders.get(name)?.lastSequence ?? 0;
 	}
 
-	/** How many holes there were in a holder's events. */
+	/** Number of gaps in a holder's events. */
 	gapsOf(name: string): number {
 		return this.#holders.get(name)?.gaps ?? 0;
 	}
 
-	/** True if somebody is believed to hold the piece. */
+	/** Whether any holder, or any of the given ones, is known to have the block. */
 	isKept(pieceKey: string, holders?: ReadonlySet<string>): boolean {
 		const found = this.#holdersOfKey.get(pieceKey);
 		return found !== undefined && (holders === undefined || [...found].some(name => holders.has(name)));
 	}
 
 	/**
-	 * Says how many leading pieces of a prompt each holder is believed to have.
+	 * Returns how many leading blocks of a prompt each holder has, as far as known.
 	 *
-	 * @param pieceKeys - The prompt's pieces, first one first.
-	 * @returns Pieces by holder; holders of none are absent.
+	 * @param pieceKeys - The prompt's blocks, first one first.
+	 * @returns Number of blocks by holder; holders of none are absent.
 	 */
 	leadingPieces(pieceKeys: readonly string[]): Map<string, number> {
 		const counts = new Map<string, number>();
--- a/src/decision/kept/no-keeping.ts
+++ b/src/decision/kept/no-keeping.ts
@@ -1,4 +1,4 @@
-/** A baseline: nothing is saved; what falls out of accelerator memory is gone. */
+/** Baseline: nothing is saved; blocks that are evicted from accelerator memory are lost. */
 import {type KeepingAction, type KeepingPolicy} from './keeping-policy.js';
 
 export class NoKeeping implements KeepingPolicy {
--- a/src/decision/kept/save-all-keeping.ts
+++ b/src/decision/kept/save-all-keeping.ts
@@ -1,4 +1,4 @@
-/** A baseline: every piece that no store is believed to have is saved at once, whatever the link carries already. */
+/** Baseline: every block that its store is not known to have is saved at once, whatever the link already carries. */
 import {type PrefilledPrompt, type KeepingAction, type KeepingPolicy} from './keeping-policy.js';
 import {type KeptPrefixes} from './kept-prefixes.js';
 import {storeOf} from './store-of.js';
--- a/src/decision/kept/store-of.ts
+++ b/src/decision/kept/store-of.ts
@@ -1,10 +1,10 @@
 import {hashOf} from '../../shared/hash-of.js';
 
 /**
- * Chooses the store that a prompt's pieces belong to, by rendezvous hashing of its first piece: all instances agree
- * without a word, the pieces of one prefix stand together, and a store that goes moves only its own prefixes.
+ * Chooses the store that owns a prompt's blocks, by rendezvous hashing of its first block: all instances agree without
+ * communication, the blocks of one prefix are stored together, and a store that leaves moves only its own prefixes.
  *
- * @param pieceKeys - The prompt's pieces; at least one.
+ * @param pieceKeys - The prompt's blocks; at least one.
  * @param stores - Names of the stores; at least one.
  */
 export function storeOf(pieceKeys: readonly string[], stores: readonly string[]): string {
