--- a/src/decision/parts/plan-parts.test.ts
+++ b/src/decision/parts/plan-parts.test.ts
@@ -11,7 +11,7 @@
 const stores = [store('small', 100_000), store('large', 500_000)];
 const parts = [{id: 'p1', tokens: 500}, {id: 'p2', tokens: 8000}];
 
-test('what a store holds whole is fetched, what it lacks is saved once', () => {
+test('a block that a store holds in full is fetched, one that it lacks is saved once', () => {
 	const planner = new PartPlanner();
 	const held = 's-w1|p1';
 	const known = {
@@ -26,7 +26,7 @@
 	assert.notEqual(planner.plan(parts, 's-w1', {stores, known}, 5000).saveTo[1], undefined);
 });
 
-test('nothing is fetched from or saved to stores of which nothing fresh is known', () => {
+test('nothing is fetched from or saved to stores whose state is not currently known', () => {
 	const plan = new PartPlanner().plan(parts, 's-w1', {
 		stores, known: {
 			isOpen: () => false, holds: () => false, heldTokens: () => 0, engineSource: () => undefined,
@@ -36,14 +36,15 @@
 	assert.deepEqual(plan.fetchFrom, [undefined, undefined]);
 });
 
-test('parts spread over stores by their room', () => {
+test('blocks spread over stores in proportion to capacity', () => {
 	const ids = Array.from({length: 6000}, (_, index) => `part-${index}`);
 	const inSmall = ids.filter(id => storesInOrder(id, stores)[0]!.name === 'small').length;
 	assert.ok(inSmall > 800 && inSmall < 1200, String(inSmall));
 });
 
-test('a part goes to a store with room, and is fetched from wherever it lies', () => {
-	// Stores fill unevenly. A part whose first store is full would push out another one that is in use, while others lie empty.
+test('a block is saved to a store with room, and fetched from any store that has it', () => {
+	// Stores fill unevenly. A block whose first store is full would evict another block that is in use, while other
+	// stores are empty.
 	const [first, second] = storesInOrder('p2', stores);
 	const known = {
 		isOpen: () => true, holds: () => false, heldTokens: (name: string) => name === first!.name ? first!.store.capacityTokens : 0, engineSource: () => undefined,
@@ -55,7 +56,7 @@
 	assert.equal(new PartPlanner().plan(parts, 's-w1', {stores, known: lies}, 0).fetchFrom[1], second!.store.address);
 });
 
-test('a part that no store has yet is fetched from an engine that keeps it, and still saved', () => {
+test('a block that no store has yet is fetched from an engine that has it cached, and still saved', () => {
 	const known = {
 		isOpen: () => true, holds: () => false, heldTokens: () => 0, engineSource: (key: string) => key === 's-w1|p2' ? 'engine:1' : undefined,
 	};
--- a/src/decision/parts/plan-parts.ts
+++ b/src/decision/parts/plan-parts.ts
@@ -1,62 +1,67 @@
 /**
- * Which stored parts an engine fetches for a prompt, and which it saves.
+ * Plans which stored blocks an engine fetches for a prompt, and which it saves.
  *
- * Load it answers: shared prompt parts that return to engines whose memory holds a fraction of them. Without stores an
- * evicted part is read again, which takes an engine ten times as long as fetching it.
+ * Shared prompt blocks return to engines whose memory holds a fraction of them. Without stores an evicted block is
+ * prefilled again, which takes an engine ten times as long as fetching it.
  *
- * A part that no store has yet is fetched from another engine that keeps it: new weights are first read by one engine, and
- * all others need the same parts within the seconds that a save and its news take. What an engine keeps is a hint; a part
- * that is gone there costs a millisecond, and the prompt is read.
+ * A block that no store has yet is fetched from another engine that has it cached: after new weights are loaded, one
+ * engine prefills a block first, and all others need the same block within the seconds until its save is reported. What
+ * an engine has cached is a hint; if the block was evicted there, the failed fetch costs a millisecond, and the block is
+ * prefilled.
  *
- * Each part has an order of stores by a hash weighed by room, the same for all instances, and is saved to the first one that
- * has room left: with one store for each part, some stores dropped parts in use while a quarter of the others lay empty.
- * Only parts that are known to be whole are fetched: an engine takes what lies there without looking. A part is saved if no
- * store has it; asked for once in a while only, since the news of a save comes some hundred milliseconds later.
+ * Each block has an order of stores by a hash weighted by capacity, the same for all instances, and is saved to the first
+ * store that has room left. With a single store for each block, some stores dropped blocks in use while a quarter of the
+ * others were empty. Only blocks that are known to be complete are fetched, since an engine takes what is stored without
+ * checking it. A block is saved if no store has it. The same save is ordered only once in a while, since its report
+ * arrives some hundred milliseconds later.
  */
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {type PromptPart} from '../../shared/prompt-shape.js';
 import {partKey} from '../../protocol/parts/part-key.js';
 import {hashOf} from '../../shared/hash-of.js';
 
-/** What is known of the stores and engines now. Keys are `salt|id`. */
+/** Where blocks are stored and cached, as far as known now. Keys are `salt|id`. */
 export interface PartKnowledge {
 	isOpen(store: string): boolean;
 	holds(store: string, key: string): boolean;
-	/** Tokens of all parts that a store is known to hold. */
+	/** Tokens of all blocks that a store is known to hold. */
 	heldTokens(store: string): number;
-	/** The address of an engine that keeps a part which the engine of the prompt lacks. */
+	/** The address of an engine that has a block cached which the engine of the prompt lacks. */
 	engineSource(key: string): string | undefined;
 }
 
-/** Addresses by part, in the prompt's order; an absent one means nothing for that part. */
+/** Addresses by block, in the prompt's order; `undefined` where a block is not transferred. */
 export type PartPlan = {
 	fetchFrom: Array<string | undefined>;
 	saveTo: Array<string | undefined>;
-	/** The stored parts that are fetched, as `salt|id`. */
+	/** Blocks that are fetched from stores, as `salt|id`. */
 	used: string[];
 };
 
-/** A named store. */
+/** A store with its name. */
 export type NamedStore = {name: string; store: StoreTraits};
 
-/** A save is not asked for again within this time: the part has to be read, sent and told of. */
+/** The same save is not ordered again within this time: the block has to be prefilled, sent and reported. */
 const saveAgainMilliseconds = 4000;
-/** How many asked-for saves are remembered. */
+/** Number of ordered saves that are remembered. */
 const rememberedSaves = 2000;
 const hashRange = 2 ** 32;
-/** A store that is fuller than this counts as full: what is being written is not yet known, and the keeper makes room above it. */
+/**
+ * A store that is filled above this share counts as full: blocks being written are not known yet, and above this share
+ * the cache store manager evicts blocks.
+ */
 const roomShare = 0.92;
 
 export class PartPlanner {
 	readonly #askedAt = new Map<string, number>();
 
 	/**
-	 * Plans for one prompt.
+	 * Plans the transfers of one prompt.
 	 *
-	 * @param parts - The parts that are shared with other prompts, in order.
-	 * @param salt - The salt under which the engine keeps them.
+	 * @param parts - The blocks that are shared with other prompts, in order.
+	 * @param salt - The salt under which the engine caches them.
 	 * @param stores - All stores.
-	 * @param known - What they hold.
+	 * @param known - What they and the engines hold.
 	 * @param now - Milliseconds of the steady clock.
 	 */
 	plan(parts: readonly PromptPart[], salt: string, {stores, known}: {stores: readonly NamedStore[]; known: PartKnowledge}, now: number): PartPlan {
@@ -95,13 +100,16 @@
 	}
 }
 
-/** The store that a new part is saved to: the first of its order with room; if none has, the first one, which makes room. */
+/**
+ * The store that a new block is saved to: the first in its order with room; if none has room, the first one, which then
+ * evicts other blocks.
+ */
 function storeWithRoom({id, tokens}: PromptPart, stores: readonly NamedStore[], known: PartKnowledge): NamedStore | undefined {
 	const order = storesInOrder(id, stores.filter(({name}) => known.isOpen(name)));
 	return order.find(({name, store}) => known.heldTokens(name) + tokens <= roomShare * store.capacityTokens) ?? order[0];
 }
 
-/** The stores of a part in the order of preference: rendezvous hashing, each store weighed by its room. */
+/** The stores in a block's order of preference, by rendezvous hashing weighted by capacity. */
 export function storesInOrder(partId: string, stores: readonly NamedStore[]): NamedStore[] {
 	return stores
 		.map(named => ({named, score: -named.store.capacityTokens / Math.log((hashOf(`${partId}|${named.name}`) + 1) / (hashRange + 1))}))
