--- a/src/decision/routing/choose-nearly-equal.ts
+++ b/src/decision/routing/choose-nearly-equal.ts
@@ -1,20 +1,20 @@
-/** Chooses among endpoints whose scores tell less than they seem to. */
+/** Chooses among endpoints whose scores are less exact than they look. */
 import {hashOf} from '../../shared/hash-of.js';
 import {type PriorityClass} from '../../shared/types.js';
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
-/** What is chosen among. */
+/** A candidate with its score. */
 export type ScoredEndpoint = {endpoint: EndpointView; score: number};
 
-/** Two endpoints whose scores are closer than this share are taken as equal: the reports are no better than that. */
+/** Scores that differ by less than this share count as equal, since the reports are no more exact. */
 const nearlyEqualShare = 0.1;
 const nearlyEqualMilliseconds: Record<PriorityClass, number> = {urgent: 20, normal: 300, overnight: 1000};
 
 /**
- * Gives the least score; among those nearly as good, the one that the hash of the prefix names.
+ * Returns the candidate with the lowest score; among nearly equal ones, the one that the hash of the prefix selects.
  *
  * @param estimates - The candidates; a lower score is better, in milliseconds.
- * @param request - Its class says how near is near, its first piece decides among equals.
+ * @param request - Its class decides which scores are nearly equal, its first block which of those is chosen.
  * @returns The candidate; `undefined` without any.
  */
 export function chooseNearlyEqual<Estimate extends ScoredEndpoint>(estimates: readonly Estimate[], request: RouteRequest): Estimate | undefined {
--- a/src/decision/routing/endpoint-index.ts
+++ b/src/decision/routing/endpoint-index.ts
@@ -1,23 +1,26 @@
 /**
- * Which endpoints a choice looks at. With few endpoints all of them; with many, those that hold the most of the prefix
- * and a spread sample of the rest: the least of sixteen random queues is nearly as short as the least of all, and the
- * cost of a choice no longer grows with the endpoints in view.
+ * Selects the endpoints that a routing decision considers. Of few endpoints, these are all; of many, those that hold the
+ * most of the prefix, and a spread sample of the rest. The shortest of sixteen random queues is nearly as short as the
+ * shortest of all, and the cost of a decision does not grow with the number of endpoints.
  */
 import {hashOf} from '../../shared/hash-of.js';
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
-/** Up to so many endpoints of a service all are looked at: today's deployments have 13 at most. */
+/** Up to this many endpoints of a service are all considered; deployments have 13 at most. */
 export const wholeViewEndpoints = 32;
 const sampledEndpoints = 16;
 const holderEndpoints = 8;
 
-/** Where endpoints stand in the view. Reports renew endpoints in their places; only a change of the list moves them. */
+/**
+ * Positions of endpoints in the view. A load report replaces an endpoint in its position; only a change of the list moves
+ * endpoints.
+ */
 type Places = {length: number; byName: ReadonlyMap<string, number>; byService: ReadonlyMap<string, number[]>};
 
 export class EndpointIndex {
 	#places: Places = {length: -1, byName: new Map(), byService: new Map()};
 
-	/** The endpoints to look at for a request. */
+	/** Returns the endpoints to consider for a request. */
 	candidatesFor(request: RouteRequest, endpoints: readonly EndpointView[], kept: ReadonlyMap<string, number>): readonly EndpointView[] {
 		const found = this.#look(request, endpoints, kept);
 		if (found !== undefined) {
@@ -28,7 +31,7 @@
 		return this.#look(request, endpoints, kept) ?? [];
 	}
 
-	/** Gives `undefined` if an endpoint does not stand where it stood. */
+	/** Returns `undefined` if an endpoint is no longer at its known position. */
 	#look(request: RouteRequest, endpoints: readonly EndpointView[], kept: ReadonlyMap<string, number>): EndpointView[] | undefined {
 		const {length, byName, byService} = this.#places;
 		if (length !== endpoints.length) {
@@ -86,7 +89,7 @@
 	return Array.from({length: sampledEndpoints}, (_, index) => places[(start + (index * step)) % places.length]!);
 }
 
-/** The names that hold the most pieces. */
+/** Names of the holders of the most blocks. */
 function mostOf(kept: ReadonlyMap<string, number>): string[] {
 	return [...kept.entries()]
 		.toSorted((left, right) => right[1] - left[1])
--- a/src/decision/routing/endpoint-state.ts
+++ b/src/decision/routing/endpoint-state.ts
@@ -1,32 +1,32 @@
 /**
  * What this instance knows of one endpoint from its own requests: what it sent since the last load report, how the
- * endpoint's latency compares with what was expected, and whether it failed.
+ * endpoint's latency compares with the expected one, and whether it failed.
  *
- * Load it answers: a load report that lags, and an endpoint that is slow or dying while its report says it is idle.
- * Without it every instance sends to the endpoint that looked idle half a second ago, and a slow endpoint, which always
- * looks idle because it takes so little, draws ever more.
+ * Load reports lag, and an endpoint may be slow or failing while its report says that it is idle. Without this history
+ * every instance sends to the endpoint that looked idle half a second ago, and a slow endpoint, which always looks idle
+ * because it does so little, attracts ever more requests.
  */
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
-/** An endpoint counts as slow after so many answers: fewer would blame it for one unlucky prompt. */
+/** Number of answers after which an endpoint can count as slow: with fewer, one unlucky prompt would decide. */
 const leastLatencySamples = 4;
 const latencyWeight = 0.2;
-/** A slow endpoint is forgiven half of its slowness in this time, so that it gets a probe now and then. */
+/** Half-life of an endpoint's slowness while there are no new samples, so that it gets a probe now and then. */
 const forgivenessMilliseconds = 15_000;
 const mostSlowness = 8;
-/** Expected times below this are taken as this: a ratio of two tiny times says nothing. */
+/** Shorter expected times are raised to this, since a ratio of two tiny times is meaningless. */
 const leastExpectedMilliseconds = 30;
-/** Half of an urgent send is forgotten in this time: long enough for a few tens of samples, short enough for a night. */
+/** Half-life of the count of urgent sends: long enough for a few tens of samples, short enough for a night. */
 const urgentMemoryMilliseconds = 45_000;
 const firstCircuitMilliseconds = 1000;
 const longestCircuitMilliseconds = 30_000;
-/** Reports whose own clock is further off than this are dated by when they came. */
+/** Reports whose clock differs by more than this are dated by their arrival. */
 const clockTrustMilliseconds = 10_000;
 
 type SentRequest = {at: number; tokens: number; rank: number; expected: number; fetched: number};
 
 export class EndpointState {
-	/** Requests of this instance under way. */
+	/** Number of this instance's requests in flight. */
 	underWay = 0;
 	#urgentSends = 0;
 	#urgentSendsAt = 0;
@@ -37,7 +37,10 @@
 	#failures = 0;
 	#openUntil = 0;
 
-	/** Prompt tokens and requests that were sent since the endpoint's report was made, of a rank or a more urgent one. */
+	/**
+	 * All requests sent since the endpoint's report was made, and the prompt tokens of those with this rank or a more
+	 * urgent one.
+	 */
 	sentSince(view: EndpointView, rank: number): {tokens: number; requests: number} {
 		const measuredAt = view.load?.measuredAt ?? 0;
 		const since = Math.abs(view.heardAt - measuredAt) < clockTrustMilliseconds ? measuredAt : view.heardAt;
@@ -53,7 +56,7 @@
 		return {tokens, requests};
 	}
 
-	/** Times that the endpoint is slower than its load explains; 1 when it is not. */
+	/** How many times slower the endpoint is than its load explains; 1 if it is not. */
 	slownessAt(now: number, usualRatio: number): number {
 		if (this.#samples < leastLatencySamples) {
 			return 1;
@@ -64,12 +67,12 @@
 		return Math.min(mostSlowness, Math.max(1, slowness));
 	}
 
-	/** Urgent requests that this instance sent there lately. */
+	/** Urgent requests that this instance sent there lately, decaying over time. */
 	urgentSendsAt(now: number): number {
 		return this.#urgentSends * (0.5 ** ((now - this.#urgentSendsAt) / urgentMemoryMilliseconds));
 	}
 
-	/** True while failures keep the endpoint out. One probe goes through each time that the circuit's time is over. */
+	/** Whether failures keep the circuit open. Each time that its open time is over, a request goes through as a probe. */
 	isOpen(now: number): boolean {
 		return now < this.#openUntil;
 	}
@@ -91,7 +94,7 @@
 		}
 	}
 
-	/** Takes a first token and gives how its time compares with what was expected. */
+	/** Records a first token and returns the ratio of its delay to the expected one. */
 	firstToken(requestId: string, afterMilliseconds: number, now: number): number {
 		const sent = this.#sent.get(requestId);
 		this.#sent.delete(requestId);
--- a/src/decision/routing/expected-first-token-policy.test.ts
+++ b/src/decision/routing/expected-first-token-policy.test.ts
@@ -35,18 +35,18 @@
 	return choice.kind === 'send' ? choice.endpoint.name : 'none';
 }
 
-test('a returning prompt goes where its prefix is kept, until the wait there is longer than a fetch', () => {
+test('a returning prompt goes where its prefix is cached, until the wait there is longer than a fetch', () => {
 	const prefixes = new KeptPrefixes();
 	prefixes.learn('engine-1', prefix);
 	prefixes.learn('store', prefix);
 	const policy = policyWith(prefixes);
 	assert.equal(endpointOf(policy, requestOf('a'), [viewOf('engine-0'), viewOf('engine-1')]), 'engine-1');
 	const busy = policy.choose(requestOf('b'), [viewOf('engine-0'), viewOf('engine-1', {waitingPrefillTokens: 40_000, runningRequests: 16, waitingRequests: 12})], 1000);
-	assert.ok(busy.kind === 'send' && busy.endpoint.name === 'engine-0', 'a hot prefix is copied');
+	assert.ok(busy.kind === 'send' && busy.endpoint.name === 'engine-0', 'a hot prefix is replicated');
 	assert.deepEqual(busy.fetch, {store: 'store', pieceKeys: prefix});
 });
 
-test('the cheaper of fetch and recompute: over a crowded link the prefix is recomputed', () => {
+test('the cheaper of fetch and recompute is chosen: with a congested link the prefix is recomputed', () => {
 	const prefixes = new KeptPrefixes();
 	prefixes.learn('store', prefix);
 	const policy = policyWith(prefixes);
@@ -62,9 +62,9 @@
 	assert.ok(after.kind === 'send' && after.fetch === undefined);
 });
 
-// Two hundred prompts come before the next load report. All engines looked idle in the last one, so whoever does not
-// count what was sent since sends them all to the same engine.
-test('no herd after a stale report: what was sent since counts', () => {
+// Two hundred prompts arrive before the next load report, and all engines looked idle in the last one. An instance that
+// does not count what it sent since sends them all to the same engine.
+test('a stale report causes no herd, since what was sent after it counts', () => {
 	const policy = policyWith(new KeptPrefixes());
 	const views = ['engine-0', 'engine-1', 'engine-2', 'engine-3'].map(name => viewOf(name));
 	const sent = new Map<string, number>();
@@ -78,7 +78,7 @@
 	assert.ok(Math.max(...sent.values()) <= 60, `sent: ${[...sent.values()].join(', ')}`);
 });
 
-test('an endpoint that fails is left alone, longer each time, and tried again; with all of them failing none is refused', () => {
+test('an endpoint that fails gets no requests for a time, unless every endpoint fails', () => {
 	const policy = policyWith(new KeptPrefixes());
 	const views = [viewOf('engine-0'), viewOf('engine-1')];
 	const request = requestOf('a');
@@ -93,7 +93,7 @@
 	assert.equal(endpointOf(policy, request, [viewOf('engine-0')], 1500), 'engine-0');
 });
 
-test('among many endpoints one that is silent, leaving or of another service is never chosen', () => {
+test('among many endpoints, one without recent reports or leaving is never chosen', () => {
 	const policy = policyWith(new KeptPrefixes());
 	const views = Array.from({length: 200}, (_, index) => ({...viewOf(`engine-${index}`), ...(index % 2 === 0 ? {state: 'leaving' as const} : {})}));
 	for (let index = 0; index < 100; index++) {
--- a/src/decision/routing/expected-first-token-policy.ts
+++ b/src/decision/routing/expected-first-token-policy.ts
@@ -1,14 +1,16 @@
 /**
- * Routing by expected time to first token.
+ * Routes by the expected time to first token.
  *
- * Load it answers: prompts with long prefixes that return to some of many endpoints, quick questions among long work,
- * reports that lag. For each endpoint it works out: the wait before prefill (reported backlog, corrected for what was
- * sent since), the prefill of what is not kept there, and the way over a store's link where that is cheaper; the least
- * sum wins. Without it a prompt either goes where its prefix is not and is recomputed, or follows its prefix into a
- * queue. A hot prefix is copied by itself: once the wait at its endpoint is longer than a fetch, the next endpoint gets
- * it. Against a herd after a stale report: instances add what they sent themselves, and those choices that are nearly
- * as good are decided by a hash of the prefix, so that a new prefix gets one home from all instances and different
- * prefixes get different ones.
+ * Prompts with long prefixes return to some of many endpoints, mixed with urgent questions, and load reports lag. For
+ * each endpoint the policy adds up the wait before prefill (the reported backlog, corrected for what was sent since), the
+ * prefill of what is not cached there, and the fetch over a store's link where that is cheaper. The endpoint with the
+ * least sum is chosen. Otherwise a prompt would either go where its prefix is not cached and be recomputed, or follow its
+ * prefix into a queue. A hot prefix is replicated without a rule of its own: once the wait at its endpoint is longer than
+ * a fetch, the next endpoint gets it.
+ *
+ * Two rules prevent a herd after a stale report. Instances add what they sent themselves, and choices that are nearly
+ * equal are decided by a hash of the prefix, so that all instances send a new prefix to the same endpoint and different
+ * prefixes to different ones.
  */
 import {type PriorityClass} from '../../shared/types.js';
 import {spreadRetry} from '../limits/spread-retry.js';
@@ -25,7 +27,7 @@
 const noEndpointRetryMilliseconds = 2000;
 const rankOf: Record<PriorityClass, number> = {urgent: 0, normal: 1, overnight: 2};
 
-/** What a policy is told of where it stands. */
+/** What a policy knows of its instance. */
 export type RoutingSettings = {
 	dataCentre: string;
 	/** The stores and their links, by name. */
@@ -34,41 +36,48 @@
 };
 
 /**
- * Beside the time to first token, recomputing costs the endpoint time that others wait for. Urgent prompts weigh it
- * little; work that can wait weighs it fully, since it has time to go where its prefix is.
+ * Weight of the time for recomputing, in addition to the time to first token: it takes endpoint time that others wait
+ * for. Urgent prompts weigh it little; non-urgent work weighs it in full, since it has time to go where its prefix is
+ * cached.
  */
 const recomputeWeight: Record<PriorityClass, number> = {urgent: 0.5, normal: 4, overnight: 6};
-/** Overnight work has hours: its own wait counts little against the work that it makes. */
+/**
+ * Weight of the request's own time to first token. Overnight work has hours, so its own wait counts little against the
+ * work that it causes.
+ */
 const latencyWeight: Record<PriorityClass, number> = {urgent: 1, normal: 1, overnight: 0.5};
-/** A fetch takes the link from others: the same reckoning for its time on the link. */
+/** Weight of the time that a fetch takes on the link, for the same reason: other fetches wait for it. */
 const linkWeight: Record<PriorityClass, number> = {urgent: 0.3, normal: 3, overnight: 3};
 /**
- * A long prefill makes every step longer for those that decode beside it, so their places come free later. Work that can
- * wait counts that against an endpoint for each request that runs there, and urgent work keeps away from an endpoint
- * that prefills for others. Together they part long prefill from quick questions without fixing who goes where.
+ * A long prefill makes every step longer for the requests that decode beside it, so their slots become free later.
+ * Non-urgent work counts that against an endpoint for each request that runs there, and urgent work avoids an endpoint
+ * that prefills for others. Together the two rules separate long prefill from urgent questions without fixed roles.
  */
 const disturbedShare = 0.15;
 const prefillingEndpointMilliseconds = 150;
 /**
- * What a new piece of work that can wait costs where urgent work has its prefixes: it evicts one of them, which then
- * has to be fetched or recomputed. Weighed by the endpoint's part of the urgent work, up to three times the mean. Work
- * with a deadline weighs less: kept from too many endpoints it crowds the others and comes too late.
+ * Cost of a new block of non-urgent work at an endpoint where urgent work has its prefixes: it evicts one of them, which
+ * then has to be fetched or recomputed. Scaled by the endpoint's share of the urgent work, up to three times the mean.
+ * Work with a deadline weighs it less: if it avoids too many endpoints, it crowds the others and is late.
  */
 const evictedPieceMilliseconds: Record<PriorityClass, number> = {urgent: 0, normal: 200, overnight: 450};
 const mostUrgentShare = 3;
-/** One step of a busy batch that an arriving prompt waits out, on average half of a chunk. */
+/** Time of one step of a busy batch that an arriving prompt waits out, on average half of a chunk. */
 const busyStepMilliseconds = 40;
-/** Each running request slows the step a little, and holds memory. */
+/** Cost of each running request: it slows the step a little and holds memory. */
 const runningMilliseconds = 2;
 const otherDataCentreMilliseconds = 4;
 const otherVersionMilliseconds = 60_000;
 const defaultServiceMilliseconds = 3000;
 const usualRatioWeight = 0.02;
 const serviceTimeWeight = 0.05;
-/** The mix of classes that was sent is remembered for about this long. */
+/** Number of sent prompt tokens over which the mix of classes is remembered, approximately. */
 const mixMemoryTokens = 400_000;
 
-/** What is believed of an endpoint's prefixes: pieces kept there and in the best store, and urgent sends to the others. */
+/**
+ * What is known of a prefix: the blocks cached at the endpoint and in the best store, and the mean urgent sends to a
+ * candidate.
+ */
 type Known = {kept: number; store: {name: string; pieces: number} | undefined; meanUrgentSends: number};
 type Estimate = {endpoint: EndpointView; score: number; expected: number; prefillTokens: number; fetch?: FetchPlan};
 
@@ -91,10 +100,11 @@
 	choose(request: RouteRequest, endpoints: readonly EndpointView[], now: number): RouteChoice {
 		const kept = this.#prefixes.leadingPieces(request.pieceKeys);
 		const sampled = this.#index.candidatesFor(request, endpoints, kept).filter(endpoint => isCandidate(endpoint, request, now));
-		// A sample can hold nothing but leaving endpoints while others are live; the caller would be refused for no reason.
+		// A sample may contain only leaving endpoints while others are live; the request would be refused for no reason.
 		const inView = sampled.length === 0 ? endpoints.filter(endpoint => isCandidate(endpoint, request, now)) : sampled;
 		const closed = inView.filter(endpoint => !this.#stateOf(endpoint.name).isOpen(now));
-		// With every circuit open the breakers would turn a short outage into refusals; the endpoints are tried instead.
+		// If every circuit is open, all endpoints are tried; otherwise the circuit breakers would turn a short outage
+		// into refusals.
 		const candidates = closed.length === 0 ? inView : closed;
 		const store = this.#bestStore(kept);
 		const meanUrgentSends = this.#meanUrgentSends(request, candidates, now);
@@ -165,7 +175,8 @@
 			this.#serviceMilliseconds += serviceTimeWeight * (now - (sentAt ?? now) - this.#serviceMilliseconds);
 			this.#prefixes.learn(endpoint, request.pieceKeys);
 		} else if (outcome === 'failed' && cachedTokens === 0) {
-			// A dead engine comes back empty. Believing otherwise would send its prompts there as if they were kept.
+			// A crashed engine restarts with an empty cache. If its blocks still counted as cached, its prompts would be
+			// sent there.
 			this.#prefixes.forget(endpoint, request.pieceKeys);
 		}
 	}
@@ -214,7 +225,7 @@
 		return disturbedShare * prefillMilliseconds * (load?.runningRequests ?? 0);
 	}
 
-	/** What the new pieces of work that can wait push out, by how much urgent work has its prefixes there. */
+	/** Cost of the blocks that non-urgent work would evict, by how much urgent work has its prefixes at the endpoint. */
 	#evictionCost({priority, pieceKeys}: RouteRequest, endpoint: EndpointView, {kept, meanUrgentSends}: Known, now: number): number {
 		if (priority === 'urgent' || meanUrgentSends === 0) {
 			return 0;
--- a/src/decision/routing/least-loaded-policy.ts
+++ b/src/decision/routing/least-loaded-policy.ts
@@ -1,6 +1,6 @@
 /**
- * A baseline: the endpoint with the fewest requests, by its last report and what was sent since. It knows nothing of
- * kept prefixes, so a returning prompt is recomputed wherever it lands.
+ * Baseline: the endpoint with the fewest requests, by its last report and what was sent since. It ignores cached
+ * prefixes, so a returning prompt is recomputed wherever it is sent.
  */
 import {isCandidate} from './is-candidate.js';
 import {
@@ -10,7 +10,7 @@
 const noEndpointRetryMilliseconds = 2000;
 
 export class LeastLoadedPolicy implements RoutingPolicy {
-	/** Requests of this instance under way, by endpoint. */
+	/** This instance's requests in flight, by endpoint. */
 	readonly #underWay = new Map<string, number>();
 
 	choose(request: RouteRequest, endpoints: readonly EndpointView[], now: number): RouteChoice {
--- a/src/decision/routing/round-robin-policy.ts
+++ b/src/decision/routing/round-robin-policy.ts
@@ -1,4 +1,4 @@
-/** A baseline: the endpoints in turn, whatever their load and whatever they keep. */
+/** Baseline: the endpoints in turn, regardless of their load and their caches. */
 import {isCandidate} from './is-candidate.js';
 import {
 	type EndpointView, type RouteChoice, type RouteRequest, type RoutingPolicy,
@@ -22,6 +22,6 @@
 	}
 
 	observe(): void {
-		// Takes turns without regard to what happens.
+		// The order does not depend on events.
 	}
 }
--- a/src/decision/routing/routing-policy.ts
+++ b/src/decision/routing/routing-policy.ts
@@ -1,6 +1,6 @@
 /**
- * Where a prompt goes. A policy is told what is known of the endpoints, and hears of every attempt, so that it can
- * correct a load report that lags by what was sent since.
+ * Routing policies choose the endpoint of a prompt. A policy gets what is known of the endpoints and observes every
+ * attempt, so that it can correct a lagging load report by what was sent since.
  */
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type PriorityClass} from '../../shared/types.js';
@@ -16,7 +16,7 @@
 	state: 'live' | 'loading' | 'leaving';
 	/** The newest load report; absent until the first one arrives. */
 	load?: LoadReport;
-	/** When anything was last heard from the endpoint itself, in milliseconds since the epoch. */
+	/** When anything was last received from the endpoint itself, in milliseconds since the epoch. */
 	heardAt: number;
 };
 
@@ -29,25 +29,25 @@
 	weightVersion: string;
 	priority: PriorityClass;
 	promptTokens: number;
-	/** Keys of the prompt's pieces by weight version are derived by the caller; these are for `weightVersion`. */
+	/** Keys of the prompt's blocks; the caller derives them for `weightVersion`. */
 	pieceKeys: readonly string[];
 	/** Endpoints that already failed this request. */
 	avoid: readonly string[];
 	deadline: number;
 };
 
-/** Pieces to bring from a store to the endpoint before the prompt is sent; a piece that is gone is recomputed. */
+/** Blocks to fetch from a store to the endpoint before the prompt is sent; a block that was evicted is recomputed. */
 export type FetchPlan = {
 	store: string;
 	pieceKeys: readonly string[];
 };
 
-/** The choice. `none` says when to come back. */
+/** The choice; `none` comes with a retry delay. */
 export type RouteChoice
 	= | {kind: 'send'; endpoint: EndpointView; fetch?: FetchPlan}
 		| {kind: 'none'; retryAfterMilliseconds: number};
 
-/** What becomes of an attempt. */
+/** What happened to an attempt. */
 export type AttemptEvent
 	= | {kind: 'sent'; endpoint: string; request: RouteRequest}
 		| {kind: 'first-token'; endpoint: string; request: RouteRequest; afterMilliseconds: number}
--- a/src/decision/routing/sticky-policy.ts
+++ b/src/decision/routing/sticky-policy.ts
@@ -1,6 +1,6 @@
 /**
- * A baseline: a prompt goes to the endpoint that a hash of its first piece names, and what the endpoint is believed to
- * lack is fetched from the store that is believed to have it. It reuses well, and lets a hot prefix swamp one endpoint.
+ * Baseline: a prompt goes to the endpoint that a hash of its first block selects, and blocks that the endpoint lacks are
+ * fetched from a store that has them. It reuses caches well, but a hot prefix overloads one endpoint.
  */
 import {hashOf} from '../../shared/hash-of.js';
 import {type KeptPrefixes} from '../kept/kept-prefixes.js';
