--- a/src/decision/weights/plan-roll.test.ts
+++ b/src/decision/weights/plan-roll.test.ts
@@ -15,23 +15,23 @@
 	assert.equal(planRoll(engines(Array.from({length: 98}, () => 1)), goal, [], 0).length, 24);
 });
 
-test('room is left by those that load, and the oldest weights go first', () => {
+test('engines that are loading count towards the limit, and the oldest weights go first', () => {
 	assert.deepEqual(namesOf(planRoll(engines([2, 1, 3, 1, 1, 2]), goal, [{name: 'e1', since: 0}], 100)), ['e3']);
 	assert.deepEqual(namesOf(planRoll(engines([3, 3, 3]), goal, [], 0)), []);
 });
 
-test('an order without a trace is given again', () => {
+test('an order that shows no effect is sent again', () => {
 	assert.deepEqual(namesOf(planRoll(engines([1, 3, 3]), goal, [{name: 'e0', since: 0}], loadPatienceMilliseconds)), ['e0']);
 });
 
-test('engines that do not serve the model are left alone', () => {
+test('engines that do not serve the model get no order', () => {
 	assert.deepEqual(planRoll([testEndpoint()], goal, [], 0), []);
 });
 
 test('the less time is left, the more engines load at a time', () => {
-	// The holder of the duty stood still; its successor has as many engines before it and a part of the time. At the usual
-	// pace the last engines would still have the old weights when no run may begin on them, and stand idle until their turn.
-	// Half of the engines go on serving all the same: with all of them loading, every caller would be refused.
+	// The lease holder hung; its successor has as many engines to update and only a part of the time. At the usual rate
+	// the last engines would still have the old weights when no run may start on them, and be idle until their turn. Half
+	// of the engines still keep serving: if all loaded, every caller would be refused.
 	const behind = engines(Array.from({length: 13}, () => 1));
 	assert.equal(planRoll(behind, {...goal, dueAt: 6000}, [], 0).length, 3);
 	assert.equal(planRoll(behind, {...goal, dueAt: 6000}, [], 2900).length, 5);
--- a/src/decision/weights/plan-roll.ts
+++ b/src/decision/weights/plan-roll.ts
@@ -1,51 +1,51 @@
 /**
- * Which engines load named weights next.
+ * Plans which engines load new weights next.
  *
- * Load it answers: new weights are named while all engines serve. Loaded one after the other, the last engine would answer
- * on old weights for long; loaded all at once, nobody serves, and loads slow each other. So a quarter of the engines
- * loads at a time, at least two where there are three or more, which leaves the others to carry the traffic.
+ * New weights are named while all engines serve. If one engine loaded them after the other, the last one would answer on
+ * old weights for long; if all loaded at once, none would serve, and loads slow each other. So a quarter of the engines
+ * load at a time, at least two where there are three or more, and the others carry the traffic.
  *
- * The operators grant a time for all of it. Where a holder of the duty stood still, orders were lost or runs took long to
- * end, what is left to do no longer fits into what is left of that time at this pace, and engines that are not done are not
- * used any more: then more load at a time, up to half. With more, callers are refused for want of engines, which is worse
- * than some engines that stand idle behind the granted time until they are done.
+ * Operators grant a time for the whole rollout. If a lease holder hung, orders were lost or runs took long to end, the
+ * remaining loads no longer fit into the remaining time at this rate, and engines that are not done by its end get no
+ * more requests. In that case more engines load at a time, up to half. With more than half, callers would be refused for
+ * lack of engines, which is worse than some engines that are idle from the end of that time until they are done.
  */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 
-/** Part of the engines that may load at once: loads slow each other where more than about that part does. */
+/** Share of the engines that may load at once; loads slow each other if more than about that share does. */
 const loadingShare = 0.25;
 const leastLoading = 2;
-/** Part of the engines that loads at once where time is short; the others carry the traffic. */
+/** Share of the engines that may load at once if time is short; the others carry the traffic. */
 const mostLoadingShare = 0.5;
 
-/** An engine that was given an order and has not shown the weights yet. */
+/** An engine that was sent an order and has not reported the weights yet. */
 export type LoadingEngine = {
 	name: string;
-	/** When the order was given, in milliseconds of the steady clock. */
+	/** When the order was sent, in milliseconds of the steady clock. */
 	since: number;
 };
 
-/** What a roll is to reach. */
+/** Target of a rollout. */
 export type RollGoal = {
 	model: string;
 	version: number;
-	/** When all engines are to be done, in milliseconds of the steady clock. */
+	/** When all engines should be done, in milliseconds of the steady clock. */
 	dueAt: number;
-	/** What an engine takes from its order to its new weights: its runs end first. */
+	/** Time from an engine's order to its new weights, including the end of its runs. */
 	loadMilliseconds: number;
 };
 
-/** An order is taken for lost if the engine shows no trace of it for so long: runs finish and weights load meanwhile. */
+/** An order counts as lost if the engine shows no sign of it for this long, in which runs finish and weights load. */
 export const loadPatienceMilliseconds = 12_000;
 
 /**
- * Picks the engines that get an order now.
+ * Chooses the engines that get an order now.
  *
- * @param engines - All engines of the model that take work.
- * @param goal - The model, the version it is to have, and by when.
- * @param loading - Those with an order under way.
+ * @param engines - All engines of the model that accept work.
+ * @param goal - The model, its target version, and the time by which it is due.
+ * @param loading - Engines with an order in flight.
  * @param now - Milliseconds of the steady clock.
- * @returns Engines, the oldest weights first.
+ * @returns Engines, those with the oldest weights first.
  */
 export function planRoll(engines: readonly EndpointRecord[], goal: RollGoal, loading: readonly LoadingEngine[], now: number): EndpointRecord[] {
 	const versionOf = ({weightVersions}: EndpointRecord): number => weightVersions.get(goal.model) ?? 0;
@@ -60,12 +60,12 @@
 		.slice(0, Math.max(0, room));
 }
 
-/** How many of so many engines load at a time while there is time enough; loads slow each other where more do. */
+/** How many of this many engines load at a time if there is enough time; loads slow each other if more do. */
 export function usualLoading(engines: number): number {
 	return engines < leastLoading + 1 ? 1 : Math.max(leastLoading, Math.floor(engines * loadingShare));
 }
 
-/** How many loads, one behind the other, fit into the time that is left; one at least. */
+/** How many loads, one after the other, fit into the remaining time; at least one. */
 function roundsLeft({dueAt, loadMilliseconds}: RollGoal, now: number): number {
 	return Math.max(1, Math.floor((dueAt - now) / loadMilliseconds));
 }
