--- a/src/decision/placement/endpoint-outlook.ts
+++ b/src/decision/placement/endpoint-outlook.ts
@@ -47,8 +47,8 @@
 	}
 
 	/**
-	 * Records a send. `heldTokens` is the request's whole need of memory, `pendingPrefillTokens` what keeps the engine
-	 * from prefilling others.
+	 * Records a send. `heldTokens` is the request's whole need of memory, `unreadTokens` the prefill that keeps the
+	 * engine from prefilling others.
 	 */
 	sent(id: string, {rank, heldTokens, unreadTokens, basis}: {rank: number; heldTokens: number; unreadTokens: number; basis: PlacementBasis}, now: number): void {
 		this.#requests.set(id, {
