--- a/src/decision/admission/service-queue.ts
+++ b/src/decision/admission/service-queue.ts
@@ -15,7 +15,7 @@
 const overheadTokens = 256;
 /**
  * Credit that a lane may have when it becomes active again: two long prompts. Without any, a small workspace that sends a
- * request now and then through one of many instances loses its claim between any two prompts, and got 63% of its fair
+ * request now and then through one of many instances loses its claim between any two prompts, and gets 63% of its fair
  * share.
  */
 export const savedTokens = 65_536;
--- a/src/decision/kept/keeping-policy.ts
+++ b/src/decision/kept/keeping-policy.ts
@@ -9,7 +9,7 @@
 	reusedPieces: number;
 };
 
-/** A save that follows. */
+/** A save that the policy asks for. */
 export type KeepingAction = {kind: 'save'; endpoint: string; store: string; pieceKeys: readonly string[]};
 
 /** Decides what is saved. */
--- a/src/decision/placement/endpoint-load.ts
+++ b/src/decision/placement/endpoint-load.ts
@@ -12,7 +12,7 @@
 	heardAgoMilliseconds: number;
 };
 
-/** Ranks that a load distinguishes; prompts have two or three. */
+/** Number of ranks that a load distinguishes; prompts use two or three. */
 export const toldRanks = 3;
 
 /** The load of an unused endpoint. */
--- a/src/decision/placement/placement.ts
+++ b/src/decision/placement/placement.ts
@@ -67,7 +67,7 @@
 /** Gives the load of all other instances at an endpoint; `undefined` while it is unknown. */
 export type OthersAt = (endpoint: string, now: number) => EndpointLoad | undefined;
 
-/** Places requests on endpoints. */
+/** Places requests on endpoints. All times are milliseconds of the steady clock. */
 export interface PlacementPolicy {
 	/**
 	 * Chooses the endpoints to query the coordinator about before the request is placed: all of a few, or a bounded
--- a/src/decision/placement/shortlist.ts
+++ b/src/decision/placement/shortlist.ts
@@ -3,7 +3,7 @@
  *
  * A deployment may have hundreds of instances in front of dozens or hundreds of endpoints. To weigh every endpoint for
  * each request, an instance would have to know the load of all other instances at all endpoints, and the reports would
- * grow with both numbers. The better of a few random endpoints is nearly as good as the best of all, and does not draw
+ * grow with both numbers. The best of a few random endpoints is nearly as good as the best of all, and does not draw
  * all instances to the one that looked idle in the last report.
  *
  * The owner of a prompt's blocks is the same for all instances, so the owner and its successor are always included.
--- a/src/decision/routing/endpoint-index.ts
+++ b/src/decision/routing/endpoint-index.ts
@@ -1,7 +1,7 @@
 /**
- * Selects the endpoints that a routing decision considers. Of few endpoints, these are all; of many, those that hold the
- * most of the prefix, and a spread sample of the rest. The shortest of sixteen random queues is nearly as short as the
- * shortest of all, and the cost of a decision does not grow with the number of endpoints.
+ * Selects the endpoints that a routing decision considers. With few endpoints these are all of them; with many, those
+ * that hold the most of the prefix, and a spread sample of the rest. The shortest of sixteen random queues is nearly as
+ * short as the shortest of all, and the cost of a decision does not grow with the number of endpoints.
  */
 import {hashOf} from '../../shared/hash-of.js';
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
--- a/src/decision/weights/plan-roll.ts
+++ b/src/decision/weights/plan-roll.ts
@@ -1,14 +1,15 @@
 /**
  * Plans which engines load new weights next.
  *
- * New weights are named while all engines serve. If one engine loaded them after the other, the last one would answer on
- * old weights for long; if all loaded at once, none would serve, and loads slow each other. So a quarter of the engines
- * load at a time, at least two where there are three or more, and the others carry the traffic.
+ * New weights are named while all engines serve. If the engines loaded them one after the other, the last one would
+ * answer on old weights for a long time; if all loaded at once, none would serve, and concurrent loads slow each other.
+ * So a quarter of the engines load at a time, at least two where there are three or more, and the others carry the
+ * traffic.
  *
  * Operators grant a time for the whole rollout. If a lease holder hung, orders were lost or runs took long to end, the
- * remaining loads no longer fit into the remaining time at this rate, and engines that are not done by its end get no
- * more requests. In that case more engines load at a time, up to half. With more than half, callers would be refused for
- * lack of engines, which is worse than some engines that are idle from the end of that time until they are done.
+ * loads that are left no longer fit into the rest of that time at this rate, and engines that are not done by its end get
+ * no more requests. In that case more engines load at a time, up to half. With more than half, callers would be refused
+ * for lack of engines, which is worse than some engines that are idle from the end of that time until they are done.
  */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 
