--- a/src/decision/admission/fair-share-admission.ts
+++ b/src/decision/admission/fair-share-admission.ts
@@ -16,7 +16,7 @@
 } from './admission-policy.js';
 import {costOf, ServiceQueue} from './service-queue.js';
 
-/** Most requests that may wait in one instance: at about 400 bytes each, under half a megabyte. */
+/** Maximum number of requests that wait in one instance: at about 400 bytes each, under half a megabyte. */
 export const queueLimitRequests = 1000;
 /**
  * One of this many admitted requests is overnight work even while normal work waits, so that overnight work does not
--- a/src/decision/kept/keeping-policy.ts
+++ b/src/decision/kept/keeping-policy.ts
@@ -14,6 +14,9 @@
 
 /** Decides what is saved. */
 export interface KeepingPolicy {
-	/** A prompt was prefilled. Its blocks are saved from then on and not at its end, which may be a minute later. */
+	/**
+	 * Called when a prompt was prefilled. Its blocks are saved from then on and not at its end, which may be a minute
+	 * later.
+	 */
 	prefilled(prompt: PrefilledPrompt, now: number): KeepingAction[];
 }
--- a/src/decision/limits/retry-budget.ts
+++ b/src/decision/limits/retry-budget.ts
@@ -10,9 +10,9 @@
 
 /** Retries per first attempt in the long run. */
 export const repeatsPerAttempt = 0.2;
-/** Most retries that a workspace can save up: enough for the streams that it has at one endpoint which fails. */
+/** Maximum number of retries that a workspace saves up: enough for the streams that it has at one endpoint which fails. */
 export const workspaceReserve = 20;
-/** Most retries that can be saved up for one endpoint's failures: two full batches. */
+/** Maximum number of retries that are saved up for one endpoint's failures: two full batches. */
 export const endpointReserve = 40;
 /** Budgets that are remembered; the least recently used is forgotten, and is full when it is used again. */
 const budgetLimit = 4000;
