--- a/src/gateway/data-path/abandoned-body.test.ts
+++ b/src/gateway/data-path/abandoned-body.test.ts
@@ -8,7 +8,7 @@
 import {answerSealed, sealedHeaders, TestGateway} from '../testing/test-gateway.js';
 import {ownWireNames as names} from './wire-names.js';
 
-/** Far more than the rest of a short page takes, and less than the idle limit of endpoints. */
+/** Far more than the rest of a short body takes, and less than the idle timeout of endpoints. */
 const patienceMilliseconds = 3000;
 const request = rawRequest({
 	method: 'POST', path: '/', headers: {
@@ -16,11 +16,10 @@
 	}, body: 'x',
 });
 
-test('the connection of a rejection whose page stalls is given up', async () => {
-	// The caller gets its answer from another endpoint and sees nothing. The first endpoint rejected the request and stalled
-	// within the page that says so. Nobody waits for the rest, and nobody closes the connection: it is kept until the endpoint
-	// closes it, and each further rejection keeps one more, until the endpoint takes no new ones. Cause: what is left of an
-	// answer was read to its end for nobody, however long that end took to come.
+test('the connection of a rejection whose body stalls is closed', async () => {
+	// Guards against leaked connections. An endpoint rejects a request and stalls within the body of the rejection, while the
+	// caller gets its answer from another endpoint. If the rest is drained without a timeout, the connection stays open until
+	// the endpoint closes it, and each further rejection leaks one more, until the endpoint accepts no new ones.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'idempotent'})]})).start();
 	let stalled: Socket | undefined;
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
--- a/src/gateway/data-path/answer-transfer.test.ts
+++ b/src/gateway/data-path/answer-transfer.test.ts
@@ -12,7 +12,7 @@
 	}, body: 'x',
 });
 
-test('the framing of an answer is read from its head', () => {
+test('the framing of an answer is determined from its head', () => {
 	assert.equal(framingOf({statusCode: 200, headers: {'content-length': '0'}}, 'GET'), 'length');
 	assert.equal(framingOf({statusCode: 200, headers: {'transfer-encoding': 'gzip, Chunked'}}, 'GET'), 'chunked');
 	assert.equal(framingOf({statusCode: 200, headers: {'transfer-encoding': 'gzip,\tchunked '}}, 'GET'), 'chunked');
@@ -25,8 +25,8 @@
 	assert.equal(framingOf({statusCode: 204, headers: {}}, 'GET'), 'none');
 });
 
-test('a body is whole only on proof by its own framing', () => {
-	// The news of an end comes also behind a reset and behind our own giving up. Each framing has one proof that all came.
+test('a body is complete only if its own framing proves it', () => {
+	// Node reports the end of a body also after a reset or a cancellation. Each framing has one proof that all of it arrived.
 	const judge = (framing: 'length' | 'chunked' | 'connection', connectionEnd: 'open' | 'in-order' | 'reset' | 'cancelled', bodyBytes = 8, isTorn = false): string => judgeBodyEnd({
 		framing, promisedBytes: 8, isComplete: true, isTorn, connectionEnd,
 	}, bodyBytes);
@@ -38,7 +38,7 @@
 	assert.deepEqual(ends.map(end => judge('connection', end, 8, true)), ['short', 'short', 'reset', 'cancelled']);
 });
 
-test('a body whose end the parser did not find is not whole by any framing', () => {
+test('a body whose end the parser did not find is incomplete with any framing', () => {
 	const ends = ['open', 'in-order', 'reset', 'cancelled'] as const;
 	for (const framing of ['length', 'chunked', 'connection', 'none'] as const) {
 		const judged = ends.map(connectionEnd => judgeBodyEnd({
@@ -91,15 +91,15 @@
 		},
 	},
 ] as Array<{name: string; line: string; transfer: Record<string, unknown>; play: PlayedEndpoint}>) {
-	test(`the log tells ${name} from other ends`, async () => {
-		// A caller reports half of an answer. Whether the endpoint's host died, the endpoint closed too early or the answer
-		// itself was short can be told afterwards only if the line of the try or of the request says it.
+	test(`the log distinguishes ${name} from other ends`, async () => {
+		// A caller reports half of an answer. Only the line of the attempt or of the request can show afterwards whether the
+		// endpoint's host died, the endpoint closed the connection too early, or the answer itself was short.
 		const lines = await linesOf(play);
 		assert.deepEqual(lines.find(({kind}) => kind === line)?.transfer, transfer, JSON.stringify(lines));
 	});
 }
 
-test('the line of an ordinary whole answer stays as short as it was', async () => {
+test('the line of a normal complete answer has no transfer', async () => {
 	const lines = await linesOf((request, response) => {
 		answerSealed(request, response, {body: 'whole', headers: {'keep-alive': 'timeout=5'}});
 	}, 2);
--- a/src/gateway/data-path/answer-transfer.ts
+++ b/src/gateway/data-path/answer-transfer.ts
@@ -1,47 +1,47 @@
 /**
- * What is known of how an answer came over its connection: how its end is told, how many bytes came, how it ended.
+ * Describes how an answer was transferred over its connection: its framing, the bytes that arrived, and how it ended.
  *
- * An answer can look complete to its caller and not be it for several causes: a reset taken for an end, our own giving up
- * taken for an end, a connection that served another request before. A log line that only says that a try failed, or that
- * it was whole, cannot tell them apart.
+ * An incomplete answer can look complete for several reasons: a reset that is taken for an end, a cancellation by this
+ * process that is taken for an end, or a connection that has served another request before. A log line that only says that
+ * an attempt failed, or that its answer was whole, cannot distinguish them.
  */
 import {type IncomingMessage} from 'node:http';
 
 /**
- * What tells where the body of an answer ends.
+ * What marks the end of an answer's body.
  *
- * - `length`: the number of bytes that its head states.
+ * - `length`: the number of bytes that the head states.
  * - `chunked`: a last chunk.
- * - `connection`: the end of the connection; nothing in the bytes themselves tells whether all came.
+ * - `connection`: the end of the connection; the bytes themselves do not show whether all of them arrived.
  * - `none`: such an answer has no body.
  */
 export type AnswerFraming = 'length' | 'chunked' | 'connection' | 'none';
 
-/** Whether a connection was opened for a request, or had served others before. */
+/** Whether a connection was opened for a request (`new`) or had served earlier ones (`kept`). */
 export type ConnectionUse = 'new' | 'kept';
 
 /**
  * The state of a connection while an answer is read.
  *
- * - `open`: nothing ended it yet.
+ * - `open`: it has not ended.
  * - `in-order`: the endpoint closed it.
  * - `reset`: it failed.
- * - `cancelled`: this process gave it up.
+ * - `cancelled`: this process closed it.
  */
 export type ConnectionEnd = 'open' | 'in-order' | 'reset' | 'cancelled';
 
 /**
  * How a body ended.
  *
- * - `in-order`: all of it came.
- * - `reset`: the connection failed before.
- * - `cancelled`: this process gave up reading before.
- * - `short`: the endpoint closed the connection in order before it had sent what it promised.
- * - `unread`: the head was reason enough not to read it.
+ * - `in-order`: all of it arrived.
+ * - `reset`: the connection failed first.
+ * - `cancelled`: this process stopped reading first.
+ * - `short`: the endpoint ended it, without a reset, before it had sent what it promised.
+ * - `unread`: it was not read, because of what the head says.
  */
 export type BodyEnd = 'in-order' | 'reset' | 'cancelled' | 'short' | 'unread';
 
-/** How an answer came, as logs tell it; an answer without a head has only a connection. */
+/** How an answer was transferred, as logged. Without a head only the connection is known. */
 export type AnswerTransfer = {
 	connection: ConnectionUse;
 	framing?: AnswerFraming;
@@ -50,19 +50,18 @@
 };
 
 /**
- * Reads from an answer's head what tells the end of its body.
+ * Determines from an answer's head what marks the end of its body.
  *
  * @param answer - The answer.
  * @param method - The request's method; an answer to `HEAD` has no body whatever its head states.
- * @returns The framing.
  */
 export function framingOf({statusCode, headers}: Pick<IncomingMessage, 'statusCode' | 'headers'>, method: string): AnswerFraming {
 	if (method === 'HEAD' || statusCode === 204 || statusCode === 304) {
 		return 'none';
 	}
 
-	// Only the blanks of HTTP: `\s` also matches a no-break space, which the parser takes for a part of another coding's name.
-	// Such an answer ends with its connection, and the end behind a reset would count as its last chunk.
+	// HTTP allows only spaces and tabs. `\s` also matches a no-break space, which the parser reads as part of another coding's
+	// name. Such an answer ends with its connection, and the end that Node reports after a reset would count as its last chunk.
 	if (/(?:^|,)[\t ]*chunked[\t ]*$/iv.test(headers['transfer-encoding'] ?? '')) {
 		return 'chunked';
 	}
@@ -70,30 +69,29 @@
 	return headers['content-length'] === undefined ? 'connection' : 'length';
 }
 
-/** What an answer promised, and what is known of its end. */
+/** What the head of an answer promised, and what is known about its end. */
 export type AnswerEnd = {
 	framing: AnswerFraming;
-	/** By its head; used only for the framing `length`. */
+	/** From the head; used only with the framing `length`. */
 	promisedBytes: number;
 	/** Whether the parser found the end of the body. */
 	isComplete: boolean;
-	/** Whether it is a stream that stopped in the middle of an event. */
+	/** Whether it is an event stream that stopped within an event. */
 	isTorn: boolean;
 	connectionEnd: ConnectionEnd;
 };
 
 /**
- * Judges whether all of a body came, when its reader is told that it ended.
+ * Classifies the end of a body, once Node has reported that end.
  *
- * The news of an end proves nothing by itself: it comes also when this process gives the answer up, and the parts that
- * still waited for a slow caller are thrown away then, behind a parser that had found the end. So what was passed on is
- * held against what the answer promised: the bytes of its length, a last chunk that nobody's giving up preceded, or a
- * connection that the endpoint is known to have closed in order, for a stream behind a whole event. Whatever is not proved
- * is not whole.
+ * The `end` event alone proves nothing. Node also emits it when this process cancels the answer, and drops the bytes that
+ * still waited for a slow caller, even where the parser had found the end. So what was relayed is compared with what the
+ * answer promised: the stated length, a last chunk without a cancellation before it, or a connection that the endpoint is
+ * known to have closed in order, for an event stream after a complete event. Without that proof the body is incomplete.
  *
- * @param end - What the answer promised, and what is known of its end.
- * @param bodyBytes - How many bytes of the body were passed on.
- * @returns `in-order` if all came, else what kept the rest from coming.
+ * @param end - What the answer promised, and what is known about its end.
+ * @param bodyBytes - How many bytes of the body were relayed.
+ * @returns `in-order` if all of the body arrived, otherwise why the rest is missing.
  */
 export function judgeBodyEnd({
 	framing, promisedBytes, isComplete, isTorn, connectionEnd,
@@ -107,12 +105,12 @@
 	return isWhole ? 'in-order' : brokenBodyEnd(connectionEnd);
 }
 
-/** Names how a body ended that was not read to its end. */
+/** Classifies the end of a body that was not read to its end. */
 export function brokenBodyEnd(connectionEnd: ConnectionEnd): BodyEnd {
 	return connectionEnd === 'open' || connectionEnd === 'in-order' ? 'short' : connectionEnd;
 }
 
-/** How the last answer came, unless it ended as nearly all do, by its own framing: the line of a request is to stay short. */
+/** Returns the transfer to log; nothing for an answer that ended by its own framing, as nearly all do, to keep lines short. */
 export function unusualTransfer(transfer: AnswerTransfer | undefined): {transfer?: AnswerTransfer} {
 	return transfer === undefined || (transfer.bodyEnd === 'in-order' && transfer.framing !== 'connection') ? {} : {transfer};
 }
--- a/src/gateway/data-path/broken-answer.test.ts
+++ b/src/gateway/data-path/broken-answer.test.ts
@@ -16,7 +16,7 @@
 });
 const sealed = `${names.attemptId}: a1\r\n${names.seal}: s\r\n`;
 
-/** What the caller of one request gets, and whether its connection was reset. */
+/** The bytes that the caller of one request gets, and whether its connection was reset. */
 async function answerTo(request: string, play: (socket: Socket) => void, kind: RouteKind = 'non-idempotent'): Promise<{text: string; wasReset: boolean}> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 	await gateway.addEndpoint((_request: IncomingMessage, response: ServerResponse) => {
@@ -56,41 +56,42 @@
 ];
 
 for (const {name, play} of brokenAnswers) {
-	test(`a caller of HTTP/1.1 sees that an answer ${name} is not whole`, async () => {
-		// The endpoint breaks off in the middle. The caller is answered in chunks, and must not get the last one.
+	test(`an HTTP/1.1 caller sees that an answer ${name} is incomplete`, async () => {
+		// The endpoint fails within its answer. The caller is answered in chunks and must not get the last one.
 		const {text} = await answerTo(post, play);
 		assert.match(text, /half/v);
 		assert.ok(!text.endsWith('0\r\n\r\n'), text);
 	});
 
-	test(`a caller of HTTP/1.0 sees that an answer ${name} is not whole`, async () => {
-		// The caller gets half of an answer and then the end of its connection, which is how a whole answer ends towards it:
-		// HTTP/1.0 has no chunks. The endpoint broke off, the gateway closed the caller's connection in order.
+	test(`an HTTP/1.0 caller sees that an answer ${name} is incomplete`, async () => {
+		// HTTP/1.0 has no chunks, so a complete answer ends with the caller's connection. If the gateway closes that connection
+		// in order after the endpoint has failed, half of an answer looks complete.
 		const {text, wasReset} = await answerTo(post.replace('HTTP/1.1', 'HTTP/1.0'), play);
 		assert.match(text, /half/v);
 		assert.equal(wasReset, true, text);
 	});
 }
 
-test('a resumable stream without a length that is reset and cannot go on elsewhere does not look whole', async () => {
-	// The endpoint's host dies behind a whole event and half of another. No other endpoint is there to go on.
+test('a resumable stream without a length that is reset and cannot be resumed does not look complete', async () => {
+	// The endpoint's host dies after one and a half events. There is no other endpoint to resume the stream.
 	const {text} = await answerTo(post, resetBehind(`HTTP/1.1 200 OK\r\n${sealed}content-type: text/event-stream\r\nconnection: close\r\n\r\nid: 1\ndata: a\n\nid: 2\nda`), 'resumable-stream');
 	assert.match(text, /data: a/v);
 	assert.ok(!text.includes('id: 2') && !text.endsWith('0\r\n\r\n'), text);
 });
 
-test('an answer shorter than its length does not end as whole on the caller\'s connection', async () => {
-	// The endpoint promises ten bytes, sends four and closes in order. The caller was promised ten bytes as well.
+test('an answer shorter than its length does not look complete on the caller\'s connection', async () => {
+	// The endpoint states ten bytes, sends four and closes in order. The caller was told ten bytes as well.
 	const {text} = await answerTo(post, socket => {
 		socket.end(`HTTP/1.1 200 OK\r\n${sealed}content-length: 10\r\n\r\nhalf`);
 	});
 	assert.match(text, /content-length: 10\r\n[\s\S]*half$/v);
 });
 
-test('an answer in a coding that only looks like chunks and is reset is not whole', async () => {
-	// The caller gets half of an answer with the end of a whole one. 1. The endpoint names a coding that is `chunked` behind
-	// a no-break space, which the parser reads as another coding: the answer ends with its connection. 2. The endpoint's
-	// host dies. 3. The end that Node reports behind the reset is taken for a last chunk.
+test('an answer whose transfer coding only looks like chunked and that is reset is incomplete', async () => {
+	// Guards against half of an answer that ends as a complete one:
+	// 1. The endpoint names a coding that is `chunked` after a no-break space. The parser reads it as another coding, so the
+	//    answer ends with its connection. 2. The endpoint's host dies. 3. The end that Node reports after the reset is taken
+	//    for a last chunk.
 	const {text} = await answerTo(post, socket => {
 		socket.write(Buffer.from(`HTTP/1.1 200 OK\r\n${sealed}transfer-encoding: \u00A0chunked\r\n\r\nhalf`, 'latin1'), () => {
 			socket.resetAndDestroy();
@@ -99,16 +100,16 @@
 	assert.ok(!text.endsWith('0\r\n\r\n'), text);
 });
 
-test('an answer with both a length and chunks is not passed on', async () => {
-	// Two framings contradict each other; a caller that believes the other one would see another end.
+test('an answer with both a length and chunks is not relayed', async () => {
+	// The two framings contradict each other; a caller that uses the other one would see another end.
 	const {text} = await answerTo(post, socket => {
 		socket.end(`HTTP/1.1 200 OK\r\n${sealed}content-length: 2\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\n\r\n`);
 	});
 	assert.match(text, /^HTTP\/1\.1 502/v);
 });
 
-test('an answer that is whole by its length stays whole though its connection is reset behind it', async () => {
-	// The endpoint's host dies right behind the last byte of an answer with a length: all that was promised came.
+test('an answer that is complete by its length stays complete if its connection is reset afterwards', async () => {
+	// The endpoint's host dies right after the last byte of an answer with a length: all that it promised has arrived.
 	const {text} = await answerTo(post, socket => {
 		socket.write(`HTTP/1.1 200 OK\r\n${sealed}content-length: 5\r\n\r\nwhole`, () => {
 			socket.resetAndDestroy();
@@ -118,7 +119,7 @@
 });
 
 for (const status of [204, 304]) {
-	test(`an answer with status ${status} has no body and is whole with its head`, async () => {
+	test(`an answer with status ${status} has no body and is complete after its head`, async () => {
 		const {text} = await answerTo(post, socket => {
 			socket.write(`HTTP/1.1 ${status} Fine\r\n${sealed}\r\n`);
 		});
@@ -126,8 +127,8 @@
 	});
 }
 
-test('an interim answer before an answer that is reset does not make it whole', async () => {
-	// 103 is followed by the final head; only the final answer's body counts.
+test('a final answer that is reset is incomplete even after an interim answer', async () => {
+	// Status 103 is followed by the final head; only the body of the final answer counts.
 	const {text} = await answerTo(post, resetBehind(`HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 200 OK\r\n${sealed}connection: close\r\n\r\nhalf`));
 	assert.ok(text.includes('half') && !text.endsWith('0\r\n\r\n'), text);
 });
--- a/src/gateway/data-path/caller-left.test.ts
+++ b/src/gateway/data-path/caller-left.test.ts
@@ -11,21 +11,21 @@
 import {ownWireNames as names} from './wire-names.js';
 
 const timeoutMilliseconds = 1500;
-/** The route's timeout, and time for a busy machine. */
+/** The timeout of the route, and extra time for a busy machine. */
 const releaseMilliseconds = timeoutMilliseconds + 1500;
 const request = rawRequest({
 	method: 'POST', path: '/', headers: {host: 'quay.example', [names.attemptId]: 'a1', [names.deadline]: '60000'}, body: 'x',
 });
 
 type Stage = {
-	/** Whether the caller waits for the first bytes of its answer before it leaves. */
+	/** Whether the caller waits for the first bytes of its answer before it disconnects. */
 	leavesWithinAnswer: boolean;
-	/** What the endpoint does; `left` resolves when its caller has left. */
+	/** Plays the endpoint; `left` resolves when the caller has disconnected. */
 	play(incoming: IncomingMessage, response: ServerResponse, left: Promise<unknown>): void | Promise<void>;
 };
 
 const stages: Record<string, Stage> = {
-	'before the head of a rejection whose page stalls': {
+	'before the head of a rejection whose body stalls': {
 		async play(incoming, response, left) {
 			await left;
 			response.writeHead(503, {...sealedHeaders(incoming), [names.notExecuted]: '1', 'content-length': '100'});
@@ -41,7 +41,7 @@
 		},
 		leavesWithinAnswer: false,
 	},
-	'before the head of an answer that never comes': {
+	'before the head of an answer that never arrives': {
 		play() {
 			// The endpoint hangs.
 		},
@@ -83,8 +83,8 @@
 
 for (const kind of ['idempotent', 'non-idempotent', 'stream', 'resumable-stream'] satisfies RouteKind[]) {
 	for (const [stage, {play, leavesWithinAnswer}] of Object.entries(stages)) {
-		test(`an endpoint's connection is released when the caller leaves ${stage} (${kind})`, async () => {
-			// Guards against endpoints that run out of connections because each caller who left holds one.
+		test(`an endpoint's connection is released when the caller disconnects ${stage} (${kind})`, async () => {
+			// Guards against endpoints that run out of connections because each disconnected caller leaks one.
 			const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds, mostAttempts: 1})]})).start();
 			const departure = new AbortController();
 			const left = once(departure.signal, 'abort');
@@ -113,8 +113,8 @@
 	}
 }
 
-test('a call that may run only once is left to finish when its caller has left', async () => {
-	// Guards against bookings that are left half done because their callers closed their connections.
+test('a non-idempotent call is left to finish after its caller has disconnected', async () => {
+	// Guards against bookings that stay half done because their callers closed their connections.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'non-idempotent', timeoutMilliseconds, mostAttempts: 1})]})).start();
 	let arrive!: (response: ServerResponse) => void;
 	const arrival = new Promise<ServerResponse>(resolve => {
--- a/src/gateway/data-path/connection-end-timing.test.ts
+++ b/src/gateway/data-path/connection-end-timing.test.ts
@@ -10,7 +10,7 @@
 import {TestGateway} from '../testing/test-gateway.js';
 import {ownWireNames as names} from './wire-names.js';
 
-/** When the connection ends: in the turn of the last bytes, behind their write, a turn later, a millisecond later, or 20. */
+/** When the connection ends, relative to the last bytes: with them, after their write, a turn, 1 ms or 20 ms later. */
 const timings = ['same-turn', 'behind-write', 'next-turn', 'soon', 'late', 'behind-second-part'] as const;
 const bodySizes = [0, 5, 800, 65_536, 300_000];
 
@@ -69,7 +69,7 @@
 	return `POST / HTTP/1.1\r\nhost: quay.example\r\n${names.attemptId}: ${id}\r\n${names.deadline}: 5000\r\nconnection: ${connection}\r\ncontent-length: 1\r\n\r\nx`;
 }
 
-/** Whether a caller gets a whole answer; it may have used its connection before, and may read late. */
+/** Whether a caller gets a complete answer; it may have used its connection before, and may read late. */
 async function getsWhole(address: string, isKept: boolean, pauseMilliseconds: number): Promise<boolean> {
 	const caller = await openSocket(address);
 	if (isKept) {
@@ -92,10 +92,10 @@
 }
 
 for (const seed of [1, 2]) {
-	test(`answers without a length are whole if and only if their connection was closed in order; seed ${seed}`, async () => {
-		// The caller gets half of an answer as whole, or loses a whole one. The endpoint sends an answer that ends with its
-		// connection and closes or resets that at any moment behind the last bytes. Whether the two arrive in one turn of the
-		// event loop, on a fresh or a kept connection, before a slow or a quick caller, must make no difference.
+	test(`answers without a length are complete if and only if their connection was closed in order; seed ${seed}`, async () => {
+		// Guards against half of an answer that looks complete, and against the loss of a complete one. The endpoint sends an
+		// answer that ends with its connection, and closes or resets that at some time after the last bytes. Whether both
+		// arrive in one turn of the event loop, on a new or reused connection, for a slow or fast caller, must not matter.
 		const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'non-idempotent'})]})).start();
 		const plays = timings.flatMap(timing => bodySizes.flatMap(bytes => [true, false].map(isReset => ({bytes, timing, isReset}))));
 		let play = plays[0]!;
@@ -128,8 +128,8 @@
 
 for (const isReset of [true, false]) {
 	test(`an answer that waits for a slow caller while its connection is ${isReset ? 'reset' : 'closed in order'} is ${isReset ? 'cut' : 'whole'}`, async () => {
-		// The caller does not read, so the gateway does not read on either: the end of the endpoint's connection is seen only
-		// when the caller reads again, behind bytes that waited in the system's buffers.
+		// While the caller does not read, the gateway does not read either. It sees the end of the endpoint's connection only
+		// when the caller reads again, after the bytes that waited in the operating system's buffers.
 		const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'non-idempotent'})]})).start();
 		let callerSide: Socket | undefined;
 		const holdWrites = (message: unknown): void => {
--- a/src/gateway/data-path/connection-end.test.ts
+++ b/src/gateway/data-path/connection-end.test.ts
@@ -10,7 +10,7 @@
 
 const head = 'HTTP/1.1 200 OK\r\nx-attempt-id: a1\r\nconnection: close\r\n\r\n';
 
-/** Plays an endpoint that sends a head and a first part, and the last part and the end when told to. */
+/** Plays an endpoint that sends a head and the first bytes; the test sends the last bytes and ends the connection. */
 async function openAnswer(context: TestContext): Promise<{answer: EndpointAnswer; endpointSocket: Socket}> {
 	let endpointSocket: Socket | undefined;
 	const server = createServer(socket => {
@@ -47,10 +47,10 @@
 	{name: 'reset', end: (socket: Socket) => socket.resetAndDestroy(), expected: 'reset'},
 	{name: 'closed in order', end: (socket: Socket) => socket.end(), expected: 'in-order'},
 ]) {
-	test(`a connection that is ${name} behind its last bytes is known to be so, though its peer's address was looked up before`, async context => {
-		// A caller gets half of an answer as whole. The endpoint's host resets the connection together with the last bytes,
-		// which Node reports as an ordinary end. Node remembers a peer's address: once a log line, an inspector or an earlier
-		// request on the connection has asked for it, it says nothing of what the connection is now.
+	test(`a connection that is ${name} after its last bytes is recognised as such, even if its peer's address was read before`, async context => {
+		// Guards against half of an answer that looks complete. The endpoint's host resets the connection together with the last
+		// bytes, which Node reports as an ordinary end. Node caches the peer's address: once a log line, an inspector or an
+		// earlier request on the connection has read it, it no longer shows the present state of the connection.
 		const {answer, endpointSocket} = await openAnswer(context);
 		assert.equal(answer.body.socket.remoteAddress, '127.0.0.1');
 		await pause(5);
@@ -61,6 +61,6 @@
 	});
 }
 
-test('a connection of which the system cannot be asked does not count as closed in order', () => {
+test('a connection that the operating system cannot be queried about does not count as closed in order', () => {
 	assert.equal(isClosedInOrder(new Socket()), false);
 });
--- a/src/gateway/data-path/dark-endpoint.test.ts
+++ b/src/gateway/data-path/dark-endpoint.test.ts
@@ -7,7 +7,7 @@
 import {ownWireNames as names} from './wire-names.js';
 
 const timeoutMilliseconds = 8000;
-/** Two periods after which an endpoint counts as unresponsive, and time for a busy machine. */
+/** Twice the time after which an endpoint counts as unresponsive, and extra time for a busy machine. */
 const answeredMilliseconds = 3000;
 const request = rawRequest({
 	method: 'POST', path: '/', headers: {
@@ -23,7 +23,7 @@
 
 const stages: Record<string, (incoming: IncomingMessage, response: ServerResponse) => void> = {
 	'before its answer'() {
-		// It lost its power, and resets nothing.
+		// The host has lost power and resets no connection.
 	},
 	'within its answer'(incoming, response) {
 		response.writeHead(200, {...sealedHeaders(incoming), 'content-type': 'text/event-stream'});
@@ -33,8 +33,8 @@
 
 for (const [stage, play] of Object.entries(stages)) {
 	for (const mostAttempts of [1, 2, 3]) {
-		test(`a prompt whose only engine falls silent ${stage} is ended soon (${mostAttempts} attempts)`, async () => {
-			// Guards against callers who wait until their time is over although nothing can serve them any more.
+		test(`a prompt whose only engine becomes unresponsive ${stage} is ended soon (${mostAttempts} attempts)`, async () => {
+			// Guards against callers that wait until their timeout although nothing can serve them any more.
 			const route = testRoute({
 				kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds, mostAttempts,
 			});
--- a/src/gateway/data-path/endpoint-agent.ts
+++ b/src/gateway/data-path/endpoint-agent.ts
@@ -1,20 +1,21 @@
 /**
- * Kept connections to endpoints.
+ * Keeps idle connections to endpoints for reuse, and guards against these failures:
  *
- * Three failures are guarded against. An endpoint sends bytes that nobody waits for, such as a second answer; they would
- * be taken for the next answer on that connection, so any byte on an idle connection ends it. An endpoint closes an idle
- * connection just as a request leaves; nobody could tell whether that request was read, so a connection is given up
- * before the endpoint's own limit. A connection attempt hangs because nothing answers at the address.
+ * - An endpoint sends bytes that no request waits for, such as a second answer. They would be taken for the next answer on
+ *   that connection, so any byte on an idle connection closes it.
+ * - An endpoint closes an idle connection just as a request is sent, and nobody can tell whether it read that request. So an
+ *   idle connection is closed before the endpoint's own timeout.
+ * - A connection attempt hangs because nothing answers at the address; `endpoint-exchange.ts` has the timeout for that.
  */
 import {Agent, type ClientRequest} from 'node:http';
 import {type Socket} from 'node:net';
 import {type Duplex} from 'node:stream';
 
-/** Given up this long before the endpoint's stated limit: a round trip, a timer that fires late, and a slow instance. */
+/** Idle connections are closed this long before the endpoint's timeout: a round trip, a late timer and a slow instance. */
 const idleMarginMilliseconds = 800;
-/** Used where an endpoint states no limit: it may be anything, so only quick reuse is safe. */
+/** Idle timeout where an endpoint states none: its timeout may be anything, so only quick reuse is safe. */
 const unstatedIdleMilliseconds = 700;
-/** Kept no longer than this without use, whatever the endpoint allows; an idle connection costs both sides memory. */
+/** Longest idle time, whatever the endpoint allows; an idle connection costs both sides memory. */
 const mostIdleMilliseconds = 10_000;
 
 export class EndpointAgent extends Agent {
@@ -22,12 +23,12 @@
 	readonly #watched = new WeakMap<Duplex, () => void>();
 
 	constructor() {
-		// The last one given back is the first one used, so that spare connections grow old and close.
+		// The most recently used connection is reused first, so that spare connections reach their timeout and close.
 		super({keepAlive: true, scheduling: 'lifo', maxFreeSockets: 64});
 	}
 
 	/**
-	 * Notes how long the endpoint keeps the connection when it is idle.
+	 * Records how long the endpoint keeps the connection open while it is idle.
 	 *
 	 * @param socket - The connection.
 	 * @param keepAlive - The answer's `Keep-Alive` header.
@@ -38,7 +39,7 @@
 		this.#statedLimits.set(socket, Math.min(mostIdleMilliseconds, limit));
 	}
 
-	/** Called by Node when an answer is over; false closes the connection. */
+	/** Called by Node when an answer is complete; returning false closes the connection. */
 	// eslint-disable-next-line @typescript-eslint/strict-void-return -- Node reads the value; its published types do not say so
 	override keepSocketAlive(socket: Duplex): boolean {
 		const limit = this.#statedLimits.get(socket) ?? unstatedIdleMilliseconds;
@@ -56,9 +57,9 @@
 		return true;
 	}
 
-	/** Called by Node when an idle connection is used again. */
+	/** Called by Node when an idle connection is reused. */
 	override reuseSocket(socket: Duplex, request: ClientRequest): void {
-		// Takes off the listener that Node put on when the connection became idle; one more would stay with each use.
+		// Removes the listener that Node added when the connection became idle; otherwise each reuse would leave one behind.
 		super.reuseSocket(socket, request);
 		const end = this.#watched.get(socket);
 		if (end !== undefined) {
--- a/src/gateway/data-path/endpoint-choice.ts
+++ b/src/gateway/data-path/endpoint-choice.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints that one request is placed among: looked at, asked about, and weighed. What is known changes with each
- * answer of the hub, so a request that is placed again looks anew.
+ * Chooses the endpoint of one request: selects candidates, queries the coordinator about them, and places the request on one
+ * of them. Each answer of the coordinator changes what this instance knows, so every placement starts with a new selection.
  */
 import {type Placement, type PlacementRequest} from '../../decision/placement/placement.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
@@ -10,7 +10,7 @@
 import {PromptSources} from './prompt-sources.js';
 import {type RequestHead} from './request-head.js';
 
-/** A request that finds no room at the endpoints it looked at looks at others, so often in all; then the service is full. */
+/** Samples of candidates that are checked for capacity before the service counts as overloaded. */
 const mostLooks = 3;
 
 export class EndpointChoice {
@@ -20,7 +20,7 @@
 	#choices: readonly EndpointRecord[] = [];
 	#looks = 0;
 
-	/** @param tried - The endpoints that had the request already; it may grow. */
+	/** @param tried - The endpoints that the request was already sent to; the caller may add to it. */
 	constructor(context: GatewayContext, work: {head: RequestHead; permitted: PermittedRequest}, tried: ReadonlySet<string>) {
 		this.#context = context;
 		this.#work = work;
@@ -28,8 +28,9 @@
 	}
 
 	/**
-	 * Looks at all endpoints of the service, or some of many, and asks what the others do there and where the parts of a prompt
-	 * are kept; a plain call is placed by what is known.
+	 * Selects the candidates: all endpoints of the service, or a sample where there are many. For a prompt, queries the
+	 * coordinator for the load from other instances there and for the locations of the prompt's cached blocks. A plain call is
+	 * placed without a query.
 	 */
 	async look(): Promise<void> {
 		const {placement, peerNews} = this.#context;
@@ -41,7 +42,7 @@
 		}
 	}
 
-	/** Places the request on one of the endpoints that were looked at, or on one that is known to keep parts of it. */
+	/** Places the request on one of the candidates, or on an engine that is known to cache blocks of the prompt. */
 	place(): {request: PlacementRequest; placement: Placement} {
 		const now = this.#now();
 		const request = this.#request();
@@ -51,7 +52,7 @@
 		return {request, placement: this.#context.placement.place(request, known, now)};
 	}
 
-	/** Whether the next look is at others, for a request that found no room. */
+	/** Moves to the next sample of candidates. Returns false after the last round, or if all usable endpoints were candidates. */
 	mayLookFurther(): boolean {
 		this.#looks++;
 		return this.#looks < mostLooks && this.#choices.length < this.#usable(this.#now()).length;
--- a/src/gateway/data-path/endpoint-exchange.test.ts
+++ b/src/gateway/data-path/endpoint-exchange.test.ts
@@ -24,9 +24,9 @@
 	};
 }
 
-test('a connection that is used again and again gathers no listeners', async context => {
-	// Each answer leaves the connection idle and the next request takes it. What is put on the connection for the idle time
-	// has to come off again: kept connections live for hours, and each use would leave a listener behind for good.
+test('a connection that is reused many times accumulates no listeners', async context => {
+	// Each answer leaves the connection idle until the next request reuses it. The listeners for the idle time must be removed
+	// then: connections live for hours, and each reuse would leak a listener.
 	const server = await listen(context, (_request, response) => {
 		response.setHeader('keep-alive', 'timeout=30').end('whole');
 	});
@@ -56,9 +56,9 @@
 	assert.ok(endListeners <= 4, `${endListeners} listeners for the end after 20 uses`);
 });
 
-test('a process that stood still does not take its endpoints for unreachable', async context => {
-	// The connection comes about within a millisecond while the process stands still for longer than a connection may take.
-	// When it goes on, the time limit and the news of the connection are due together.
+test('a process that was paused does not take its endpoints for unreachable', async context => {
+	// The connection is established within a millisecond, while the process is paused for longer than the connect timeout.
+	// When the process resumes, the timer and the `connect` event are due together.
 	const server = await listen(context, (_request, response) => {
 		response.end('whole');
 	});
@@ -75,7 +75,7 @@
 
 	const until = performance.now() + 400;
 	while (performance.now() < until) {
-		// Stands still.
+		// Blocks the event loop.
 	}
 
 	const ended = await answer;
--- a/src/gateway/data-path/endpoint-exchange.ts
+++ b/src/gateway/data-path/endpoint-exchange.ts
@@ -1,6 +1,5 @@
 /**
- * One request to one endpoint over HTTP/1.1. What leaves and what comes back are the caller's and the endpoint's own
- * bytes: target, headers and body are passed raw.
+ * Sends one request to one endpoint over HTTP/1.1. Target, headers and body are forwarded unchanged in both directions.
  */
 import {type Buffer} from 'node:buffer';
 import {request as sendRequest, type ClientRequest, type IncomingMessage} from 'node:http';
@@ -18,20 +17,20 @@
 	address: string;
 	method: string;
 	target: string;
-	/** Names and values by turns. */
+	/** Alternating names and values. */
 	rawHeaders: string[];
 	body: Buffer;
-	/** An answer must echo this id, or it belongs to another request. */
+	/** An answer that echoes another id belongs to another request. */
 	attemptId: string;
-	/** The name of the header that echoes the id, in lower case. */
+	/** The header in which the answer echoes the id, in lower case. */
 	attemptIdHeader: string;
 };
 
 /**
- * How a call failed before an answer.
+ * How a call failed before the head of an answer arrived.
  *
- * - `not-sent`: no connection came about, so no byte can have left.
- * - `unknown`: the request was sent; it may have run.
+ * - `not-sent`: no connection was established, so no byte was sent.
+ * - `unknown`: the request was sent and may have run.
  */
 export type ExchangeFailure = {
 	kind: 'not-sent' | 'unknown';
@@ -43,23 +42,23 @@
 export type EndpointAnswer = {
 	status: number;
 	statusText: string;
-	/** Names and values by turns. */
+	/** Alternating names and values. */
 	rawHeaders: string[];
 	body: IncomingMessage;
 	framing: AnswerFraming;
 	connection: ConnectionUse;
 	header(name: string): string | undefined;
-	/** What became of the connection so far; a body that ends with a connection that failed is not whole. */
+	/** The state of the connection so far; a body that ends because its connection failed is incomplete. */
 	connectionEnd(): ConnectionEnd;
 	/**
-	 * Drains a body that nobody waits for, so that the connection can be reused.
+	 * Drains a body that nobody reads, so that the connection can be reused.
 	 *
-	 * @param withinMilliseconds - Time for the rest to arrive before the connection is closed; by default that of a short page.
+	 * @param withinMilliseconds - Time for the rest to arrive before the connection is closed; the default suits a short page.
 	 */
 	discard(withinMilliseconds?: number): void;
 };
 
-/** A call under way. */
+/** A call in flight. */
 export type OpenExchange = {
 	answer: Promise<Either<ExchangeFailure, EndpointAnswer>>;
 	/** Closes the connection, so that the endpoint stops its work. */
@@ -72,18 +71,15 @@
 }
 
 /**
- * How long a connection may take to come about. A round trip within a region takes a few milliseconds; an endpoint that is
- * gone without a trace answers never. A quarter of a second leaves time for a try elsewhere within the shortest usual
- * objective, and is less than the second after which a lost opening packet is sent again.
+ * Timeout for opening a connection. A round trip within a region takes a few milliseconds, and a host that has disappeared
+ * never answers. A quarter of a second leaves time for an attempt elsewhere within the shortest usual objective, and is less
+ * than the second after which a lost SYN packet is retransmitted.
  */
 const connectMilliseconds = 250;
 
-/**
- * Time allowed to drain an unconsumed response body before its connection is closed. Without it, an endpoint that stalls in
- * the body would leak the connection.
- */
+/** Timeout for draining an unread body before its connection is closed; without it a stalled endpoint would leak one. */
 const discardMilliseconds = 500;
-/** A longer body costs more to read than a new connection. */
+/** Longer bodies are not drained: reading them costs more than a new connection. */
 const discardBytes = 131_072;
 
 type ConnectionNotes = {
@@ -119,14 +115,14 @@
 					return;
 				}
 
-				// First: destroying the request throws away what waits of its answer, and reports that as an ordinary end.
+				// Must come first: destroying the request drops unread bytes of its answer, and Node reports an ordinary end.
 				noteEnd('cancelled');
 				outgoing.destroy();
 			},
 		};
 	}
 
-	/** Ends all idle connections. */
+	/** Closes all connections to endpoints. */
 	close(): void {
 		this.#agent.destroy();
 	}
@@ -140,7 +136,7 @@
 					noteEnd(isClosedInOrder(socket) ? 'in-order' : 'reset');
 				};
 
-				// Before Node's own listener, which closes this side.
+				// Must run before Node's own listener, which closes this side of the connection.
 				socket.prependOnceListener('end', noteSocketEnd);
 				outgoing.once('close', () => {
 					socket.off('end', noteSocketEnd);
@@ -150,8 +146,8 @@
 					return;
 				}
 
-				// In a process that stood still the timer is due together with the news of the connection, and timers run first:
-				// the news is let through before the verdict, or all endpoints would look out of reach after each standstill.
+				// After a pause of this process the timer and the `connect` event are due together, and timers run first. The
+				// event is handled before the timeout counts, or every endpoint would look unreachable after each pause.
 				const timer = setTimeout(() => {
 					setImmediate(() => {
 						if (!isConnected) {
@@ -168,7 +164,7 @@
 					clearTimeout(timer);
 				});
 			});
-			// Node reports the reset of a connection here before it ends a body that has no length, so the mark is set first.
+			// Node emits this error for a reset before it ends a body without a length, so the reset is recorded in time.
 			outgoing.on('error', error => {
 				noteEnd('reset');
 				resolve(failure(error.message));
@@ -199,7 +195,7 @@
 	}
 }
 
-/** Drains a body; closes its connection if the end does not come within the time and the bytes that draining may cost. */
+/** Drains a body; closes its connection if the body exceeds the time limit or `discardBytes`. */
 function discardBody(body: IncomingMessage, outgoing: ClientRequest, withinMilliseconds: number): void {
 	if (body.destroyed) {
 		return;
--- a/src/gateway/data-path/endpoint-headers.test.ts
+++ b/src/gateway/data-path/endpoint-headers.test.ts
@@ -26,8 +26,8 @@
 
 const valuesOf = (headers: string[], name: string): string[] => headers.filter((_, index) => index % 2 === 1 && headers[index - 1]!.toLowerCase() === name);
 
-test('what only the system may set is not taken from a client', () => {
-	// A client sends the salt of another workspace, to read what that one's prompts left in the engine's cache.
+test('headers that only the system may set are not taken from a client', () => {
+	// A client sends the salt of another workspace, to read what its prompts have left in the engine's cache.
 	const headers = endpointHeaders(planWith([names.cacheSalt, 'workspace-other-w3', names.workspace, 'other', names.workspaceKey, 'secret', names.expectedVersion, '1']), names);
 	assert.deepEqual(valuesOf(headers, names.cacheSalt), ['shared-w3']);
 	assert.deepEqual(valuesOf(headers, names.workspace), ['split']);
@@ -42,7 +42,7 @@
 	assert.deepEqual(valuesOf(endpointHeaders(planWith([], true), names), names.cacheSalt), ['workspace-split-w3']);
 });
 
-test('parts are fetched and saved by place in the prompt, with a time limit on fetches', () => {
+test('blocks are fetched and saved by their position in the prompt, with a time limit on fetches', () => {
 	const plan = planWith([]);
 	const parts = [{id: 'p1', tokens: 5}, {id: 'p2', tokens: 3}, {id: 'own', tokens: 2}];
 	const headers = endpointHeaders({
--- a/src/gateway/data-path/endpoint-headers.ts
+++ b/src/gateway/data-path/endpoint-headers.ts
@@ -1,4 +1,4 @@
-/** Builds the headers that an endpoint gets: the client's own, without those that only the system may set, and ours. */
+/** Builds the headers of a request to an endpoint: the client's, without those that only the system may set, and the system's. */
 import {cacheSalt} from '../../protocol/parts/cache-salt.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type PermittedRequest} from './judge-request.js';
@@ -6,7 +6,7 @@
 import {type RequestHead} from './request-head.js';
 import {type WireNames} from './wire-names.js';
 
-/** Addresses by part of the prompt; fetches are thrown away behind `fetchUntil`, on the engines' clock. */
+/** Addresses for each block of the prompt, by index. Unfinished fetches are abandoned at `fetchUntil`, by the engines' clock. */
 export type PartOrders = {
 	fetchFrom: ReadonlyArray<string | undefined>;
 	saveTo: ReadonlyArray<string | undefined>;
@@ -18,24 +18,24 @@
 	head: RequestHead;
 	permitted: PermittedRequest;
 	endpoint: EndpointRecord;
-	/** What is left of the caller's patience and of the route's time-out. */
+	/** Time until the deadline of the caller or the timeout of the route. */
 	leftMilliseconds: number;
 	bodyBytes: number;
-	/** Where a resumed stream goes on. */
+	/** Id of the event after which a resumed stream continues. */
 	lastEventId: string | undefined;
-	/** Which parts the engine fetches from stores and saves there; absent for none. */
+	/** The blocks that the engine fetches and saves; `undefined` for none. */
 	parts: PartOrders | undefined;
 };
 
-/** Ranks at engines; the least urgent declared rank is clamped to the last one. */
+/** The least urgent rank at engines; less urgent declared ranks are clamped to it. */
 const lastEngineRank = 9;
 
 /**
- * Gives the headers of a send.
+ * Builds the headers of one send.
  *
  * @param plan - The send.
- * @param names - How headers are spelled.
- * @returns Names and values by turns.
+ * @param names - The names of the headers.
+ * @returns Alternating names and values.
  */
 export function endpointHeaders(plan: SendPlan, names: WireNames): string[] {
 	const {head, permitted, endpoint} = plan;
@@ -68,11 +68,11 @@
 }
 
 /**
- * Headers for engines.
+ * Adds the headers for engines.
  *
- * A part that was made under other weights, or by another workspace where one is isolated, must never be used. The salt
- * names both, and the engine refuses the request if its weights are no longer those; so no part under this salt was made
- * otherwise.
+ * A block that was computed with other weights, or by another workspace where one of them is isolated, must never be used.
+ * The salt names both, and the engine rejects the request if it no longer has those weights, so no block under this salt was
+ * computed otherwise.
  */
 function addPromptHeaders({head, permitted, endpoint, parts}: SendPlan, names: WireNames, add: (name: string, value: string) => void): void {
 	if (head.prompt === undefined || !permitted.route.carriesPrompt) {
@@ -84,7 +84,7 @@
 		add(names.expectedVersion, String(version));
 	}
 
-	// Of unknown weights nothing may be shared: the request gets a salt that no other has.
+	// With unknown weights nothing may be shared, so the request gets a unique salt.
 	add(names.cacheSalt, version === undefined ? `once-${head.attemptId}` : cacheSalt(cacheScopeOf(permitted), version));
 	add(names.engineRank, String(Math.min(lastEngineRank, permitted.rank)));
 	if (parts?.fetchFrom.some(address => address !== undefined)) {
@@ -97,12 +97,12 @@
 	}
 }
 
-/** One entry for each part of the prompt. */
+/** Formats one entry for each block of the prompt. */
 function partList(addresses: ReadonlyArray<string | undefined>, length: number): string {
 	return Array.from({length}, (_, index) => addresses[index] ?? '-').join(',');
 }
 
-/** Who shares cached parts: an isolated workspace with nobody, the others with each other. */
+/** Which workspaces share cached blocks: an isolated workspace shares with none, all others with each other. */
 export function cacheScopeOf({grant}: PermittedRequest): string {
 	return grant?.isIsolated ? `workspace-${grant.name}` : 'shared';
 }
--- a/src/gateway/data-path/endpoint-try.ts
+++ b/src/gateway/data-path/endpoint-try.ts
@@ -1,6 +1,6 @@
 /**
- * One try of a request at one endpoint: sent, its answer judged by its head, and passed on as it comes. What follows a try
- * that failed is decided elsewhere.
+ * One attempt to serve a request at one endpoint: sends the request, classifies the answer by its head, and relays the body
+ * as it arrives. What follows a failed attempt is decided in `decision/attempts`.
  */
 import {isRepeatable, type TryOutcome} from '../../decision/attempts/next-step.js';
 import {type GatewayContext} from '../gateway-context.js';
@@ -14,22 +14,22 @@
 import {type GivenUpFor, TryWatch} from './try-watch.js';
 import {type TryTarget, type TryWork} from './try-work.js';
 
-/** How a try ended. */
+/** How an attempt ended. */
 export type TryResult = {
 	outcome: TryOutcome | 'whole' | 'client-left';
-	/** Whether the endpoint may have got the request. */
+	/** Whether the endpoint may have received the request. */
 	wasSent: boolean;
-	/** Whether it may have run. */
+	/** Whether the endpoint may have run the request. */
 	mayHaveRun: boolean;
 	answer?: EndpointAnswer;
 	transfer: AnswerTransfer;
 	detail?: string | undefined;
 };
 
-/** How the log tells of a try that was given up. */
+/** The `detail` that the log shows for an attempt that was cancelled early. */
 const givenUpDetails: Record<GivenUpFor, string> = {
-	silence: 'the endpoint fell silent',
-	'older-weights': 'not begun when the grant of older weights ended',
+	silence: 'the endpoint became unresponsive',
+	'older-weights': 'cancelled before it began: the grant of older weights ended',
 };
 
 const rejectionStatuses: ReadonlySet<number> = new Set([421, 429, 503]);
@@ -49,7 +49,7 @@
 		this.#watch = new TryWatch(context, work, target);
 	}
 
-	/** Sends the request and passes the answer on. */
+	/** Sends the request and relays the answer. */
 	async run(): Promise<TryResult> {
 		const {placement, exchanges, names, metrics} = this.#context;
 		const {head, permitted, body, cutter, deadline} = this.#work;
@@ -119,11 +119,11 @@
 			mayHaveRun: outcome !== 'rejected',
 			answer,
 			transfer: transferOf(answer, {bodyEnd: 'unread'}),
-			detail: outcome === 'unknown' ? 'the head of the answer does not prove whose it is, or cannot be passed on' : undefined,
+			detail: outcome === 'unknown' ? 'the answer does not prove that it belongs to this request, or its head cannot be forwarded' : undefined,
 		};
 	}
 
-	/** What the head of an answer says of the try. `usable` answers are passed on. */
+	/** Classifies an answer by its head. Only `usable` answers are relayed. */
 	#judge(answer: EndpointAnswer): 'usable' | 'rejected' | 'failed' | 'unknown' {
 		const {names} = this.#context;
 		const {status} = answer;
@@ -140,13 +140,13 @@
 		const isSuccess = status >= 200 && status < 300;
 		const isOwn = answer.header(names.attemptId) === this.#work.head.attemptId;
 		if (isSuccess && (answer.header(names.seal) === undefined || !isOwn)) {
-			// Nothing proves that these bytes answer this request; the connection may hold somebody else's answer.
+			// Nothing proves that these bytes answer this request; the connection may carry the answer to another one.
 			this.#exchange?.cancel();
 			return 'unknown';
 		}
 
 		if (this.#work.response.headersSent) {
-			// The caller has the head and some events of a success; anything but more events would be joined to them.
+			// The caller already has the head and some events of a success; only further events may follow them.
 			return status === 200 ? 'usable' : 'failed';
 		}
 
@@ -185,14 +185,14 @@
 		}
 
 		this.#exchange?.cancel();
-		// Behind half of a failure's page, events from elsewhere would be joined to it, and the whole would end in order.
-		// Behind events without an id no endpoint knows where to go on: it would begin again, and its events come twice.
+		// After half of a failure's body, another endpoint's events would be appended to it, and the answer would look complete.
+		// After events without an id no endpoint knows where to resume: it would start over and send the events twice.
 		const mayGoOn = answer.status === 200 && (cutter === undefined || (cutter.lastId ?? '') !== '');
 		const brokenOutcome = mayGoOn ? 'cut' : 'torn';
-		// Half an event is left of the answer that broke; the next endpoint sends that event from its start.
+		// Drops the incomplete event of the broken answer; the next endpoint sends that event from its start.
 		cutter?.rest();
 		return {
-			outcome: response.headersSent ? brokenOutcome : 'unknown', wasSent: true, mayHaveRun: true, answer, transfer, detail: this.#detailOf('the endpoint broke off its answer'),
+			outcome: response.headersSent ? brokenOutcome : 'unknown', wasSent: true, mayHaveRun: true, answer, transfer, detail: this.#detailOf('the answer ended before it was complete'),
 		};
 	}
 
@@ -211,14 +211,14 @@
 		}
 	}
 
-	/** What broke a try, which must not be laid at the endpoint's door where this process gave it up. */
+	/** Explains why an attempt failed. The endpoint must not be blamed for an attempt that this process cancelled. */
 	#detailOf(seen: string): string {
 		const {givenUpFor} = this.#watch;
 		if (givenUpFor !== undefined) {
 			return givenUpDetails[givenUpFor];
 		}
 
-		return this.#isCancelled ? 'given up: the caller left or the time was over' : seen;
+		return this.#isCancelled ? 'cancelled: the caller disconnected or the timeout passed' : seen;
 	}
 
 	#endOf(outcome: TryResult['outcome']): 'whole' | 'rejected' | 'failed' | 'unreachable' | 'cancelled' {
@@ -240,11 +240,10 @@
 }
 
 /**
- * Tells how an answer came.
+ * Describes for the log how an answer was transferred.
  *
- * @param answer - The answer, of which the framing and the connection are told.
+ * @param answer - The answer, with its framing and connection.
  * @param read - What was read of its body.
- * @returns The facts for the log.
  */
 export function transferOf({connection, framing}: EndpointAnswer, read: Pick<AnswerTransfer, 'bodyBytes' | 'bodyEnd'>): AnswerTransfer {
 	return {connection, framing, ...read};
--- a/src/gateway/data-path/event-cutter.test.ts
+++ b/src/gateway/data-path/event-cutter.test.ts
@@ -3,7 +3,7 @@
 import {test} from 'node:test';
 import {EventCutter} from './event-cutter.js';
 
-test('only whole events are given, with the id of the last one', () => {
+test('only complete events are returned, with the id of the last one', () => {
 	const cutter = new EventCutter();
 	const first = cutter.take(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
 	assert.equal(first.bytes.toString(), 'id: 1\ndata: a\n\n');
@@ -15,7 +15,7 @@
 	assert.equal(cutter.isAtBoundary, true);
 });
 
-test('any cut of the bytes gives the same events', () => {
+test('the same events are returned wherever the bytes are split', () => {
 	const whole = 'id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n';
 	for (let cut = 1; cut < whole.length; cut++) {
 		const cutter = new EventCutter();
--- a/src/gateway/data-path/event-cutter.ts
+++ b/src/gateway/data-path/event-cutter.ts
@@ -1,10 +1,10 @@
 /**
- * Cuts an event stream into whole events. An endpoint may stop in the middle of an event; what another endpoint continues
- * with starts at an event, so only whole events may have been passed on before.
+ * Splits an event stream into complete events. An endpoint may stop within an event, and another endpoint that resumes the
+ * stream starts with a new event, so only complete events may have been relayed before.
  */
 import {Buffer} from 'node:buffer';
 
-/** Whole events, as bytes, and the id of the last one that had an id. */
+/** Complete events, as bytes, and the id of the last one that had an id. */
 export type WholeEvents = {
 	bytes: Buffer;
 	count: number;
@@ -18,17 +18,17 @@
 	#held: Buffer = Buffer.alloc(0);
 	#lastId: string | undefined;
 
-	/** The id of the last whole event so far. */
+	/** The id of the last complete event so far that had one. */
 	get lastId(): string | undefined {
 		return this.#lastId;
 	}
 
-	/** Whether the stream stands behind a whole event. */
+	/** Whether the bytes so far end with a complete event. */
 	get isAtBoundary(): boolean {
 		return this.#held.length === 0;
 	}
 
-	/** Takes bytes; gives the whole events that they complete. */
+	/** Adds bytes; returns the events that they complete. */
 	take(chunk: Buffer): WholeEvents {
 		const bytes = this.#held.length === 0 ? chunk : Buffer.concat([this.#held, chunk]);
 		const end = lastBoundaryOf(bytes);
@@ -44,7 +44,7 @@
 		return {bytes: whole, count, lastId: this.#lastId};
 	}
 
-	/** Gives, and forgets, what is held behind the last whole event. */
+	/** Returns and clears the bytes after the last complete event. */
 	rest(): Buffer {
 		const rest = this.#held;
 		this.#held = Buffer.alloc(0);
@@ -52,7 +52,7 @@
 	}
 }
 
-/** The index behind the last empty line, or 0. */
+/** The index after the last empty line, or 0. */
 function lastBoundaryOf(bytes: Buffer): number {
 	for (let index = bytes.length - 1; index > 0; index--) {
 		if (bytes[index] !== lineFeed) {
--- a/src/gateway/data-path/event-end.test.ts
+++ b/src/gateway/data-path/event-end.test.ts
@@ -12,7 +12,7 @@
 	return end.isTorn;
 }
 
-test('a stream is torn unless it stops behind an empty line, wherever its chunks are cut', () => {
+test('a stream stops within an event unless it ends with an empty line, wherever its chunks are split', () => {
 	assert.equal(isTorn(), false);
 	assert.equal(isTorn('id: 1\ndata: a\n\n'), false);
 	assert.equal(isTorn('id: 1\r\ndata: a\r\n\r\n'), false);
--- a/src/gateway/data-path/event-end.ts
+++ b/src/gateway/data-path/event-end.ts
@@ -1,25 +1,25 @@
 /**
- * Whether an event stream stopped behind a whole event.
+ * Determines whether an event stream stopped after a complete event.
  *
- * An event ends with an empty line. A stream that has no length and no chunks ends with its connection, and a process that
- * dies closes its connections in order: the only thing that then tells a broken stream from a whole one is that its last
- * event lacks its empty line. A stream that broke off between two events cannot be told from a whole one by its bytes.
+ * An event ends with an empty line. A stream with neither a length nor chunks ends with its connection, and the connections
+ * of a process that dies are closed in order. Only the missing empty line after its last event then shows that the stream is
+ * incomplete. A stream that stopped between two events cannot be told from a complete one by its bytes.
  */
 import {Buffer} from 'node:buffer';
 
-/** An empty line may be written by two line feeds, by two carriage returns or by two pairs of both. */
+/** The end of an event is two line feeds, two carriage returns, or two pairs of carriage return and line feed. */
 const longestEventEnd = 4;
 
 export class EventEnd {
 	#tail = Buffer.alloc(0);
 
-	/** Whether the bytes so far end in the middle of an event; no bytes at all do not. */
+	/** Whether the bytes so far end within an event; false if there are none. */
 	get isTorn(): boolean {
 		const text = this.#tail.toString('latin1');
 		return text !== '' && !/(?:\n\r?\n|\r\r)$/v.test(text);
 	}
 
-	/** Takes bytes as they come. */
+	/** Adds bytes in the order of their arrival. */
 	take(chunk: Buffer): void {
 		this.#tail = Buffer.concat([this.#tail, chunk.subarray(-longestEventEnd)]).subarray(-longestEventEnd);
 	}
--- a/src/gateway/data-path/gateway-front.ts
+++ b/src/gateway/data-path/gateway-front.ts
@@ -1,4 +1,4 @@
-/** Takes clients' requests: judges the head, reads the body, and hands on what may be sent to an endpoint. */
+/** Handles clients' requests: validates the head, reads the body, and routes each permitted request to an endpoint. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {readBody} from '../../serving/read-body.js';
 import {type Refusal} from '../../shared/types.js';
@@ -15,7 +15,7 @@
 		this.#context = context;
 	}
 
-	/** Requests under way. */
+	/** Number of requests in flight. */
 	get open(): number {
 		return this.#open;
 	}
@@ -27,7 +27,7 @@
 		try {
 			await this.#judgeAndRun(request, response);
 		} catch (error) {
-			// One request's fault must not end the process; the listener answers or closes what is open.
+			// An exception in one request must not end the process; the listener answers the request or closes its connection.
 			this.#context.log.record('fault', {path: 'request', error: String(error)});
 			throw error;
 		} finally {
--- a/src/gateway/data-path/given-up-answer.test.ts
+++ b/src/gateway/data-path/given-up-answer.test.ts
@@ -15,8 +15,8 @@
 		host: 'quay.example', [names.attemptId]: 'a1', [names.deadline]: '2000', connection: 'close',
 	}, body: 'x',
 });
-// More than Node lets wait before it asks for a pause (16 KiB), and so little that the rest of it and the last part are
-// still read while paused, however the system cuts the bytes.
+// More than Node buffers before it asks for a pause (16 KiB), but so little that the rest of it and the last part are still
+// read while paused, however the operating system splits the bytes.
 const firstPart = 'f'.repeat(20_000);
 const lastPart = 'l'.repeat(5000);
 
@@ -26,7 +26,7 @@
 	connection: {header: 'connection: close', wrap: (part: string) => part, end: ''},
 };
 
-/** Serves one request whose caller reads nothing until the gateway has given up; gives what the caller gets then. */
+/** Serves one request whose caller reads nothing until the gateway may have cancelled it; returns what the caller then gets. */
 async function answerOfGivenUp(framing: keyof typeof framings, trigger: 'time-out' | 'silence'): Promise<{answer: string; lines: Array<Record<string, unknown>>}> {
 	const {header, wrap, end} = framings[framing];
 	const gateway = await new TestGateway(testConfiguration({
@@ -37,7 +37,7 @@
 	const holdWrites = (message: unknown): void => {
 		const {server, socket} = message as {server: Server; socket: Socket};
 		if ((server.address() as AddressInfo | null)?.port === port) {
-			// Stands for a caller whose receive window is full: nothing that is written leaves.
+			// Acts like a caller whose receive window is full: nothing that is written is sent.
 			callerSocket = socket;
 			callerSocket.cork();
 		}
@@ -73,19 +73,19 @@
 }
 
 for (const framing of ['length', 'chunked', 'connection'] as const) {
-	test(`an answer framed by ${framing} whose last part waits for a slow caller is not ended as whole by time-out`, async () => {
-		// The caller gets the framing of a whole answer without its last part.
-		// 1. The caller does not read, so the answer waits here, read to its end. 2. The gateway gives the try up at the route's
-		// time-out. 3. Node throws away what waits and reports the end of the body, which was complete when it was read.
+	test(`an answer framed by ${framing} whose last part waits for a slow caller does not look complete after a timeout`, async () => {
+		// Guards against an answer without its last part that is framed as a complete one:
+		// 1. The caller does not read, so the answer waits here, received to its end. 2. The gateway cancels the attempt at the
+		// timeout of the route. 3. Node drops what waits and reports the end of the body, which the parser had found.
 		const {answer, lines} = await answerOfGivenUp(framing, 'time-out');
 		const told = lines.findLast(({kind}) => kind === 'try-failed' || kind === 'request-ended');
 		assert.notEqual(lines.findLast(({kind}) => kind === 'request-ended')?.outcome, 'whole', JSON.stringify(lines));
 		assert.ok(!answer.endsWith('\r\n0\r\n\r\n'), `${Buffer.byteLength(answer)} bytes, ended as whole; ${JSON.stringify(told)}`);
 	});
 
-	test(`an answer framed by ${framing} whose last part waits for a slow caller is not broken by silence`, async () => {
-		// The endpoint has sent all and looks silent, since this process does not read while the caller is slow. Given up here,
-		// the answer would lose its last part; the caller gets all of it once it reads.
+	test(`an answer framed by ${framing} whose last part waits for a slow caller is not cancelled as unresponsive`, async () => {
+		// The endpoint has sent everything and looks unresponsive, since this process does not read while the caller is slow. A
+		// cancellation would lose the last part of the answer; the caller must get all of it once it reads.
 		const {answer, lines} = await answerOfGivenUp(framing, 'silence');
 		assert.equal(answer.split('f'.repeat(1000)).length - 1, firstPart.length / 1000, JSON.stringify(lines));
 		assert.ok(answer.includes(lastPart), JSON.stringify(lines));
--- a/src/gateway/data-path/gone-caller.test.ts
+++ b/src/gateway/data-path/gone-caller.test.ts
@@ -18,8 +18,8 @@
 }
 
 for (const kind of ['idempotent', 'non-idempotent', 'stream', 'resumable-stream'] satisfies RouteKind[]) {
-	test(`a request whose caller left before it was read is not sent on (${kind})`, async () => {
-		// Guards against work for callers who left while the process did not read: the request is acted on before the close behind it.
+	test(`a request whose caller disconnected before it was read is not forwarded (${kind})`, async () => {
+		// Guards against work for callers that disconnected during a pause: a request is read before the close that follows it.
 		const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 		const seen = new Set<string>();
 		await gateway.addEndpoint((incoming, response) => {
@@ -42,8 +42,8 @@
 	});
 }
 
-test('a request whose time is over when its place is known is not sent on', async () => {
-	// Guards against work for callers who gave up while the request waited for news of other instances.
+test('a request whose deadline has passed when its endpoint is chosen is not forwarded', async () => {
+	// Guards against work for callers that timed out while the request waited for the coordinator's answer.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({carriesPrompt: true})]})).start();
 	gateway.context.peerNews = {
 		...gateway.context.peerNews,
--- a/src/gateway/data-path/hop-by-hop.ts
+++ b/src/gateway/data-path/hop-by-hop.ts
@@ -1,4 +1,4 @@
-/** Which headers belong to one connection only and are not passed on. */
+/** Hop-by-hop headers, which belong to one connection and are not forwarded. */
 
 const hopByHopNames: ReadonlySet<string> = new Set([
 	'connection',
@@ -14,9 +14,9 @@
 ]);
 
 /**
- * Lists the headers of a message that concern only its connection.
+ * Lists the hop-by-hop headers of a message.
  *
- * @param connection - The value of its `Connection` header, which may name further ones.
+ * @param connection - The value of its `Connection` header, which may name additional ones.
  * @returns The names in lower case.
  */
 export function hopByHopNamesOf(connection: string | undefined): ReadonlySet<string> {
@@ -29,12 +29,12 @@
 }
 
 /**
- * Copies a message's headers without those of its connection and without further ones.
+ * Copies the headers of a message without its hop-by-hop headers and without some others.
  *
- * @param rawHeaders - Names and values by turns, as `node:http` gives them; order, case and repeats are kept.
+ * @param rawHeaders - Alternating names and values from `node:http`; order, case and duplicates are preserved.
  * @param connection - The value of the `Connection` header.
- * @param dropped - Further names in lower case that are left out.
- * @returns Names and values by turns.
+ * @param dropped - Names, in lower case, of other headers to drop.
+ * @returns Alternating names and values.
  */
 export function withoutHopByHop(rawHeaders: readonly string[], connection: string | undefined, dropped: ReadonlySet<string> = new Set()): string[] {
 	const left = hopByHopNamesOf(connection);
--- a/src/gateway/data-path/is-closed-in-order.ts
+++ b/src/gateway/data-path/is-closed-in-order.ts
@@ -1,24 +1,24 @@
 /**
- * Tells a connection that its peer closed in order from one that was reset, at the moment its end is reported.
+ * Distinguishes a connection that its peer closed in order from one that was reset, when the end is reported.
  *
- * A reset that arrives together with the last bytes is reported by Node as an ordinary end: an answer that ends with its
- * connection would pass for whole though the endpoint died in the middle of it. The operating system knows no peer of a
- * connection that was reset, while one that the peer closed in order still has it until this side closes as well. An end
- * that is reported while the peer is known can only come from the peer's own close, which is behind all of its bytes.
+ * Node reports a reset that arrives together with the last bytes as an ordinary end, so an answer that ends with its
+ * connection would look complete though the endpoint died while sending it. The operating system has no peer address for a
+ * connection that was reset. For one that the peer closed in order it has the address until this side closes as well. An end
+ * that is reported while the peer is known can only come from the peer's own close, which follows all of its bytes.
  *
- * The system itself is asked each time. `socket.remoteAddress` would not do: Node remembers it, and any earlier look at it,
- * by a log line or for an earlier request on the connection, would let a reset pass for an end.
+ * The operating system is queried each time. `socket.remoteAddress` is not enough: Node caches it, so that an earlier read,
+ * by a log line or for an earlier request on the connection, would make a reset look like an orderly close.
  */
 import {type Socket} from 'node:net';
 
-/** The part of Node's connection handle that asks the system; it gives 0 if the peer is known. */
+/** The method of Node's connection handle that queries the operating system; it returns 0 if the peer is known. */
 type PeerLookup = {getpeername?(found: Record<string, unknown>): number};
 
 /**
- * Whether the peer closed the connection in order. Must be called when `end` is emitted, before this side closes.
+ * Checks whether the peer closed the connection in order. Must be called when `end` is emitted, before this side closes.
  *
  * @param socket - The connection.
- * @returns False also where it cannot be known, such as without a handle: what is not proved does not count as whole.
+ * @returns False also where it cannot be determined, such as without a handle: without proof an answer is not complete.
  */
 export function isClosedInOrder(socket: Socket): boolean {
 	const {_handle: handle} = socket as unknown as {_handle?: PeerLookup | null};
--- a/src/gateway/data-path/judge-request.test.ts
+++ b/src/gateway/data-path/judge-request.test.ts
@@ -37,17 +37,17 @@
 
 const reasonOf = (head: RequestHead, view: ConfigurationView, now: number): string => judgeRequest(head, view, at(now)).caseOf({Left: ({reason}) => reason, Right: () => 'permitted'});
 
-test('a key is served while the lease holds, and refused as not run behind it', () => {
-	// The store is out of reach. The operator takes the key away at second 1; at second 4.9 it could have been gone for
-	// longer than the bound allows, whatever this instance still believes.
+test('a key is accepted while the configuration is valid, and refused as not run afterwards', () => {
+	// The store is unreachable and an operator removes the key at second 1. At second 4.9 the key may have been removed for
+	// longer than the bound allows, although the configuration of this instance still has it.
 	const view = viewAt(0);
 	assert.equal(reasonOf(headWith(), view, 4700), 'permitted');
 	assert.equal(reasonOf(headWith(), view, 4900), 'stale-configuration');
 	assert.equal(reasonOf(headWith({target: '/open/1', key: undefined}), view, 60_000), 'permitted');
 });
 
-test('unknown keys and routes are called unknown only by an instance that is up to date', () => {
-	// A route is added while this instance is cut off. A 404 would end the client's try; a 503 sends it to another instance.
+test('unknown keys and routes are answered with 401 and 404 only by an instance that is up to date', () => {
+	// A route is added while this instance is cut off. A 404 would stop the client; after a 503 it retries at another instance.
 	const view = viewAt(0);
 	assert.equal(reasonOf(headWith({key: 'bad'}), view, 1000), 'unauthorized');
 	assert.equal(reasonOf(headWith({key: undefined}), view, 1000), 'unauthorized');
--- a/src/gateway/data-path/judge-request.ts
+++ b/src/gateway/data-path/judge-request.ts
@@ -1,4 +1,4 @@
-/** Decides from its head alone whether a request is refused before any endpoint hears of it. */
+/** Validates a request by its head alone, before anything is sent to an endpoint. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type Moment} from '../../ports/moment-clock.js';
 import {hashOf} from '../../shared/hash-of.js';
@@ -7,10 +7,10 @@
 import {type Route, type RouteTarget, type WorkspaceGrant} from '../../shared/routed-configuration.js';
 import {type RequestHead} from './request-head.js';
 
-/** A request that may be sent on. */
+/** A request that may be sent to an endpoint. */
 export type PermittedRequest = {
 	route: Route;
-	/** The service that the route's split chose. */
+	/** The service that the route's traffic split selected. */
 	service: string;
 	/** Absent where the route needs no key. */
 	grant: WorkspaceGrant | undefined;
@@ -19,19 +19,19 @@
 	configurationVersion: number;
 };
 
-/** When a caller may try again an instance that lost the store: by then the balancer has taken it out of rotation. */
+/** `Retry-After` of an instance that lost the store: by then the load balancer has taken it out of rotation. */
 const untrustedRetryMilliseconds = 1000;
 
 /**
- * Judges a request.
+ * Validates a request: the size of its headers, its route and its key.
  *
- * A 401 or 404 tells the client that no repeat can help. An instance whose knowledge is old cannot know that: the key or
- * route may be newer than its configuration. It says "not run" instead, and the client's repeat reaches another instance.
+ * A 401 or 404 tells the client that no retry can help. An instance with a stale configuration cannot know that, since the
+ * key or route may be newer than its configuration. It answers "not run" instead, and the retry reaches another instance.
  *
  * @param head - The request.
- * @param view - The configuration and how far it may be trusted.
+ * @param view - The configuration and how long it is valid.
  * @param now - The present moment.
- * @returns What may be sent on, or the refusal.
+ * @returns The permitted request, or the refusal.
  */
 export function judgeRequest(head: RequestHead, view: ConfigurationView, now: Moment): Either<Refusal, PermittedRequest> {
 	const {current} = view;
@@ -48,7 +48,7 @@
 	if (route === undefined) {
 		return Left(isFresh
 			? {reason: 'not-found', ran: 'not-run', message: 'no route matches the host and path'}
-			: staleRefusal('no route is known, and the configuration here may be old'));
+			: staleRefusal('no route matches, but the configuration of this instance may be stale'));
 	}
 
 	return judgeKey(route, head, {current, view, now}).map(grant => ({
@@ -69,7 +69,7 @@
 
 	const trust = view.trustAt(now);
 	if (trust === 'lapsed') {
-		return Left(staleRefusal('keys cannot be checked here: the store has been out of reach for too long'));
+		return Left(staleRefusal('the key cannot be checked: this instance has not reached the store for too long'));
 	}
 
 	const grant = current.grants.get(head.key ?? '');
@@ -79,10 +79,10 @@
 
 	return Left(trust === 'fresh'
 		? {reason: 'unauthorized', ran: 'not-run', message: 'the key is missing or not known'}
-		: staleRefusal('the key is not known, and the configuration here may be old'));
+		: staleRefusal('the key is not known, but the configuration of this instance may be stale'));
 }
 
-/** Picks by weight; the same request always gets the same service. */
+/** Selects a service by weight; the same attempt id always gets the same service. */
 function chooseTarget(targets: readonly RouteTarget[], attemptId: string): string {
 	const total = targets.reduce((sum, {weight}) => sum + weight, 0);
 	let point = total * hashOf(attemptId) / (2 ** 32);
@@ -97,7 +97,7 @@
 }
 
 function headerBytesOf(rawHeaders: readonly string[]): number {
-	// Each header line has a colon, a space and the line's end beside its name and value: four bytes for each pair.
+	// Besides its name and value each header line has a colon, a space and a two-byte line end: four bytes for each pair.
 	return rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
 }
 
--- a/src/gateway/data-path/malformed-head.test.ts
+++ b/src/gateway/data-path/malformed-head.test.ts
@@ -16,7 +16,7 @@
 	}, body: 'x',
 });
 
-/** The status that a caller gets whose first endpoint answers with a given head, and a second one, if any, properly. */
+/** The status that a caller gets if the first endpoint answers with a given head, and the second one with a valid answer. */
 async function statusBehind(statusLine: string, header: string, kind: RouteKind): Promise<number> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 	let isFirst = true;
@@ -47,22 +47,22 @@
 	{name: 'a control character in a header', statusLine: '200 OK', header: 'x-note: a\u0001b\r\n'},
 	{name: 'a DEL in a header', statusLine: '200 OK', header: 'x-note: a\u007Fb\r\n'},
 ]) {
-	test(`an answer with ${name} ends no more than its own try`, async () => {
-		// The callers of all requests of an instance lose their connections, since its process ends.
-		// 1. One endpoint answers with a head that Node's parser lets through. 2. Node refuses to write the same head to the
-		// caller, by an exception in a listener of the body, where nothing catches it.
+	test(`an answer with ${name} fails only its own attempt`, async () => {
+		// Guards against the end of the process, at which all callers of the instance lose their connections:
+		// 1. An endpoint answers with a head that Node's parser accepts. 2. Node refuses to write the same head to the caller,
+		// with an exception in a listener of the body, where nothing catches it.
 		assert.equal(await statusBehind(statusLine, header, 'non-idempotent'), 502);
 		assert.equal(await statusBehind(statusLine, header, 'idempotent'), 200);
 	});
 }
 
-test('a reason and header with letters outside ASCII are passed on', async () => {
+test('a reason phrase and a header with letters outside ASCII are forwarded', async () => {
 	assert.equal(await statusBehind('200 \u00E9t\u00E9', 'x-note: \u00E9\t\u0080\r\n', 'non-idempotent'), 200);
 });
 
-test('a head that cannot be written ends the relay as cut, and another answer can still be given', async () => {
-	// The process ends, or the refusal that takes the place of the answer fails in the same way.
-	// 1. Writing the head throws in a listener of the body. 2. Node keeps the reason that it refused, for the next head.
+test('a head that cannot be written ends the relay as cut, and another answer can still be sent', async () => {
+	// Guards against the end of the process, and against a replacement answer that fails in the same way:
+	// 1. Writing the head throws in a listener of the body. 2. Node keeps the refused reason phrase for the next head.
 	const body = new IncomingMessage(new Socket());
 	const response = new ServerResponse(new IncomingMessage(new Socket()));
 	const faults: unknown[] = [];
--- a/src/gateway/data-path/order-parts.ts
+++ b/src/gateway/data-path/order-parts.ts
@@ -1,4 +1,4 @@
-/** What an engine is told to fetch from cache stores and other engines and to save, out of what this instance knows now. */
+/** Plans which blocks an engine fetches from cache stores and other engines, and which it saves to cache stores. */
 import {fetchMilliseconds} from '../../protocol/parts/part-times.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type GatewayContext} from '../gateway-context.js';
@@ -10,9 +10,10 @@
 type PartContext = SourceContext & Pick<GatewayContext, 'partPlanner'>;
 
 /**
- * Plans the parts of one send.
+ * Plans the block transfers for one send of a request.
  *
- * @returns The orders; `undefined` where the request has no shared parts, or nothing fresh is known of stores and engines.
+ * @returns The transfers; `undefined` where the request has no shared blocks, or where nothing recent is known about stores
+ * and engines.
  */
 export function orderParts(context: PartContext, {head, permitted}: {head: RequestHead; permitted: PermittedRequest}, endpoint: EndpointRecord): PartOrders | undefined {
 	const version = endpoint.weightVersions.get(head.prompt?.model ?? '');
--- a/src/gateway/data-path/parse-endpoint-load.ts
+++ b/src/gateway/data-path/parse-endpoint-load.ts
@@ -1,10 +1,10 @@
 import {type ReportedLoad} from '../../decision/placement/placement.js';
 
 /**
- * Reads an endpoint's load from its answer.
+ * Parses the load that an endpoint reports in its answer.
  *
- * @param text - Requests running, requests waiting and slots, with commas between.
- * @returns The load; `undefined` if the text is absent or cannot be read.
+ * @param text - Running requests, waiting requests and slots, separated by commas.
+ * @returns The load; `undefined` if the text is absent or malformed.
  * @example
  * parseEndpointLoad('3,0,8'); // {running: 3, waiting: 0, slots: 8}
  */
--- a/src/gateway/data-path/pass-on-failure.ts
+++ b/src/gateway/data-path/pass-on-failure.ts
@@ -1,4 +1,4 @@
-/** Gives the caller the failure that an endpoint answered with, where no other endpoint is tried. */
+/** Relays the failure that an endpoint answered with, where no other endpoint is tried. */
 import {type ServerResponse} from 'node:http';
 import {type DecisionLog} from '../observability/decision-log.js';
 import {type AnswerTransfer} from './answer-transfer.js';
@@ -6,7 +6,7 @@
 import {transferOf} from './endpoint-try.js';
 import {relayAnswer, type RelayOutcome} from './relay-answer.js';
 
-/** The failure, and to whom it goes. */
+/** The failure to relay, and the response to write it to. */
 export type FailureWork = {
 	id: string;
 	answer: EndpointAnswer;
@@ -15,10 +15,11 @@
 };
 
 /**
- * Passes a failure on.
+ * Relays a failure to the caller.
  *
- * @param work - The failure, and to whom it goes.
- * @returns How it ended and how it came; behind parts of another answer it is `cut` and nothing of it is passed on.
+ * @param work - The failure, and the response to write it to.
+ * @returns How the relay ended, and how the failure was transferred. If the caller already has part of another answer, the
+ * outcome is `cut` and nothing is relayed.
  */
 export async function passOnFailure({id, answer, response, log}: FailureWork): Promise<{outcome: RelayOutcome; transfer?: AnswerTransfer}> {
 	if (response.headersSent) {
@@ -40,5 +41,5 @@
 }
 
 function ignore(): void {
-	// A failure that is passed on says nothing of how fast the endpoint answers.
+	// A relayed failure does not show how fast the endpoint answers.
 }
--- a/src/gateway/data-path/paused-process.test.ts
+++ b/src/gateway/data-path/paused-process.test.ts
@@ -10,7 +10,7 @@
 import {TestGateway} from '../testing/test-gateway.js';
 import {ownWireNames as names} from './wire-names.js';
 
-/** An endpoint that answers 200 ms after it got a request, and reports each request. */
+/** An endpoint that answers each request after 200 ms and reports it to this thread. */
 const endpointProgram = `
 	const {parentPort, workerData: {attemptId, seal}} = require('node:worker_threads');
 	const {createServer} = require('node:http');
@@ -24,7 +24,7 @@
 `;
 
 test('a process that was paused does not take its endpoints for unresponsive', async () => {
-	// Guards against requests that all run twice after a pause: timers run before the sockets in which the answers wait are read.
+	// Guards against requests that run twice after a pause: timers run before the sockets with the waiting answers are read.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({timeoutMilliseconds: 5000})]})).start();
 	const endpoints = [1, 2].map(() => new Worker(endpointProgram, {eval: true, workerData: names}));
 	const ports = await Promise.all(endpoints.map(async endpoint => once(endpoint, 'message') as Promise<[number]>));
--- a/src/gateway/data-path/placement-request.ts
+++ b/src/gateway/data-path/placement-request.ts
@@ -1,4 +1,4 @@
-/** Tells placing what it has to know of a request. */
+/** Builds the description of a request by which it is placed on an endpoint. */
 import {type PlacementRequest} from '../../decision/placement/placement.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {cacheScopeOf} from './endpoint-headers.js';
@@ -7,11 +7,11 @@
 import {type RequestHead} from './request-head.js';
 
 /**
- * Describes a request to placing.
+ * Describes a request for its placement.
  *
- * @param context - What this instance knows.
+ * @param context - The state of this instance.
  * @param work - The request.
- * @param tried - The endpoints that had it already.
+ * @param tried - The endpoints that the request was already sent to.
  */
 export function placementRequestOf(context: GatewayContext, {head, permitted}: {head: RequestHead; permitted: PermittedRequest}, tried: ReadonlySet<string>): PlacementRequest {
 	const sources = new PromptSources(context, head, permitted);
--- a/src/gateway/data-path/prompt-sources.ts
+++ b/src/gateway/data-path/prompt-sources.ts
@@ -1,4 +1,4 @@
-/** Where the parts of one request's prompt are kept, as this instance knows now: stores, engines, and which of them. */
+/** Finds the cache stores and engines that hold the blocks of one request's prompt, by what this instance knows. */
 import {type NamedStore, type PartKnowledge} from '../../decision/parts/plan-parts.js';
 import {type Moment} from '../../ports/moment-clock.js';
 import {cacheSalt} from '../../protocol/parts/cache-salt.js';
@@ -14,7 +14,7 @@
 
 export type SourceContext = Pick<GatewayContext, 'clock' | 'configuration' | 'endpoints' | 'hubView' | 'loadingEngines' | 'placement'>;
 
-/** Parts are asked for under so many versions of the weights; while new ones are loaded, engines have two. */
+/** Blocks are queried under this many versions of the weights; while new weights are loaded, engines have two. */
 const mostVersions = 2;
 
 export class PromptSources {
@@ -26,7 +26,7 @@
 	readonly #now: Moment;
 	readonly #fetchable = new Map<number, readonly boolean[]>();
 
-	/** Looks once, now; a request that is placed again looks anew. */
+	/** Answers for the moment of its construction; a request that is placed again needs a new instance. */
 	constructor(context: SourceContext, head: RequestHead, permitted: PermittedRequest) {
 		this.#context = context;
 		this.#parts = head.prompt?.parts ?? [];
@@ -36,7 +36,7 @@
 		this.#now = context.clock.moment();
 	}
 
-	/** All parts but the last, which is the request's own. */
+	/** All blocks but the last, which belongs to this request alone. */
 	get sharedParts(): readonly PromptPart[] {
 		return this.#parts.slice(0, -1);
 	}
@@ -46,12 +46,12 @@
 		return [...services].flatMap(({name, store}) => store?.isManaged ? [{name, store}] : []);
 	}
 
-	/** The salt under which engines with a weight version keep the parts. */
+	/** The salt under which engines with a weight version cache the blocks. */
 	saltUnder(version: number): string {
 		return cacheSalt(this.#scope, version);
 	}
 
-	/** Which parts a store or some engine keeps under a weight version, by index. */
+	/** Which shared blocks are cached by some store or engine under a weight version, by index. */
 	fetchableUnder(version: number): readonly boolean[] {
 		const known = this.#fetchable.get(version);
 		if (known !== undefined) {
@@ -67,7 +67,7 @@
 		return fetchable;
 	}
 
-	/** Whether the last shared part, before which there are only short ones, can be fetched from an engine's own data centre. */
+	/** Whether the last shared block can be fetched within the engine's data centre. The blocks before it are short. */
 	isSourceNear({dataCentre, weightVersions}: EndpointRecord): boolean {
 		const part = this.sharedParts.at(-1);
 		const version = weightVersions.get(this.#model);
@@ -82,7 +82,7 @@
 			: holder.store.dataCentre === dataCentre;
 	}
 
-	/** Tokens of each part that an engine keeps, by its own events; `undefined` while those are not known. */
+	/** Tokens of each block that an engine caches, by the engine's cache events; `undefined` while those are not known. */
 	keptAt({name, weightVersions}: EndpointRecord): readonly number[] | undefined {
 		const version = weightVersions.get(this.#model);
 		if (version === undefined) {
@@ -93,7 +93,7 @@
 		return kept.includes(undefined) ? undefined : kept as number[];
 	}
 
-	/** What to ask before the prompt is placed on one of some endpoints. */
+	/** The query to send before the prompt is placed on one of some endpoints. */
 	question(endpoints: readonly EndpointRecord[]): PlaceQuestion {
 		const engines = this.#context.endpoints.usable(this.#service, this.#now.steady);
 		const versions = new Set(engines.map(({weightVersions}) => weightVersions.get(this.#model)).filter(version => version !== undefined));
@@ -103,14 +103,14 @@
 		};
 	}
 
-	/** Engines that are known to keep a part of the prompt. */
+	/** Engines that are known to cache a block of the prompt. */
 	keepers(): EndpointRecord[] {
 		const {endpoints, hubView} = this.#context;
 		const names = new Set(this.question([]).keys.flatMap(key => hubView.enginesWith(key, this.#now)));
 		return endpoints.usable(this.#service, this.#now.steady).filter(({name}) => names.has(name));
 	}
 
-	/** What an engine can fetch from where. */
+	/** What is known about the sources that an engine can fetch blocks from. */
 	knowledgeFor(target: EndpointRecord): PartKnowledge {
 		const {hubView} = this.#context;
 		return {
@@ -121,7 +121,7 @@
 		};
 	}
 
-	/** A near engine goes first: transfers between data centres take twice as long. Several share the load by hash. */
+	/** Prefers engines in the same data centre: transfers between data centres take twice as long. A hash spreads the load. */
 	#sourceFor(target: EndpointRecord, key: string): string | undefined {
 		const others = this.#enginesWith(key).filter(({name}) => name !== target.name);
 		const near = others.filter(({dataCentre}) => dataCentre === target.dataCentre);
@@ -129,7 +129,7 @@
 		return sources.at(hashOf(`${key}|${target.name}`) % Math.max(1, sources.length))?.address;
 	}
 
-	/** Engines that keep a part and can give it: not one that loads weights or has fallen silent, which costs the fetch's time. */
+	/** Engines that cache a block and can send it. One that loads weights or is unresponsive would let the fetch time out. */
 	#enginesWith(key: string): EndpointRecord[] {
 		const {endpoints, hubView, loadingEngines, placement} = this.#context;
 		return hubView.enginesWith(key, this.#now)
@@ -138,7 +138,7 @@
 				&& !loadingEngines.current.has(engine.name) && !placement.isSilent(engine, this.#now.steady));
 	}
 
-	/** Under a weight version, from the prompt's start. */
+	/** Keys of all blocks under a weight version, in the order of the prompt. */
 	#keysUnder(version: number): string[] {
 		return this.#parts.map(({id}) => partKey({salt: this.saltUnder(version), id}));
 	}
--- a/src/gateway/data-path/refuse.ts
+++ b/src/gateway/data-path/refuse.ts
@@ -1,20 +1,19 @@
-/** Writes a gateway's refusals. */
+/** Sends and counts the refusals of a gateway. */
 import {type ServerResponse} from 'node:http';
 import {sendRefusal, statusOfReason} from '../../serving/send-refusal.js';
 import {type Refusal} from '../../shared/types.js';
 import {type GatewayMetrics} from '../observability/gateway-metrics.js';
 
-/** Answers a request with a refusal, at once, and gives its status. */
+/** Answers a request with a refusal immediately and returns the status. */
 export type Refuse = (response: ServerResponse, refusal: Refusal) => number;
 
 /**
- * Makes the function that refuses.
+ * Creates the function that refuses requests.
  *
- * The time to come back is told in fractions of a second: the callers of short requests have only a few seconds left, and
- * rounding up to whole ones would spend them.
+ * `Retry-After` is written in fractions of a second: the callers of short requests have only a few seconds left, and rounding
+ * up to whole seconds would use them up.
  *
  * @param metrics - Where refusals are counted.
- * @returns The function.
  */
 export function createRefuse(metrics: GatewayMetrics): Refuse {
 	return (response, refusal) => {
--- a/src/gateway/data-path/relay-answer.ts
+++ b/src/gateway/data-path/relay-answer.ts
@@ -1,4 +1,4 @@
-/** Passes an endpoint's answer on to the client as it comes. */
+/** Relays an endpoint's answer to the caller as it arrives. */
 import {type Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
 import {brokenBodyEnd, judgeBodyEnd, type BodyEnd} from './answer-transfer.js';
@@ -7,40 +7,40 @@
 import {EventEnd} from './event-end.js';
 import {withoutHopByHop} from './hop-by-hop.js';
 
-/** How an answer ended. `cut`: the endpoint or the connection broke off. */
+/** How a relayed answer ended. `cut`: it ended before it was complete, or could not be relayed. */
 export type RelayOutcome = 'whole' | 'cut' | 'client-left';
 
-/** How an answer was passed on. */
+/** What was relayed of an answer. */
 export type Relayed = {
 	outcome: RelayOutcome;
 	bodyEnd: BodyEnd;
-	/** As they came from the endpoint. */
+	/** Bytes received from the endpoint. */
 	bodyBytes: number;
 };
 
-/** What is passed on, and where. */
+/** The answer to relay, and its receiver. */
 export type Relay = {
 	answer: EndpointAnswer;
 	response: ServerResponse;
-	/** For streams that may be resumed: only whole events are passed on. */
+	/** Present for streams that may be resumed: only complete events are relayed. */
 	cutter: EventCutter | undefined;
-	/** Told when the first bytes of the body have come. */
+	/** Called when the first bytes of the body arrive, or at the end of an empty body. */
 	onFirstBytes(): void;
-	/** Told of all bytes. */
+	/** Called for each chunk of the body. */
 	onBytes(): void;
-	/** Told of an exception while passing on; the answer counts as cut then. */
+	/** Called with an exception that was thrown while relaying; the outcome is then `cut`. */
 	onFault(error: unknown): void;
 };
 
 /**
- * Passes an answer on.
+ * Relays an answer.
  *
- * The head goes out with the first bytes of the body, so that an endpoint that breaks off before them can still be
- * replaced by another. A part that was passed on is never taken back: when the answer is cut behind it, the caller of
- * this function resumes the stream or ends the connection without the end of the answer.
+ * The head is sent with the first bytes of the body, so that an endpoint that fails before them can still be replaced by
+ * another. Bytes that were relayed cannot be withdrawn: if the answer is cut after them, the caller of this function resumes
+ * the stream or closes the connection without completing the answer.
  *
- * @param relay - The answer and the client's response.
- * @returns How it ended. After `whole` the response is ended, else it is left open.
+ * @param relay - The answer and the response to the caller.
+ * @returns How it ended. After `whole` the response is ended, otherwise it is left open.
  */
 export async function relayAnswer({answer, response, cutter, onFirstBytes, onBytes, onFault}: Relay): Promise<Relayed> {
 	const {body} = answer;
@@ -125,7 +125,7 @@
 			finish('cut');
 		};
 
-		// An exception in a listener has no caller that could catch it: it would end the process with all of its requests.
+		// Nothing catches an exception in an event listener: it would end the process with all of its requests.
 		const guarded = <Arguments extends unknown[]>(step: (...given: Arguments) => void) => (...given: Arguments): void => {
 			try {
 				step(...given);
@@ -142,7 +142,7 @@
 	});
 }
 
-/** A resumed stream ends with another endpoint's events, so the length that the first one states may not be promised. */
+/** A resumed stream ends with another endpoint's events, so the length that the first endpoint states would be wrong. */
 const unpromisedInResumable: ReadonlySet<string> = new Set(['content-length']);
 
 function writeHeadOnce(answer: EndpointAnswer, response: ServerResponse, mayBeResumed: boolean): void {
@@ -153,12 +153,12 @@
 	try {
 		response.writeHead(answer.status, answer.statusText, withoutHopByHop(answer.rawHeaders, answer.header('connection'), mayBeResumed ? unpromisedInResumable : undefined));
 	} catch (error) {
-		// Node keeps a reason that it refused and would refuse the head of the answer that takes this one's place for it.
+		// Node keeps the reason phrase that it refused, and would refuse the head of a replacement answer because of it.
 		response.statusMessage = '';
 		throw error;
 	}
 }
 
 function ignore(): void {
-	// The body was given up; what happens to its connection afterwards changes nothing.
+	// The relay has ended; what happens to the connection afterwards has no effect.
 }
--- a/src/gateway/data-path/report-end.test.ts
+++ b/src/gateway/data-path/report-end.test.ts
@@ -9,7 +9,7 @@
 	keptTokens: 131, fetchTokens: 1004, readTokens: 184, occupancy: 17, unreadBefore: undefined, costMilliseconds: 122.6,
 };
 
-/** The line of a request that arrived at 1000 ms and ended at 1200 ms, ordinary unless told otherwise. */
+/** The line of a request that arrived at 1000 ms and ended at 1200 ms, normally unless `changes` say otherwise. */
 function lineOf(changes: {route?: Partial<Route>; facts?: Partial<EndFacts>}): EndLine {
 	return endLine({
 		head: {attemptId: 'a1'},
@@ -20,7 +20,7 @@
 	}, 1200);
 }
 
-test('an ordinary end has a short line with what decided it', () => {
+test('a normal end has a short line with the estimates that decided its placement', () => {
 	assert.deepEqual(lineOf({}), {
 		kind: 'request-served',
 		fields: {
@@ -29,11 +29,11 @@
 	});
 });
 
-test('the line of a prompt lists the tokens that its endpoint was chosen by; what is not known is null', () => {
+test('the line of a prompt lists the token counts by which its endpoint was chosen; unknown ones are null', () => {
 	assert.deepEqual(lineOf({route: {carriesPrompt: true}}).fields.placedBy, [17, 123, 131, 1004, 184, null]);
 });
 
-test('a stream is in time by its first byte, any other answer by its end', () => {
+test('the objective applies to the first byte of a stream and to the end of any other answer', () => {
 	const objectiveMilliseconds = 150;
 	assert.equal(lineOf({route: {kind: 'stream', objectiveMilliseconds}}).kind, 'request-served');
 	const late = lineOf({route: {objectiveMilliseconds}});
@@ -44,8 +44,8 @@
 	connection: 'new', framing: 'connection', bodyBytes: 812, bodyEnd: 'in-order',
 };
 
-test('an ordinary answer that ended by nothing but its connection has a short line with what tells half from whole', () => {
-	// Some services answer nothing else. With full lines for all of them, the lines of failures found no room.
+test('a normal answer that ended only with its connection has a short line with its transfer', () => {
+	// Some services send only such answers. With full lines for all of them there was no space for the lines of failures.
 	assert.deepEqual(lineOf({facts: {transfer: endedByConnection}}), {
 		kind: 'request-ended',
 		fields: {
@@ -54,7 +54,7 @@
 	});
 });
 
-test('a late answer that ended by nothing but its connection has a full line', () => {
+test('a late answer that ended only with its connection has a full line', () => {
 	const {fields} = lineOf({route: {objectiveMilliseconds: 150}, facts: {transfer: endedByConnection}});
 	assert.deepEqual([fields.objectiveMilliseconds, fields.milliseconds, fields.transfer], [150, 200, endedByConnection]);
 });
@@ -63,17 +63,17 @@
 	refused: {
 		end: 'refused', status: 503, endpoints: [], sends: 0,
 	},
-	'broken off': {end: 'broken-off'},
+	'aborted early': {end: 'broken-off'},
 	repeated: {sends: 2, endpoints: ['desk-1', 'desk-2']},
-	'sent on behind an endpoint that was out of reach': {endpoints: ['desk-1', 'desk-2']},
+	'sent to another endpoint after an unreachable one': {endpoints: ['desk-1', 'desk-2']},
 	'answered with a failure': {status: 500},
-	'repeated and ended by nothing but its connection': {
+	'retried and ended only with its connection': {
 		transfer: endedByConnection, sends: 2, endpoints: ['desk-1', 'desk-2'],
 	},
-	'whole over a connection that was not closed in order': {
+	'complete over a connection that was not closed in order': {
 		transfer: {...endedByConnection, bodyEnd: 'reset'},
 	},
-	'whole by an end of which nothing is known': {
+	'complete with an end of which nothing is known': {
 		transfer: {connection: 'kept'},
 	},
 };
--- a/src/gateway/data-path/report-end.ts
+++ b/src/gateway/data-path/report-end.ts
@@ -1,10 +1,10 @@
 /**
- * Tells logs and metrics how a routed request ended, and by what its endpoint was chosen.
+ * Reports to log and metrics how a routed request ended and by which estimates its endpoint was chosen.
  *
- * Nine of ten requests end as they should, and their lines would fill what is kept of a log before anybody looks for a
- * failure. An ordinary end therefore has a short line of its own kind, and one with an answer that only the end of its connection
- * marks as whole has a short `request-ended`. What decided it is still there: the version of the
- * configuration, and by what the endpoint was chosen, as a list whose places docs/OPERATIONS.md names.
+ * Nine of ten requests end normally, and full lines for them would fill the retained log before anybody looks for a failure.
+ * A normal end therefore has a short line of its own kind; if only the end of the connection marks the answer as complete, it
+ * has a short `request-ended`. Both still hold the configuration version and the estimates that decided the placement, as an
+ * array whose positions docs/OPERATIONS.md names.
  */
 import {type PlacementBasis} from '../../decision/placement/placement.js';
 import {type Moment} from '../../ports/moment-clock.js';
@@ -19,21 +19,21 @@
 /** How a routed request ended. */
 export type RoutedEnd = 'whole' | 'refused' | 'failed' | 'failure-passed-on' | 'broken-off' | 'client-left' | 'timeout';
 
-/** What is told of it. */
+/** What is reported about a request that ended. */
 export type EndFacts = {
 	end: RoutedEnd;
 	status: number;
-	/** In the order of the tries. */
+	/** In the order of the attempts. */
 	endpoints: string[];
 	sends: number;
 	mayHaveRun: boolean;
-	/** By what the last endpoint was chosen. */
+	/** The estimates by which the last endpoint was chosen. */
 	placedBy: PlacementBasis | undefined;
-	/** On the steady clock, in milliseconds. */
+	/** In milliseconds of the steady clock. */
 	firstByteAt: number | undefined;
-	/** When the last try was sent, on the steady clock, in milliseconds. */
+	/** When the last attempt was sent, in milliseconds of the steady clock. */
 	sentAt?: number | undefined;
-	/** How the last answer came; absent where it marked its own end and ended there, as nearly all do. */
+	/** How the last answer was transferred; absent where it ended by its own framing, as nearly all do. */
 	transfer?: AnswerTransfer;
 };
 
@@ -43,7 +43,7 @@
 /** A line of the log. */
 export type EndLine = {kind: DecisionKind; fields: DecisionFields};
 
-/** Answers from here on say that the request was not served, by whomever. */
+/** From this status on an answer means that the request was not served, whether by the gateway or by the endpoint. */
 const firstFailureStatus = 400;
 
 /**
@@ -69,7 +69,7 @@
 }
 
 /**
- * Gives the line for the end of a request: a short one for an end as it should be, else all that is known.
+ * Builds the log line for the end of a request: a short one for a normal end, otherwise one with all that is known.
  *
  * @param work - The request.
  * @param facts - How it ended.
@@ -88,7 +88,7 @@
 	return isEndedByConnection(transfer) ? unmarkedLine(work, facts, transfer, now) : endedLine(work, facts, now);
 }
 
-/** Whether a request ended as it should: whole, at the first endpoint, within the route's objective. */
+/** Whether a request ended normally: completely, at the first endpoint, within the route's objective. */
 function isAsItShould({permitted: {route}, arrivedAt}: EndedRequest, facts: EndFacts, now: number): boolean {
 	const {end, status, sends, endpoints, firstByteAt} = facts;
 	const isServedAtOnce = end === 'whole' && status < firstFailureStatus && sends === 1 && endpoints.length === 1;
@@ -96,7 +96,7 @@
 	return isServedAtOnce && promptAt - arrivedAt.steady <= route.objectiveMilliseconds;
 }
 
-/** Whether nothing but the orderly end of its connection says that an answer is whole. */
+/** Whether only the orderly end of its connection shows that an answer is complete. */
 function isEndedByConnection({framing, bodyEnd}: AnswerTransfer): boolean {
 	return framing === 'connection' && bodyEnd === 'in-order';
 }
@@ -116,12 +116,12 @@
 }
 
 /**
- * Gives the line of an answer that ended with its connection and is ordinary otherwise.
+ * Builds the line of an otherwise normal answer that ended with its connection.
  *
- * The end of a connection is all that says that such an answer is whole; where that is wrong the caller has half of it. So
- * it is not told as an ordinary end, whose lines are left out first: the line has the bytes that came, the connection and
- * how it ended, which tell half from whole. Some services answer nothing else, so
- * it has little more than that: 365 bytes with a prompt's placement, where the full line of the same request has 562.
+ * Only the end of the connection shows that such an answer is complete; where that is wrong the caller has half of it. So it
+ * is not logged as a normal end, whose lines are dropped first. Its line holds the bytes that arrived, the connection and how
+ * it ended, which distinguish half an answer from a complete one. Some services send only such answers, so the line holds
+ * little more than that: 365 bytes with a prompt's placement, where the full line of the same request has 562.
  */
 function unmarkedLine({head, permitted, arrivedAt}: EndedRequest, {endpoints, placedBy}: EndFacts, transfer: AnswerTransfer, now: number): EndLine {
 	return {
@@ -163,14 +163,14 @@
 	return kind === 'stream' || kind === 'resumable-stream';
 }
 
-/** Requests there and cost; for a prompt also its tokens kept there, to fetch and to read, and unread ones before them. */
+/** Occupancy and cost; for a prompt also its tokens that are cached, to fetch and to prefill, and those pending before them. */
 function shortBasis(basis: PlacementBasis, {carriesPrompt}: Route): JsonValue {
 	const {occupancy, keptTokens, fetchTokens, readTokens, unreadBefore} = basis;
 	const every = [occupancy, Math.round(basis.costMilliseconds)];
 	return carriesPrompt ? [...every, keptTokens, fetchTokens, readTokens, unreadBefore ?? null] : every;
 }
 
-/** What a place was chosen by, as it is logged; `null` where the other instances' work was not known. */
+/** The estimates by which an endpoint was chosen, as logged; `null` where the work of other instances was not known. */
 function loggedBasis({unreadBefore, costMilliseconds, ...basis}: PlacementBasis): JsonValue {
 	return {...basis, unreadBefore: unreadBefore ?? null, costMilliseconds: Math.round(costMilliseconds)};
 }
--- a/src/gateway/data-path/request-ending.ts
+++ b/src/gateway/data-path/request-ending.ts
@@ -1,4 +1,4 @@
-/** Ends a routed request that gets no whole answer: with a typed refusal, or by breaking off what the caller has of one. */
+/** Ends a routed request that gets no complete answer: sends a typed refusal, or aborts an answer that has begun. */
 import {type ServerResponse} from 'node:http';
 import {breakOffAnswer} from '../../serving/break-off-answer.js';
 import {type Refusal} from '../../shared/types.js';
@@ -6,7 +6,7 @@
 import {type RoutedEnd} from './report-end.js';
 
 export class RequestEnding {
-	/** Of the last refusal; absent while there was none. */
+	/** Status of the last refusal; `undefined` if none was sent. */
 	status: number | undefined;
 	readonly #response: ServerResponse;
 	readonly #refuse: Refuse;
@@ -19,8 +19,8 @@
 	/**
 	 * Ends a request that no endpoint serves.
 	 *
-	 * @param refusal - What to say if nothing can have run.
-	 * @param mayHaveRun - Whether a try may have run.
+	 * @param refusal - Sent if the request cannot have run.
+	 * @param mayHaveRun - Whether an attempt may have run.
 	 */
 	giveUp(refusal: Refusal, mayHaveRun: boolean): RoutedEnd {
 		if (this.#response.headersSent) {
@@ -38,9 +38,9 @@
 	}
 
 	/**
-	 * Ends a request whose time is over.
+	 * Ends a request whose deadline has passed.
 	 *
-	 * @param mayHaveRun - Whether a try may have run.
+	 * @param mayHaveRun - Whether an attempt may have run.
 	 */
 	expire(mayHaveRun: boolean): RoutedEnd {
 		if (this.#response.headersSent) {
@@ -48,7 +48,7 @@
 		} else if (mayHaveRun) {
 			this.#write({reason: 'timeout', ran: 'unknown', message: 'the request was not answered in time'});
 		} else {
-			this.#write({reason: 'deadline', ran: 'not-run', message: 'the time of the request was over before an endpoint took it'});
+			this.#write({reason: 'deadline', ran: 'not-run', message: 'the deadline of the request passed before an endpoint accepted it'});
 		}
 
 		return 'timeout';
--- a/src/gateway/data-path/request-head.test.ts
+++ b/src/gateway/data-path/request-head.test.ts
@@ -12,7 +12,7 @@
 	} as unknown as IncomingMessage;
 }
 
-test('a prompt is read in its parts', () => {
+test('a prompt is decoded into its blocks', () => {
 	const head = readRequestHead(requestWith({
 		host: 'quay.example', [names.model]: 'permit', [names.tokenCount]: '1460,80', [names.promptParts]: '5c:800,91:410,e4:250', [names.deadline]: '1500',
 	}), names);
@@ -23,13 +23,13 @@
 	});
 });
 
-test('what cannot be read counts as absent', () => {
+test('values that cannot be parsed count as absent', () => {
 	const head = readRequestHead(requestWith({[names.model]: 'permit', [names.tokenCount]: 'many', [names.deadline]: 'soon'}), names);
 	assert.equal(head.prompt, undefined);
 	assert.equal(head.deadlineMilliseconds, undefined);
 });
 
-test('headers of the connection are left out, repeats and case are kept', () => {
+test('hop-by-hop headers are dropped; duplicates and case are preserved', () => {
 	const raw = ['Host', 'a', 'X-One', '1', 'x-one', '2', 'Connection', 'x-private', 'X-Private', 'p', 'Transfer-Encoding', 'chunked'];
 	assert.deepEqual(withoutHopByHop(raw, 'x-private'), ['Host', 'a', 'X-One', '1', 'x-one', '2']);
 	assert.deepEqual(withoutHopByHop(['Host', 'a', 'X-Salt', 's'], undefined, new Set(['x-salt'])), ['Host', 'a']);
--- a/src/gateway/data-path/request-head.ts
+++ b/src/gateway/data-path/request-head.ts
@@ -1,4 +1,4 @@
-/** What the head of a client's request says, decoded once. */
+/** Decodes the head of a client's request. */
 import {type IncomingMessage} from 'node:http';
 import {type PromptPart, type PromptShape} from '../../shared/prompt-shape.js';
 import {type WireNames} from './wire-names.js';
@@ -6,13 +6,13 @@
 /** A client's request without its body. */
 export type RequestHead = {
 	method: string;
-	/** As it was sent, undecoded. */
+	/** As sent, not decoded. */
 	target: string;
 	host: string;
 	rawHeaders: readonly string[];
 	connection: string | undefined;
 	attemptId: string;
-	/** How long the client waits, from the arrival; `undefined` where it does not say. */
+	/** How long the client waits, from the arrival of the request; `undefined` if it states no deadline. */
 	deadlineMilliseconds: number | undefined;
 	key: string | undefined;
 	lastEventId: string | undefined;
@@ -20,11 +20,11 @@
 };
 
 /**
- * Reads the head of a request.
+ * Decodes the head of a request.
  *
- * @param request - As `node:http` gives it.
- * @param names - How the headers are spelled.
- * @returns What it says; text that cannot be read counts as absent, since the endpoint gets the header as it was sent.
+ * @param request - The request from `node:http`.
+ * @param names - The names of the headers.
+ * @returns The decoded head. A value that cannot be parsed counts as absent; the endpoint gets that header unchanged.
  */
 export function readRequestHead(request: IncomingMessage, names: WireNames): RequestHead {
 	const textOf = (name: string): string | undefined => {
--- a/src/gateway/data-path/resumed-length.test.ts
+++ b/src/gateway/data-path/resumed-length.test.ts
@@ -6,10 +6,10 @@
 import {sealedHeaders, TestGateway} from '../testing/test-gateway.js';
 import {ownWireNames as names} from './wire-names.js';
 
-test('a resumed stream does not promise its caller the length of its first answer', async () => {
-	// The caller reads past the end of its answer, or takes the next answer on its connection for the rest of this one.
-	// The first endpoint states a length and breaks off; another goes on with events of other lengths. The sum is not what
-	// was promised, and nobody knows it when the head goes out.
+test('a resumed stream does not state the length of its first answer', async () => {
+	// Guards against a caller that reads past the end of its answer, or takes the next answer on its connection for its rest.
+	// The first endpoint states a length and fails; another one resumes the stream with events of other lengths. The total
+	// differs from the stated length and is not known when the head is sent.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'resumable-stream'})]})).start();
 	let isFirst = true;
 	const play = (request: IncomingMessage, response: ServerResponse): void => {
--- a/src/gateway/data-path/resumed-stream.test.ts
+++ b/src/gateway/data-path/resumed-stream.test.ts
@@ -47,9 +47,9 @@
 	return {text: text.replaceAll('\r\n', ''), isWhole: body.endsWith('0\r\n\r\n')};
 }
 
-test('a stream that breaks in the middle of an event goes on elsewhere without a piece twice, torn or missing', async () => {
-	// The endpoint crashes behind half of event 3. Whole events were passed on, the half was held back. Another endpoint
-	// continues behind event 2; the held half must not come before its first event.
+test('a stream that breaks within an event is resumed elsewhere without a duplicate, incomplete or missing event', async () => {
+	// The endpoint crashes after half of event 3. Complete events were relayed, the half was held back. Another endpoint
+	// continues after event 2; the half must not be sent before its first event.
 	const {answer, askedBehind} = await streamBreaks('resumable-stream', response => {
 		response.write('id: 3\ndata: pie', () => {
 			response.destroy();
@@ -60,7 +60,7 @@
 	assert.deepEqual(bodyOf(answer), {text: [1, 2, 3, 4].map(id => eventText(id)).join(''), isWhole: true});
 });
 
-test('a stream that may not be resumed ends without its end', async () => {
+test('a stream that may not be resumed ends visibly incomplete', async () => {
 	const {answer, askedBehind} = await streamBreaks('stream', response => {
 		response.destroy();
 	});
@@ -68,9 +68,9 @@
 	assert.equal(bodyOf(answer).isWhole, false);
 });
 
-test('a failure in answer to a resumption is not joined to the events that were passed on', async () => {
-	// The first endpoint breaks off; the second one answers the continued request with an error page. The caller has half
-	// of a stream and must see it end without its end, not with the bytes of an error page.
+test('a failure in answer to a resumption is not appended to the events that were relayed', async () => {
+	// The first endpoint fails, and the second one answers the resumed request with an error page. The caller has half of a
+	// stream and must see it end incomplete, not with the bytes of an error page.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'resumable-stream'})]})).start();
 	let isFirst = true;
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
@@ -95,10 +95,10 @@
 	assert.equal(bodyOf(answer).isWhole, false);
 });
 
-test('a stream whose events have no ids is not begun again behind events that were passed on', async () => {
-	// The caller gets the first piece twice, in a stream that ends as whole. 1. The endpoint breaks off behind an event
-	// without an id. 2. The request is sent elsewhere to go on, but without an id there is nothing to go on behind. 3. The
-	// other endpoint begins at the start, and its events are joined to the first one's.
+test('a stream whose events have no ids is not started again after events that were relayed', async () => {
+	// Guards against a complete stream with the first event twice. 1. The endpoint fails after an event without an id. 2. The
+	// request is sent to another endpoint to be resumed, but without an id there is no position to resume from. 3. The other
+	// endpoint starts over, and its events are appended to those of the first one.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'resumable-stream'})]})).start();
 	let isFirst = true;
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
@@ -123,9 +123,9 @@
 	assert.equal(isWhole, false);
 });
 
-test('events are not joined to a failure that broke off', async () => {
-	// The first endpoint breaks off in the middle of an error page. The request would be resumed elsewhere, and the caller
-	// get the head and half of the page of an error, with the events of a success behind it and the end of a whole answer.
+test('events are not appended to an incomplete failure', async () => {
+	// The first endpoint fails within an error page. If the request were resumed elsewhere, the caller would get the head and
+	// half of the body of an error, followed by the events of a success and the end of a complete answer.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'resumable-stream'})]})).start();
 	let isFirst = true;
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
@@ -155,10 +155,10 @@
 	{kind: 'stream', contentType: 'Text/Event-Stream; charset=utf-8'},
 	{kind: 'resumable-stream', contentType: 'text/event-stream'},
 ] as const) {
-	test(`a ${kind} of ${contentType} without a length that is closed in order in the middle of an event is not whole`, async () => {
-		// The endpoint's process dies; its host closes the connection in order, behind half of event 3. The stream has no other
-		// end than its connection, so all looks well, but an event without its empty line is half of one. The caller would take
-		// three pieces for the whole stream, the last of them torn.
+	test(`a ${kind} of ${contentType} without a length that is closed in order within an event is incomplete`, async () => {
+		// The endpoint's process dies, and its host closes the connection in order after half of event 3. Only the end of the
+		// connection marks the end of the stream, so it looks complete, but an event without its empty line is incomplete. The
+		// caller would take three events for the whole stream, the last of them incomplete.
 		const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 		let isFirst = true;
 		const play = (incoming: IncomingMessage, response: ServerResponse): void => {
--- a/src/gateway/data-path/routed-request.test.ts
+++ b/src/gateway/data-path/routed-request.test.ts
@@ -53,7 +53,7 @@
 	assert.ok(answer.endsWith('\r\n\r\na\0b'));
 });
 
-test('a body in chunks arrives whole', async () => {
+test('a body in chunks arrives completely', async () => {
 	const gateway = await gatewayFor('idempotent');
 	let body = '';
 	await gateway.addEndpoint(async (request, response) => {
@@ -67,9 +67,9 @@
 });
 
 for (const pauseMilliseconds of [20, 0]) {
-	test(`an answer without a length that ends in a reset ${pauseMilliseconds} ms behind its bytes does not look whole`, async () => {
-		// The endpoint's host dies while it sends an answer that ends with its connection. Passed on as whole, the caller would
-		// take half of the answer for all of it. A reset that comes together with the bytes looks like an ordinary end.
+	test(`an answer without a length that is reset ${pauseMilliseconds} ms after its bytes does not look complete`, async () => {
+		// The endpoint's host dies while it sends an answer that ends with its connection. If that is relayed as complete, the
+		// caller takes half of the answer for all of it. A reset that arrives together with the bytes looks like an ordinary end.
 		const gateway = await gatewayFor('non-idempotent');
 		await gateway.addEndpoint((request, response) => {
 			response.socket!.write(`HTTP/1.1 200 OK\r\n${names.attemptId}: a1\r\n${names.seal}: s\r\nconnection: close\r\n\r\nhalf`, () => {
@@ -90,7 +90,7 @@
 	});
 }
 
-test('an answer without a length that ends in order is whole', async () => {
+test('an answer without a length that ends in order is complete', async () => {
 	const gateway = await gatewayFor('non-idempotent');
 	await gateway.addEndpoint((request, response) => {
 		response.socket!.end(`HTTP/1.1 200 OK\r\n${names.attemptId}: a1\r\n${names.seal}: s\r\nconnection: close\r\n\r\nwhole`);
@@ -101,8 +101,8 @@
 	assert.ok(answer.endsWith('0\r\n\r\n'), answer);
 });
 
-test('an answer that belongs to another request is not passed on, and its connection is not used again', async () => {
-	// An endpoint sends its answer twice. The second one arrives when the connection waits for the next request's answer.
+test('an answer that belongs to another request is not relayed, and its connection is not reused', async () => {
+	// An endpoint sends its answer twice. The second copy arrives while the connection waits for the next request's answer.
 	const gateway = await gatewayFor('non-idempotent');
 	await gateway.addEndpoint((request, response) => {
 		response.writeHead(200, {...sealedHeaders(request), [names.attemptId]: 'another'});
@@ -114,7 +114,7 @@
 	assert.ok(!answer.includes('not yours'));
 });
 
-test('a success without a seal is not passed on', async () => {
+test('a success without a seal is not relayed', async () => {
 	const gateway = await gatewayFor('non-idempotent');
 	await gateway.addEndpoint((_request, response) => {
 		response.writeHead(200, {[names.attemptId]: 'a1'});
@@ -140,8 +140,8 @@
 	return {status: statusOf(answer), runs, answer};
 }
 
-test('a call that may run only once is not sent again when its answer is lost, and nobody says that it has not run', async () => {
-	// The endpoint ran the booking and died before it answered. A second send books twice; "not run" makes the caller book.
+test('a non-idempotent call is not retried when its answer is lost, and is not reported as not run', async () => {
+	// The endpoint ran the booking and died before it answered. A retry would book twice, and so would a caller told "not run".
 	const lost = await runsOf('non-idempotent', (_request, response) => {
 		response.destroy();
 	});
@@ -155,7 +155,7 @@
 	assert.deepEqual([rejected.status, rejected.runs], [200, 2]);
 });
 
-test('a call that every endpoint rejected is refused as not run, with a time to come back', async () => {
+test('a call that every endpoint rejected is refused as not run, with `Retry-After`', async () => {
 	const rejected = await runsOf('non-idempotent', (request, response) => {
 		answerSealed(request, response, {status: 503, headers: {[names.notExecuted]: '1'}});
 	});
@@ -163,7 +163,7 @@
 	assert.match(rejected.answer, /retry-after: 0\.\d\d/iv);
 });
 
-test('a failure of an idempotent call is tried once more elsewhere; the second failure is passed on with its seal', async () => {
+test('a failed idempotent call is retried once at another endpoint; the second failure is relayed with its seal', async () => {
 	const failed = await runsOf('idempotent', (request, response) => {
 		answerSealed(request, response, {status: 500, body: 'broken'});
 	});
@@ -171,7 +171,7 @@
 	assert.match(failed.answer, /savorygauge-seal: seal/v);
 });
 
-test('the route\'s time-out ends a request at once', async () => {
+test('the timeout of the route ends a request immediately', async () => {
 	const gateway = await gatewayFor('idempotent', {timeoutMilliseconds: 150});
 	let isCut = false;
 	await gateway.addEndpoint(request => {
@@ -191,7 +191,7 @@
 });
 
 for (const kind of ['stream', 'non-idempotent'] as const) {
-	test(`a caller who leaves ${kind === 'stream' ? 'stops the work on a stream' : 'does not cut a call that may run only once'}`, async () => {
+	test(`a caller that disconnects ${kind === 'stream' ? 'cancels a stream' : 'does not cancel a non-idempotent call'}`, async () => {
 		const gateway = await gatewayFor(kind);
 		let isCut = false;
 		let begin = (): void => undefined;
@@ -224,8 +224,8 @@
 	});
 }
 
-test('a kept connection of an endpoint that sends bytes nobody waits for is given up', async () => {
-	// Behind its whole answer the endpoint sends another one. The next request must not get it.
+test('an idle connection on which the endpoint sends unexpected bytes is closed', async () => {
+	// After its complete answer the endpoint sends another one. The next request must not get it.
 	const gateway = await gatewayFor('non-idempotent');
 	let connections = 0;
 	const seen = new Set();
--- a/src/gateway/data-path/routed-request.ts
+++ b/src/gateway/data-path/routed-request.ts
@@ -1,6 +1,6 @@
 /**
- * One routed request on its way: placed on an endpoint, sent, its answer passed on, and, where a try fails, repeated,
- * resumed, refused or failed. The steps are decided in `src/decision`; here they are carried out.
+ * Carries one routed request from its placement to its end: chooses an endpoint, sends the request, relays the answer and,
+ * after a failed attempt, retries, resumes, refuses or fails the request. `src/decision` decides these steps.
  */
 import {type Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
@@ -23,7 +23,7 @@
 import {RequestEnding} from './request-ending.js';
 import {type RequestHead} from './request-head.js';
 
-/** A request that may be sent on, with its body. */
+/** A permitted request with its body, and the response to write. */
 export type RoutedWork = {
 	head: RequestHead;
 	permitted: PermittedRequest;
@@ -33,7 +33,7 @@
 	response: ServerResponse;
 };
 
-/** When a caller may come back whom every endpoint rejected: the time in which a queue of short requests drains. */
+/** `Retry-After` of a request that every endpoint rejected: a queue of short requests drains in this time. */
 const rejectedRetryMilliseconds = 500;
 export class RoutedRequest {
 	readonly #context: GatewayContext;
@@ -52,7 +52,7 @@
 	#sentAt: number | undefined;
 	#basis: PlacementBasis | undefined;
 	#status = 0;
-	/** Of the last answer, until a line of the log has told it. */
+	/** How the last answer was transferred; unset once a log line has reported it. */
 	#untoldTransfer: AnswerTransfer | undefined;
 
 	constructor(context: GatewayContext, work: RoutedWork) {
@@ -66,7 +66,7 @@
 		this.#ending = new RequestEnding(work.response, context.refuse);
 	}
 
-	/** Serves the request to its end, which is always answered or closed when this resolves. */
+	/** Serves the request to its end. The response is always ended or closed when this resolves. */
 	async run(): Promise<RoutedEnd> {
 		const {response} = this.#work;
 		const onClose = (): void => {
@@ -122,7 +122,7 @@
 
 			if (placement.kind === 'none') {
 				return this.#ending.giveUp({
-					reason: placement.reason, ran: 'not-run', message: 'no endpoint of the service can take the request now', retryAfterMilliseconds: placement.retryAfterMilliseconds,
+					reason: placement.reason, ran: 'not-run', message: 'no endpoint of the service can accept the request now', retryAfterMilliseconds: placement.retryAfterMilliseconds,
 				}, this.#mayHaveRun);
 			}
 
@@ -164,7 +164,7 @@
 		}, () => this.#context.budget.takeRepeat(service, this.#now()));
 	}
 
-	/** Gives the end of the request, or `undefined` where another try follows. */
+	/** Carries out the step after a failed attempt. Returns how the request ended, or `undefined` if another attempt follows. */
 	async #carryOut(step: NextStep, answer: EndpointAnswer | undefined): Promise<RoutedEnd | undefined> {
 		switch (step) {
 			case 'repeat':
@@ -186,7 +186,7 @@
 			case 'fail': {
 				answer?.discard();
 				return this.#ending.giveUp({
-					reason: 'no-endpoint', ran: 'not-run', message: 'no endpoint took the request', retryAfterMilliseconds: rejectedRetryMilliseconds,
+					reason: 'no-endpoint', ran: 'not-run', message: 'no endpoint accepted the request', retryAfterMilliseconds: rejectedRetryMilliseconds,
 				}, this.#mayHaveRun);
 			}
 		}
@@ -218,7 +218,7 @@
 		}
 
 		const result = await running;
-		// A failure's page may still be passed on: the time-out and a caller that leaves must be able to end that as well.
+		// The body of a failure may still be relayed; the timeout and a disconnect of the caller must be able to cancel that too.
 		this.#current = result.outcome === 'failed' ? this.#current : undefined;
 		this.#sends += result.wasSent ? 1 : 0;
 		this.#mayHaveRun ||= result.mayHaveRun;
@@ -238,7 +238,7 @@
 		}
 
 		if (outcome !== 'whole') {
-			// Nobody reads on, and an endpoint that has stalled would keep the connection for good.
+			// The rest of the body is not read, so an endpoint that has stalled would hold its connection indefinitely.
 			this.#current?.cancel();
 		}
 
@@ -254,19 +254,19 @@
 		return outcome === 'whole' ? 'failure-passed-on' : 'client-left';
 	}
 
-	/** Releases the connection of an answer whose caller has left; an endpoint that stalls within it would hold it for good. */
+	/** Releases the connection of an answer whose caller has disconnected; an endpoint that stalls would hold it indefinitely. */
 	#discardUnread({outcome, answer}: TryResult): void {
 		if (outcome === 'rejected') {
 			answer?.discard();
 		} else {
-			// A call that may run only once has the time of its route to finish.
+			// A non-idempotent call may finish within the timeout of its route.
 			answer?.discard(Math.max(0, this.#deadline - this.#now()));
 		}
 	}
 
 	/**
-	 * The client closed its connection. Work that may be repeated, or streams to it, are cancelled, since nobody reads them;
-	 * a call that may run only once is left to finish, since cutting it would leave it half done and save little.
+	 * Handles a disconnect of the caller. Idempotent requests and streams are cancelled, since nobody reads their answers. A
+	 * non-idempotent call is left to finish, since cancelling it would leave it half done and save little.
 	 */
 	#leave(): void {
 		if (this.#work.response.writableFinished) {
--- a/src/gateway/data-path/silent-endpoint.test.ts
+++ b/src/gateway/data-path/silent-endpoint.test.ts
@@ -13,9 +13,9 @@
 	}, body: 'x',
 });
 
-test('an answer that has begun is not cut because its endpoint says nothing for a while', async () => {
-	// The caller has the first half of its answer. The endpoint takes its time over the rest, and another request waits there,
-	// so it looks silent. Nothing can take the first half back: a cut leaves the caller with half, and the endpoint is well.
+test('an answer that has begun is not cut because its endpoint sends nothing for a while', async () => {
+	// The caller has the first half of its answer. The endpoint is slow with the rest while another request waits there, so it
+	// looks unresponsive. A cancellation would leave the caller with half of an answer, although the endpoint works.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'idempotent'})]})).start();
 	let runs = 0;
 	const play = async (incoming: IncomingMessage, response: ServerResponse): Promise<void> => {
@@ -37,8 +37,8 @@
 	assert.equal(runs, 1);
 });
 
-test('a request whose endpoint falls silent before its answer goes elsewhere, and the line says why', async () => {
-	// The endpoint lost its power: it resets nothing and answers nothing, and the caller would wait until the time-out.
+test('a request whose endpoint becomes unresponsive before its answer is retried elsewhere, and the log says why', async () => {
+	// The endpoint's host loses power: it neither resets the connection nor answers, and the caller would wait until the timeout.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'idempotent'})]})).start();
 	let runs = 0;
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
@@ -57,5 +57,5 @@
 	const answer = await exchangeRaw(gateway.address, request);
 	await gateway.close();
 	assert.ok(answer.endsWith('whole'), answer);
-	assert.equal(gateway.lines.find(({kind}) => kind === 'try-failed')?.detail, 'the endpoint fell silent');
+	assert.equal(gateway.lines.find(({kind}) => kind === 'try-failed')?.detail, 'the endpoint became unresponsive');
 });
--- a/src/gateway/data-path/stalled-failure.test.ts
+++ b/src/gateway/data-path/stalled-failure.test.ts
@@ -8,7 +8,7 @@
 import {ownWireNames as names} from './wire-names.js';
 
 const routeMilliseconds = 300;
-/** Far behind the route's time-out, far before the test's own. */
+/** Far longer than the timeout of the route, far shorter than that of the test. */
 const patienceMilliseconds = 3000;
 
 const post = rawRequest({
@@ -17,7 +17,7 @@
 	}, body: 'x',
 });
 
-/** Sends a request to an endpoint that sends half of a failure's page and then nothing. */
+/** Sends a request to an endpoint that answers with half of a failure's body and then nothing. */
 async function openStalled(context: TestContext, timeoutMilliseconds: number): Promise<{gateway: TestGateway; caller: Socket; endpointClosed: Promise<boolean>}> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'idempotent', mostAttempts: 1, timeoutMilliseconds})]})).start();
 	context.after(async () => gateway.close());
@@ -41,10 +41,10 @@
 	return once(socket, 'close', {signal: patience}).then(() => true, () => false);
 }
 
-test('a failure whose page stalls ends with the route\'s time', async context => {
-	// The caller has half of a page and waits without end, and the endpoint's connection is never given back.
-	// 1. The only endpoint fails and its page is passed on. 2. The page stops coming. 3. The route's time passes, but the try
-	// had ended with its head, so there was nothing to cancel.
+test('a failure whose body stalls ends at the timeout of the route', async context => {
+	// Guards against a caller that waits forever for the rest of a body, and against a leaked connection to the endpoint:
+	// 1. The only endpoint fails and the body of its failure is relayed. 2. The body stalls. 3. The timeout of the route passes,
+	// but the attempt ended with its head, so there is nothing left to cancel.
 	const {gateway, caller, endpointClosed} = await openStalled(context, routeMilliseconds);
 	const callerClosed = isClosedInTime(caller);
 	const answer = readToEnd(caller);
@@ -55,9 +55,9 @@
 	assert.equal(gateway.lines.find(({kind}) => kind === 'request-ended')?.outcome, 'timeout');
 });
 
-test('the endpoint of a failure whose caller left is let go', async context => {
-	// The endpoint's connection stays taken for good. 1. Half of a failure's page is passed on. 2. The caller leaves. 3. The
-	// try had ended with its head, so nobody cancels it.
+test('the endpoint\'s connection is closed if the caller disconnects within a failure', async context => {
+	// Guards against a leaked connection to the endpoint: 1. Half of a failure's body is relayed. 2. The caller disconnects.
+	// 3. The attempt ended with its head, so nothing cancels it.
 	const {caller, endpointClosed} = await openStalled(context, 60_000);
 	await once(caller, 'data');
 	caller.destroy();
--- a/src/gateway/data-path/try-watch.ts
+++ b/src/gateway/data-path/try-watch.ts
@@ -1,4 +1,4 @@
-/** Watches one try at an endpoint, and gives it up before the caller's time is over where waiting on helps nobody. */
+/** Watches one attempt at an endpoint and cancels it before the caller's timeout where further waiting is useless. */
 import {isRepeatable} from '../../decision/attempts/next-step.js';
 import {grantEnd} from '../../decision/placement/older-weights.js';
 import {type GatewayContext} from '../gateway-context.js';
@@ -6,17 +6,17 @@
 import {type OpenExchange} from './endpoint-exchange.js';
 import {type TryTarget, type TryWork} from './try-work.js';
 
-/** Why a try was given up. */
+/** Why an attempt was cancelled early. */
 export type GivenUpFor = 'silence' | 'older-weights';
 
-/** How often a waiting request looks whether its endpoint has fallen silent. */
+/** How often a waiting request checks whether its endpoint has become unresponsive. */
 const silenceCheckMilliseconds = 200;
 /**
- * An engine that writes answers sends some event every few dozen milliseconds. One that has sent none to anybody for so long
- * has stopped; a load of new weights, during which its runs pause, takes less.
+ * An engine that generates answers sends some event every few dozen milliseconds. One that has sent none to any caller for
+ * this long has stopped. A load of new weights, during which its runs pause, takes less.
  */
 const stoppedEngineMilliseconds = 1400;
-/** A prompt is taken back from an engine with older weights this long before the grant ends: the way to the engine. */
+/** A prompt at an engine with older weights is cancelled this long before the grant ends, so that the engine notices in time. */
 const takeBackMilliseconds = 250;
 
 export class TryWatch {
@@ -35,18 +35,18 @@
 		this.#target = target;
 	}
 
-	/** Why the try was given up; absent if it was not. */
+	/** Why the attempt was cancelled early; `undefined` if it was not. */
 	get givenUpFor(): GivenUpFor | undefined {
 		return this.#givenUpFor;
 	}
 
-	/** Begins to watch a call that was sent. */
+	/** Starts to watch a call that was sent. */
 	start(exchange: OpenExchange): void {
 		this.#watchForSilence(exchange);
 		this.#watchGrantOfWeights(exchange);
 	}
 
-	/** Notes that the endpoint has begun to answer. */
+	/** Records that the endpoint has begun to answer. */
 	noteBegun(): void {
 		this.#hasBegun = true;
 	}
@@ -58,11 +58,13 @@
 	}
 
 	/**
-	 * Gives up a request at an endpoint that has become unresponsive: one that lost its power resets no connection, and the
-	 * caller would wait until the timeout. A call to a plain service is given up only if it may be sent elsewhere, since it may
-	 * just be slow. A prompt is given up also where no other engine may be tried: its caller can come back at once. After the
-	 * first bytes only a stream that may be resumed is given up; any other caller would be left with half of an answer. An
-	 * endpoint whose answer waits here for a slow caller is not unresponsive: it is this process that does not read.
+	 * Cancels a request at an endpoint that has become unresponsive. A host that lost power resets no connection, so the caller
+	 * would wait until its timeout.
+	 *
+	 * - A call to a plain service is cancelled only if it may be sent to another endpoint, since it may just be slow.
+	 * - A prompt is cancelled even if no other engine may be tried, since its caller can retry at once.
+	 * - After the first bytes only a resumable stream is cancelled; any other caller would be left with half of an answer.
+	 * - An endpoint whose answer waits here for a slow caller is not unresponsive: it is this process that does not read.
 	 */
 	#watchForSilence(exchange: OpenExchange): void {
 		const {kind, carriesPrompt} = this.#work.permitted.route;
@@ -76,8 +78,8 @@
 	}
 
 	/**
-	 * Timers run before sockets are read. Judged at once, every endpoint would look unresponsive after a pause of this process,
-	 * and every request that waits would run a second time.
+	 * Decides only after the sockets were polled once more. Timers run before sockets are read, so after a pause of this process
+	 * every endpoint would look unresponsive, and every waiting request would run a second time.
 	 */
 	async #checkSilence(exchange: OpenExchange): Promise<void> {
 		if (this.#isSilent()) {
@@ -94,15 +96,15 @@
 		return mayBeGivenUp && (this.#context.placement.isSilent(this.#target.endpoint, this.#now()) || this.#isEngineStopped());
 	}
 
-	/** With no request waiting, only the running streams show that an engine has stopped. */
+	/** While no request waits, only the running streams show that an engine has stopped. */
 	#isEngineStopped(): boolean {
 		const {permitted: {route}} = this.#work;
 		return route.carriesPrompt && this.#hasBegun && this.#context.placement.idleMilliseconds(this.#target.endpoint, this.#now()) > stoppedEngineMilliseconds;
 	}
 
 	/**
-	 * Takes a prompt back that its engine has not begun when the time ends in which runs may begin on the engine's older
-	 * weights. It waited there longer than placing had reckoned; an answer on those weights must not come any more.
+	 * Cancels a prompt that its engine has not begun when the grant ends, the time in which runs may begin on the engine's older
+	 * weights. The prompt waited there longer than its placement expected, and must no longer be answered with those weights.
 	 */
 	#watchGrantOfWeights(exchange: OpenExchange): void {
 		const {request, endpoint} = this.#target;
--- a/src/gateway/data-path/try-work.ts
+++ b/src/gateway/data-path/try-work.ts
@@ -1,4 +1,4 @@
-/** One try of a request: what is sent, and where. */
+/** The input of one attempt: the request to send, and the endpoint to send it to. */
 import {type Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
 import {type PlacementBasis, type PlacementRequest} from '../../decision/placement/placement.js';
@@ -7,26 +7,26 @@
 import {type PermittedRequest} from './judge-request.js';
 import {type RequestHead} from './request-head.js';
 
-/** What is sent, and to whom the answer goes. */
+/** The request to send, and the response that its answer is written to. */
 export type TryWork = {
 	head: RequestHead;
 	permitted: PermittedRequest;
 	body: Buffer;
 	response: ServerResponse;
-	/** For streams that may be resumed. */
+	/** Present for streams that may be resumed. */
 	cutter: EventCutter | undefined;
-	/** When the caller or the route gives up, in milliseconds of the steady clock. */
+	/** When the caller or the route times out, in milliseconds of the steady clock. */
 	deadline: number;
 };
 
-/** Where it is sent. */
+/** The endpoint to send it to, and how that was chosen. */
 export type TryTarget = {
 	endpoint: EndpointRecord;
 	request: PlacementRequest;
-	/** By what it was chosen. */
+	/** The estimates by which the endpoint was chosen. */
 	basis: PlacementBasis;
-	/** Whether another endpoint may still be tried behind this one. */
+	/** Whether another endpoint may be tried after this one. */
 	hasNext: boolean;
-	/** Told when the first bytes of the answer came. */
+	/** Called when the first bytes of the answer arrive. */
 	onFirstBytes(): void;
 };
--- a/src/gateway/data-path/weights-grant.test.ts
+++ b/src/gateway/data-path/weights-grant.test.ts
@@ -21,16 +21,16 @@
 	}, body: 'x',
 });
 
-test('a prompt that its engine has not begun when the grant of older weights ends is taken back', async () => {
-	// Weights were named; the prompt still went to an engine with the old ones, which had time enough by what was known. The
-	// engine is held up and would begin it behind the time granted: the caller would get an answer that nobody may rely on
-	// any more. The engine sees its connection close before that, and the prompt goes to one that is done.
+test('a prompt that its engine has not begun when the grant of older weights ends is cancelled', async () => {
+	// New weights were named, but the prompt was sent to an engine with the old ones, which was expected to begin in time. The
+	// engine is delayed and would begin after the end of the grant, so the caller would get an answer from weights that are no
+	// longer valid. The gateway closes the connection before that and sends the prompt to an engine with the new weights.
 	const route = testRoute({kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds: 5000});
 	const gateway = await new TestGateway(testConfiguration({routes: [route]})).start();
 	Object.assign(gateway.context, {goals: new WeightGoals(boundMilliseconds)});
 	const namedAt = gateway.context.clock.moment();
 	gateway.context.goals.name({model: 'lease', version: 2}, {heardAt: namedAt, namedSince: namedAt});
-	// The engine goes on with other prompts.
+	// The engine goes on serving other prompts.
 	gateway.context.placement.isSilent = () => false;
 	let hold: (incoming: IncomingMessage) => void = () => undefined;
 	const holding = new Promise<IncomingMessage>(resolve => {
@@ -51,6 +51,6 @@
 	await gateway.close();
 	assert.equal(statusOf(answer), 200);
 	assert.match(answer, /data: new/v);
-	assert.ok(closedBehind < boundMilliseconds, `closed ${closedBehind} ms behind the naming`);
-	assert.equal(gateway.lines.find(({kind}) => kind === 'try-failed')?.detail, 'not begun when the grant of older weights ended');
+	assert.ok(closedBehind < boundMilliseconds, `closed ${closedBehind} ms after the naming`);
+	assert.equal(gateway.lines.find(({kind}) => kind === 'try-failed')?.detail, 'cancelled before it began: the grant of older weights ended');
 });
--- a/src/gateway/data-path/wire-names.ts
+++ b/src/gateway/data-path/wire-names.ts
@@ -1,54 +1,54 @@
 /**
- * The names that requests and answers carry on the wire. The data path knows what each header holds; how it is spelled
- * is told from outside, so that a deployment with other names needs no other data path. All names are lower case.
+ * Names of the headers that requests and answers carry. The data path defines what each header means; its name is
+ * configurable, so that a deployment with other names needs no changes here. All names are in lower case.
  */
 
 /** The headers that the data path reads or sets. */
 export type WireNames = {
 	/** Id of one attempt of a client; endpoints echo it. */
 	attemptId: string;
-	/** How many milliseconds the sender will wait. */
+	/** How many milliseconds the sender waits. */
 	deadline: string;
-	/** The client's key; never passed on. */
+	/** The client's key; never forwarded. */
 	workspaceKey: string;
 	/** Name of the workspace that holds the key; set for endpoints. */
 	workspace: string;
 	model: string;
-	/** Prompt tokens and the most output tokens, with a comma between. */
+	/** Prompt tokens and maximum output tokens, separated by a comma. */
 	tokenCount: string;
-	/** The parts of the prompt in order, as `id:tokens` with commas between. */
+	/** The blocks of the prompt in order, as `id:tokens`, separated by commas. */
 	promptParts: string;
-	/** The endpoint that the request is for; any other refuses it. */
+	/** The endpoint that the request is for; any other rejects it. */
 	expectedEndpoint: string;
 	/** The name of the endpoint that answers. */
 	endpointName: string;
-	/** The weight version that the request is for; an engine with another refuses it. */
+	/** The weight version that the request is for; an engine with another version rejects it. */
 	expectedVersion: string;
-	/** An endpoint's signature under its answer. */
+	/** An endpoint's signature of its answer. */
 	seal: string;
-	/** An endpoint's word that it did not run the request. */
+	/** States that the endpoint did not run the request. */
 	notExecuted: string;
-	/** Requests running, requests waiting and slots, with commas between. */
+	/** Running requests, waiting requests and slots, separated by commas. */
 	endpointLoad: string;
 	/** The weight version that an engine answered with. */
 	weightVersion: string;
-	/** Separates cached prompt parts: an engine finds a part only under the text it was stored with. */
+	/** Separates cached prompt blocks: an engine finds a block only under the salt that it was stored with. */
 	cacheSalt: string;
-	/** Rank at the engine; 0 is the most urgent. */
+	/** Priority at the engine; 0 is the most urgent. */
 	engineRank: string;
-	/** Where an engine fetches cached parts from. */
+	/** Addresses from which an engine fetches cached blocks. */
 	fetchFrom: string;
-	/** Where an engine saves parts to. */
+	/** Addresses to which an engine saves blocks. */
 	saveTo: string;
-	/** When a fetch that is not finished is thrown away, on the engines' clock. */
+	/** When an unfinished fetch is abandoned, by the engines' clock. */
 	fetchUntil: string;
-	/** The last event that the receiver of a stream has. */
+	/** Id of the last event that the receiver of a stream has. */
 	lastEventId: string;
-	/** Headers that only the system may set; what a client sent under these names is dropped. */
+	/** Headers that only the system may set; a client's values are dropped. */
 	reserved: readonly string[];
 };
 
-/** The product's own spelling. */
+/** The product's own header names. */
 export const ownWireNames: WireNames = {
 	attemptId: 'savorygauge-attempt-id',
 	deadline: 'savorygauge-deadline-milliseconds',
