--- a/src/serving/break-off-answer.ts
+++ b/src/serving/break-off-answer.ts
@@ -1,12 +1,12 @@
-/** Breaks an answer off so that its caller can see that it is not whole. */
+/** Aborts an answer so that its caller can see that it is incomplete. */
 import {type ServerResponse} from 'node:http';
 
 /**
- * Closes the caller's connection in the middle of an answer.
+ * Closes the caller's connection before its answer is complete.
  *
- * A caller of HTTP/1.1 misses the last chunk or bytes of the stated length. One of HTTP/1.0 is not answered in chunks: there
- * the end of the connection is the end of the answer, and an orderly close would make half of an answer whole. It gets a
- * reset, which no client takes for an end.
+ * An HTTP/1.1 caller misses the last chunk or some bytes of the stated length. An HTTP/1.0 caller gets no chunks: the end of
+ * the connection is the end of the answer, so after an orderly close half an answer would look complete. Its connection is
+ * reset instead, which no client takes for an end.
  *
  * @param response - The answer, of which a part may have been sent.
  */
--- a/src/serving/connection-refusal.ts
+++ b/src/serving/connection-refusal.ts
@@ -1,20 +1,20 @@
-/** The answer to bytes that never became a request: a typed refusal, written to the connection itself. */
+/** Answers bytes that are not a valid request: a typed refusal, written directly to the connection. */
 import {Buffer} from 'node:buffer';
 import {STATUS_CODES} from 'node:http';
 import {type Refusal} from '../shared/types.js';
 import {refusalBody} from './send-refusal.js';
 
-/** A refusal with the status that fits the fault of the connection better than the reason's own. */
+/** A refusal, with a status that fits the connection's error better than the default of the reason. */
 export type ConnectionRefusal = {
 	status: number;
 	refusal: Refusal;
 };
 
 /**
- * Judges what the HTTP parser, or a time limit of the listener, found wrong with a connection.
+ * Selects the refusal for an error that the HTTP parser or a timeout of the listener reports for a connection.
  *
  * @param code - The code of the error.
- * @returns The refusal; `undefined` when the other side is gone and nobody reads an answer.
+ * @returns The refusal; `undefined` if the peer has disconnected and nobody reads an answer.
  */
 export function judgeConnectionError(code = ''): ConnectionRefusal | undefined {
 	switch (code) {
@@ -42,7 +42,7 @@
 }
 
 /**
- * Writes a refusal as a whole HTTP answer that closes the connection.
+ * Formats a refusal as a complete HTTP answer that closes the connection.
  *
  * @param connectionRefusal - The refusal and its status.
  * @returns The bytes to write.
--- a/src/serving/event-loop-lag.test.ts
+++ b/src/serving/event-loop-lag.test.ts
@@ -2,8 +2,8 @@
 import {test} from 'node:test';
 import {EventLoopLag} from './event-loop-lag.js';
 
-test('a lag is known while it lasts and for a second after it, and is reported once', t => {
-	// Guards against closes of connections that are looked for only while the loop stands still, when nothing can look.
+test('a lag is visible while it lasts and for a second after it, and is reported once', t => {
+	// Guards against a lag that is visible only while the event loop is blocked, when no code can check for closed connections.
 	t.mock.timers.enable({apis: ['setInterval']});
 	let now = 0;
 	const lags: number[] = [];
--- a/src/serving/event-loop-lag.ts
+++ b/src/serving/event-loop-lag.ts
@@ -1,12 +1,12 @@
 /**
- * Measures for how long the event loop has not looked for I/O.
+ * Measures for how long the event loop has not polled for I/O.
  *
- * A process that was paused, or that is short of processor time, acts on requests that have waited in their sockets. Their
- * callers may have left meanwhile, and the close of a connection is read after the request before it. Whoever acts on a
- * request can tell from the lag whether to look first.
+ * A process that was paused, or that is short of processor time, handles requests that have waited in their sockets. Their
+ * callers may have disconnected since, but the close of a connection is read only after the request before it. The lag shows
+ * a request handler whether to poll the sockets first.
  */
 const tickMilliseconds = 100;
-/** What waited during a lag is read within this time after it: connections are accepted first, then read. */
+/** Data that waited during a lag is read within this time after it: connections are accepted first, then read. */
 const rememberedMilliseconds = 1000;
 
 export class EventLoopLag {
@@ -17,8 +17,8 @@
 	#timer: NodeJS.Timeout | undefined;
 
 	/**
-	 * @param now - Gives milliseconds of a steady clock.
-	 * @param report - Told the lag of each tick.
+	 * @param now - Returns milliseconds of a steady clock.
+	 * @param report - Called with the lag of each tick.
 	 */
 	constructor(now: () => number, report: (lagMilliseconds: number) => void) {
 		this.#now = now;
@@ -26,7 +26,7 @@
 		this.#tickedAt = now();
 	}
 
-	/** Begins to measure; holds no process that is done otherwise. */
+	/** Starts to measure; the timer does not keep the process alive. */
 	start(): void {
 		this.#tickedAt = this.#now();
 		this.#timer = setInterval(() => {
@@ -38,13 +38,13 @@
 		clearInterval(this.#timer);
 	}
 
-	/** The lag with which something that is read now may be read, in milliseconds. */
+	/** By how much data that is read now may have been delayed, in milliseconds. */
 	get current(): number {
 		return this.at(this.#now());
 	}
 
 	/**
-	 * Gives the lag with which something that is read now may be read.
+	 * Returns by how much data that is read now may have been delayed.
 	 *
 	 * @param now - Milliseconds of the steady clock.
 	 * @returns Milliseconds: the time since the last tick was due, or the longest lag of the last second.
--- a/src/serving/has-caller-left.ts
+++ b/src/serving/has-caller-left.ts
@@ -1,12 +1,12 @@
 import {type IncomingMessage} from 'node:http';
 import {afterNextPoll} from './after-next-poll.js';
 
-/** With a longer lag a request may have been read together with the close behind it. */
+/** After a longer lag, the close that follows a request may still wait in the request's socket. */
 const closeMayWaitMilliseconds = 100;
 
 /**
- * Tells whether the caller of a request has left. A process that was paused reads a request before the close behind it in
- * the same socket, and would have the request worked on for nobody; it looks once more at its sockets first.
+ * Checks whether the caller of a request has disconnected. A process that was paused reads a request before the close that
+ * follows it on the same socket, and would serve it for nobody; so after a long lag the sockets are polled once more first.
  *
  * @param request - The request.
  * @param lagMilliseconds - The present lag of the event loop.
@@ -16,6 +16,6 @@
 		await afterNextPoll();
 	}
 
-	// Node reports a close to the response some turns of the event loop after it has read it.
+	// The socket shows a close at once; Node reports it on the response only some turns of the event loop later.
 	return socket.destroyed || socket.readableEnded;
 }
--- a/src/serving/http-listener.ts
+++ b/src/serving/http-listener.ts
@@ -1,7 +1,7 @@
 /**
- * Serves an h3 application, or a plain handler where requests must be passed on raw, on one address, with bounds that keep
- * slow or broken clients from holding it, and with a drain that ends: open answers are finished, idle connections closed,
- * half-sent requests given their usual time.
+ * Serves an h3 application, or a plain handler where requests must be forwarded raw, on one address. Limits keep slow or
+ * broken clients from occupying it. A drain always ends: answers are finished, idle connections are closed, and requests that
+ * have partly arrived keep their usual timeouts.
  */
 import {once} from 'node:events';
 import {
@@ -15,12 +15,12 @@
 import {breakOffAnswer} from './break-off-answer.js';
 import {sendRefusal} from './send-refusal.js';
 
-/** What a client may cost before its request has arrived. */
+/** Limits for a client until its request has arrived. */
 export type ListenerBounds = {
 	headersTimeoutMilliseconds: number;
-	/** For the whole request, body included. */
+	/** For the whole request, including its body. */
 	requestTimeoutMilliseconds: number;
-	/** How often the two time limits are looked at. */
+	/** How often the two timeouts are checked. */
 	checkMilliseconds: number;
 	largestHeaderBytes: number;
 };
@@ -33,13 +33,13 @@
 };
 
 /**
- * Time for the rest of a body to arrive after its request has been answered. Node reads it on, since closing the connection
- * with unread bytes would reset it and could take the answer with it; without a limit, a sender that ignores a refusal is
- * read for as long as a request may take.
+ * Time for the rest of a body to arrive after its request was answered. Node goes on reading it, since closing a connection
+ * with unread bytes resets it and could lose the answer. Without a limit, a sender that ignores a refusal would be read for as
+ * long as a request may take.
  */
 const outstandingBodyMilliseconds = 2000;
 
-/** Answers a request that `node:http` gives. */
+/** Handles a request from `node:http`. */
 export type NodeHandle = (request: IncomingMessage, response: ServerResponse) => unknown;
 
 export class HttpListener implements Child {
@@ -47,16 +47,16 @@
 	readonly #server: Server;
 	readonly #address: {host: string; port: number};
 	readonly #handle: NodeHandle;
-	/** Every connection with its answers that are not finished. */
+	/** The open connections, each with its unfinished answers. */
 	readonly #connections = new Map<Duplex, Set<ServerResponse>>();
 	#draining = false;
 	#closesConnections = false;
 
 	/**
-	 * @param name - Name of the child.
+	 * @param name - Name of the listener for the supervisor.
 	 * @param app - What to serve. An h3 application normalises the request target; a plain handler gets it raw.
-	 * @param address - `IP:port`; port 0 takes a free one.
-	 * @param bounds - What a client may cost.
+	 * @param address - `IP:port`; port 0 selects a free one.
+	 * @param bounds - Limits for a client until its request has arrived.
 	 */
 	constructor(name: string, app: H3 | NodeHandle, address: string, bounds = defaultListenerBounds) {
 		this.name = name;
@@ -70,8 +70,8 @@
 			maxHeaderSize: bounds.largestHeaderBytes,
 			noDelay: true,
 		});
-		// Node drops headers behind the 2,000th without a word; a dropped Idempotency-Key would let a booking run twice.
-		// The bound on the bytes of all headers is enough.
+		// By default Node silently drops headers after the 2,000th; a dropped Idempotency-Key would let a booking run twice.
+		// The limit on the bytes of all headers is enough.
 		this.#server.maxHeadersCount = 0;
 		this.#listenToServer();
 	}
@@ -85,7 +85,7 @@
 	}
 
 	/**
-	 * Changes what a client may cost, for requests from now on.
+	 * Changes the timeouts for later requests.
 	 *
 	 * @param limits - How long a client may take for its headers, and how long its connection may stay idle.
 	 */
@@ -94,7 +94,7 @@
 		this.#server.keepAliveTimeout = limits.idleTimeoutMilliseconds;
 	}
 
-	/** From now on each answer asks its client to close the connection; new connections are still taken. */
+	/** Makes each later answer ask its client to close the connection; new connections are still accepted. */
 	announceClose(): void {
 		this.#closesConnections = true;
 	}
@@ -112,12 +112,12 @@
 		});
 	}
 
-	/** Takes no new connection and no new request. Resolves when the last answer was written and no connection is left. */
+	/** Stops accepting connections and requests. Resolves when the last answer was written and all connections are closed. */
 	async drain(): Promise<void> {
 		this.#draining = true;
 		const closed = once(this.#server, 'close');
-		// `http.Server.close` also stops the check of the time limits, so that one client with half a request would hold
-		// the drain for ever. The method of `net.Server` stops listening and leaves the check running.
+		// `http.Server.close` also stops the check of the timeouts, so that one client with half a request would block the
+		// drain forever. The method of `net.Server` stops listening and leaves the check running.
 		NetServer.prototype.close.call(this.#server);
 		this.#server.closeIdleConnections();
 		for (const [connection, responses] of this.#connections) {
@@ -139,7 +139,7 @@
 			this.#serve(request, response);
 		});
 		this.#server.on('checkContinue', (request, response) => {
-			// "100 Continue" waits until somebody reads the body, so that a refusal comes before the body is sent.
+			// "100 Continue" is sent only when the handler reads the body, so that a refusal precedes the body.
 			request.once('resume', () => {
 				if (!response.headersSent) {
 					response.writeContinue();
@@ -148,7 +148,7 @@
 			this.#serve(request, response);
 		});
 		this.#server.on('checkExpectation', (_request, response) => {
-			sendRefusal(response, {reason: 'bad-request', ran: 'not-run', message: 'the only expectation known is 100-continue'});
+			sendRefusal(response, {reason: 'bad-request', ran: 'not-run', message: 'the only supported expectation is 100-continue'});
 		});
 		this.#server.on('connect', (_request, socket) => {
 			this.#refuseConnection(socket, 'HPE_INVALID_METHOD');
@@ -181,7 +181,7 @@
 		try {
 			await this.#handle(request, response);
 		} catch {
-			// A fault in one request must not end the process and all other answers with it.
+			// An exception in one request must not end the process and all other answers.
 			if (response.headersSent) {
 				breakOffAnswer(response);
 			} else {
@@ -191,8 +191,8 @@
 	}
 
 	/**
-	 * Answers what is no request. Bytes behind a good request can be bad while its answer is still owed; written at once,
-	 * the refusal would take the place of that answer or stand in the middle of it, so the connection ends behind it.
+	 * Answers bytes that are not a valid request. They may follow a valid request whose answer is still pending. Written at
+	 * once, the refusal would replace that answer or land within it; so the connection is closed after the answer instead.
 	 */
 	#refuseConnection(connection: Duplex, code: string | undefined): void {
 		const refusal = judgeConnectionError(code);
--- a/src/serving/outstanding-body.test.ts
+++ b/src/serving/outstanding-body.test.ts
@@ -44,7 +44,7 @@
 
 for (const [name, send] of Object.entries(uploads)) {
 	test(`the connection of a refused upload that ${name} is closed`, async () => {
-		// Guards against senders who ignore a refusal and cost processor time, or hold a connection, until the time limit of a request.
+		// Guards against senders that ignore a refusal and cost processor time or hold a connection until the request timeout.
 		const {listener, address} = await startListener();
 		const socket = await openSocket(address);
 		const answer = readUntil(socket, text => text.includes('ran'));
@@ -65,8 +65,8 @@
 	});
 }
 
-test('a connection serves further requests when the rest of a refused upload has come', async () => {
-	// Guards against callers who lose their connection, and perhaps the refusal, although they have sent all.
+test('a connection serves further requests after the rest of a refused upload has arrived', async () => {
+	// Guards against callers that lose their connection, and perhaps the refusal, although they have sent the whole body.
 	const {listener, address} = await startListener();
 	const socket = await openSocket(address);
 	const refused = readUntil(socket, text => text.includes('ran'));
--- a/src/serving/read-body.test.ts
+++ b/src/serving/read-body.test.ts
@@ -9,14 +9,14 @@
 const head = 'POST /bookings HTTP/1.1\r\nhost: entry\r\n';
 const halves = {
 	'a length': `${head}content-length: 40\r\n\r\n{"booking": 1}`,
-	'chunks behind a whole one': `${head}transfer-encoding: chunked\r\n\r\ne\r\n{"booking": 1}\r\n`,
-	'chunks in the middle of one': `${head}transfer-encoding: chunked\r\n\r\n28\r\n{"booking": 1}`,
-	'chunks before the empty line of the last': `${head}transfer-encoding: chunked\r\n\r\ne\r\n{"booking": 1}\r\n0\r\n`,
+	'chunks, after a complete one': `${head}transfer-encoding: chunked\r\n\r\ne\r\n{"booking": 1}\r\n`,
+	'chunks, within one': `${head}transfer-encoding: chunked\r\n\r\n28\r\n{"booking": 1}`,
+	'chunks, before the empty line after the last': `${head}transfer-encoding: chunked\r\n\r\ne\r\n{"booking": 1}\r\n0\r\n`,
 };
 
-test('half of a request\'s body is never taken for the body, however its caller leaves', async t => {
-	// A service books for a caller that left in the middle of its request: the half that came is valid JSON. The caller's
-	// connection is reset or closed right behind the half; the body must end in a refusal each time.
+test('half of a request\'s body is never taken for the whole, however its caller disconnects', async t => {
+	// Guards against a booking for a caller that disconnected within its request, where the half that arrived is valid JSON.
+	// The caller's connection is reset or closed right after the half; the body must be refused each time.
 	const ends: string[] = [];
 	const listener = new HttpListener('front', async (request, response) => {
 		const body = await readBody(request, 1000);
@@ -42,7 +42,7 @@
 				}
 			}
 
-			// A reset may overtake the request's head; then there is no request, and nothing to end.
+			// A reset may overtake the request's head; then there is no request and no refusal.
 			while (ends.length < before + (ending === 'closed' ? 50 : 1)) {
 				await delay(1);
 			}
--- a/src/serving/read-body.ts
+++ b/src/serving/read-body.ts
@@ -4,15 +4,15 @@
 import {type Refusal} from '../shared/types.js';
 
 /**
- * Reads the body of a request up to a limit. A body that is too long is refused as soon as that is known: by its
- * declared length before any of it is read, else at the first byte too many.
+ * Reads the body of a request up to a limit. A body that is too long is refused as soon as that is known: by its declared
+ * length before any of it is read, otherwise at the first excess byte.
  *
- * Node reads what follows of a refused body and drops it: a connection that is closed with unread bytes is reset, and the
- * caller would lose the refusal that is on its way. The listener closes the connection of a body that does not end soon.
+ * Node reads and discards the rest of a refused body: closing a connection with unread bytes resets it, and the caller could
+ * lose the refusal. The listener closes the connection if the body does not end soon.
  *
  * @param request - The request.
- * @param limitBytes - The longest body taken.
- * @returns The body, or the refusal for one that is too long or was cut off.
+ * @param limitBytes - The maximum length of the body.
+ * @returns The body, or the refusal of one that is too long or incomplete.
  */
 export async function readBody(request: IncomingMessage, limitBytes: number): Promise<Either<Refusal, Buffer>> {
 	const tooLarge: Refusal = {reason: 'too-large', ran: 'not-run', message: `the body is longer than ${limitBytes} bytes`};
--- a/src/serving/send-refusal.ts
+++ b/src/serving/send-refusal.ts
@@ -1,4 +1,4 @@
-/** Writes refusals: the error body of the published completions protocol, with our reason and the word on the work. */
+/** Writes refusals: the error body of the published completions protocol, with the reason and whether the request has run. */
 import {Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
 import {type Refusal, type RefusalReason} from '../shared/types.js';
@@ -44,7 +44,7 @@
 };
 
 /**
- * Gives the body of a refusal.
+ * Builds the body of a refusal.
  *
  * @param refusal - The refusal.
  * @returns The body, to be sent as JSON.
@@ -66,16 +66,16 @@
 }
 
 /**
- * Answers with a refusal, at once.
+ * Answers a request with a refusal immediately.
  *
- * @param response - The response; nothing was written to it yet.
+ * @param response - The response; nothing may have been written to it yet.
  * @param refusal - The refusal.
- * @param further - A status that says more than the reason's own, and further headers.
+ * @param further - A more specific status than the default of the reason, and additional headers.
  */
 export function sendRefusal(response: ServerResponse, refusal: Refusal, further: {status?: number; headers?: Record<string, string>} = {}): void {
 	const {retryAfterMilliseconds} = refusal;
-	// A caller who waits for "100 Continue" may leave its body out now; the next request on this connection would then
-	// be taken for that body. Closing the connection rules that out.
+	// A caller that waits for "100 Continue" may now omit its body, and the next request on this connection would be read as
+	// that body. Closing the connection rules that out.
 	const isBodyOutstanding = response.req.headers.expect !== undefined && !response.req.complete;
 	const body = JSON.stringify(refusalBody(refusal));
 	response.writeHead(further.status ?? statusOfReason[refusal.reason], {
