--- a/src/gateway/data-path/malformed-head.test.ts
+++ b/src/gateway/data-path/malformed-head.test.ts
@@ -73,10 +73,10 @@
 		response,
 		cutter: undefined,
 		onFirstBytes() {
-			// Not asked here.
+			// Not used in this test.
 		},
 		onBytes() {
-			// Not asked here.
+			// Not used in this test.
 		},
 		onFault(error) {
 			faults.push(error);
--- a/src/gateway/data-path/routed-request.test.ts
+++ b/src/gateway/data-path/routed-request.test.ts
@@ -141,7 +141,7 @@
 }
 
 test('a non-idempotent call is not retried when its answer is lost, and is not reported as not run', async () => {
-	// The endpoint ran the booking and died before it answered. A retry would book twice, and so would a caller told "not run".
+	// The endpoint ran the booking and died before it answered. A retry, or a caller that reads "not run", would book again.
 	const lost = await runsOf('non-idempotent', (_request, response) => {
 		response.destroy();
 	});
