--- a/src/gateway/hub/duty-patience.test.ts
+++ b/src/gateway/hub/duty-patience.test.ts
@@ -6,27 +6,27 @@
 	cores: 1.35, mostCores: 1.35, hasOtherDuty: false, isBesideOther: false,
 };
 
-test('a large machine does not wait, and a small one lets it go first', () => {
-	// Guards against a hub on a machine that cannot answer the others.
+test('a large machine does not wait, and a small one waits for it', () => {
+	// Guards against a coordinator on a machine that cannot answer all followers.
 	assert.equal(dutyPatience(fit), 0);
 	assert.ok(dutyPatience({...fit, cores: 0.324}) > 0);
 });
 
-test('where all machines are alike none waits for the others, however small they are', () => {
+test('where all machines are of one size none waits for the others, however small they are', () => {
 	assert.equal(dutyPatience({...fit, cores: 0.459, mostCores: 0.459}), 0);
 });
 
-test('before any hub has told of machines, those with a whole core go first', () => {
+test('before a coordinator has reported the largest machine, those with a whole core do not wait', () => {
 	assert.equal(dutyPatience({...fit, mostCores: 0}), 0);
 	assert.ok(dutyPatience({...fit, cores: 0.459, mostCores: 0}) > 0);
 });
 
-test('an instance with the other duty comes behind all that have none, also small ones beside it', () => {
-	// Guards against a deputy that fails together with the hub.
+test('an instance with the other lease waits longer than all without one, also than small ones in the same data centre', () => {
+	// Guards against a standby that fails together with the coordinator.
 	const worstOther = dutyPatience({...fit, cores: 0.1, isBesideOther: true});
 	assert.ok(dutyPatience({...fit, hasOtherDuty: true}) > worstOther);
 });
 
-test('an instance in another data centre than the other duty goes first', () => {
+test('an instance in the same data centre as the holder of the other lease waits', () => {
 	assert.ok(dutyPatience({...fit, isBesideOther: true}) > 0);
 });
--- a/src/gateway/hub/engine-watch.test.ts
+++ b/src/gateway/hub/engine-watch.test.ts
@@ -11,7 +11,7 @@
 	epoch: 1, next: 1, isIncomplete: false, added: [], removed: [], clockMilliseconds: 0, ...changes,
 });
 
-/** A watch over an engine that gives these answers, and what the followers know of it. */
+/** A watcher of an engine that gives these answers, and the blocks published to the followers. */
 function watched(answers: Array<Either<string, StoreEvents>>) {
 	const asked: number[] = [];
 	const told = new Set<string>();
@@ -36,7 +36,7 @@
 	return {watch, asked, told};
 }
 
-test('followers hear what an engine reads and drops, each event once', async () => {
+test('blocks that an engine computes and drops are published, each event once', async () => {
 	const {watch, asked, told} = watched([
 		events({next: 3, added: [part('p1'), part('p2')]}),
 		events({next: 4, removed: [part('p1')]}),
@@ -48,9 +48,9 @@
 	assert.deepEqual(watch.parts(), [['s|p2', 160]]);
 });
 
-test('what an engine kept before its restart, or while it was out of reach, is not believed any longer', async () => {
-	// An engine crashes and comes back empty under its name. Prompts that are sent there for parts that it had are read in
-	// full, and the engine that all believe to be the best one falls behind.
+test('blocks known from before a restart of an engine, or from before it was unreachable, are withdrawn', async () => {
+	// An engine crashes and comes back empty under its name. Prompts that are sent there for blocks that it had are prefilled
+	// in full, and the engine that all instances prefer falls behind.
 	const {watch, asked, told} = watched([
 		events({next: 9, added: [part('p1')]}),
 		events({epoch: 2, next: 1}),
@@ -71,7 +71,7 @@
 	assert.deepEqual([...told], ['s|p3']);
 });
 
-test('behind a gap in the events only what they still tell is believed', async () => {
+test('after a gap in the events only the blocks of the remaining events are known', async () => {
 	const {watch, told} = watched([
 		events({next: 5, added: [part('p1')]}),
 		events({next: 9000, isIncomplete: true, added: [part('p2')]}),
--- a/src/gateway/hub/engine-watch.ts
+++ b/src/gateway/hub/engine-watch.ts
@@ -1,9 +1,9 @@
 /**
- * Follows what one engine keeps, by its events.
+ * Follows the cached blocks of one engine, by its events.
  *
- * A hint for placing, unlike what is kept of stores: an engine drops parts by itself and reads again what it lost, so a
- * wrong word costs one reading. So the engine is never listed, which would stall its work: the events that it still has
- * are taken as they are, and where some are gone, what was known is forgotten.
+ * They are a hint for placement, unlike the blocks of stores: an engine drops blocks by itself and computes again what it lost,
+ * so a wrong entry costs one prefill. So the engine is never listed, which would stall its work: the events that it still has
+ * are applied as they are, and where some are missing, the blocks known before are forgotten.
  */
 import {type CacheStoreControl, type StoreEvents} from '../../ports/cache-store-control.js';
 import {type MomentClock} from '../../ports/moment-clock.js';
@@ -12,18 +12,18 @@
 import {type PartsChange} from '../../protocol/parts/store-ledger.js';
 import {EngineClock} from './engine-clock.js';
 
-/** How long a call for events may wait; events come at once. */
+/** How long a call for events may wait; events are returned at once. */
 const eventWaitMilliseconds = 900;
-/** Pause behind events, so that those of a busy moment are told together: a part is reused no sooner than it is read. */
+/** Pause after events, so that those of a burst are published together: a block is reused no sooner than it is computed. */
 const batchMilliseconds = 150;
-/** Pause behind a failed call. */
+/** Pause after a failed call. */
 const retryMilliseconds = 500;
 
-/** What a watch is given. */
+/** Dependencies of a watcher. */
 export type EngineWatchTools = {
 	control: Pick<CacheStoreControl, 'events'>;
 	clock: MomentClock;
-	/** How long the engine is left alone behind events, where that is more than the usual time. */
+	/** Minimum pause after events, in milliseconds; the usual pause applies where it is longer. */
 	pauseMilliseconds?: () => number;
 	tell(engine: string, change: PartsChange): void;
 };
@@ -41,17 +41,17 @@
 		this.#tools = tools;
 	}
 
-	/** Whether the engine's last word was heard, and nothing missed since. */
+	/** Whether the last call succeeded, so that the engine's events are known up to then. */
 	get isKnown(): boolean {
 		return this.#epoch !== undefined;
 	}
 
-	/** The engines' clock by this engine's last word, in milliseconds. */
+	/** The engines' clock by this engine's last answer, in milliseconds. */
 	get engineClock(): number | undefined {
 		return this.#engineClock.at(this.#tools.clock.moment().steady);
 	}
 
-	/** All parts, for a follower that knows none. */
+	/** All blocks that the engine is known to hold. */
 	parts(): Array<[key: string, tokens: number]> {
 		return [...this.#parts];
 	}
@@ -63,7 +63,7 @@
 		}
 	}
 
-	/** Makes the next call; gives the pause behind it in milliseconds. */
+	/** Makes the next call; returns the pause after it in milliseconds. */
 	async step(): Promise<number> {
 		const answer = await this.#tools.control.events(this.#engine.address, this.#since, eventWaitMilliseconds);
 		return answer.caseOf({
@@ -86,7 +86,7 @@
 		}
 
 		if (hasRestarted) {
-			// The engine counts its events anew; they are asked for from the first one.
+			// A restarted engine numbers its events from the start: the next call asks for them from the first one.
 			return;
 		}
 
--- a/src/gateway/hub/engine-watches.ts
+++ b/src/gateway/hub/engine-watches.ts
@@ -1,9 +1,9 @@
-/** The hub's watches over all engines: one for each incarnation that is in the list. */
+/** The coordinator's watchers of all engines: one for each incarnation that is in the list. */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type DecisionLog} from '../observability/decision-log.js';
 import {EngineWatch, type EngineWatchTools} from './engine-watch.js';
 
-/** All engines together are asked for events no more often than one each so many milliseconds. */
+/** Minimum interval between calls for events, over all engines together. */
 const pausePerEngineMilliseconds = 6;
 
 type Watched = {watch: EngineWatch; stop: AbortController; engine: EndpointRecord};
@@ -34,19 +34,19 @@
 		}
 	}
 
-	/** Ends all watches. */
+	/** Stops all watchers. */
 	close(): void {
 		for (const name of this.#watched.keys()) {
 			this.#end(name);
 		}
 	}
 
-	/** Whether the parts of an engine are told and up to date. */
+	/** Whether the known blocks of an engine are up to date. */
 	isKnown(engine: string): boolean {
 		return this.#watched.get(engine)?.watch.isKnown ?? false;
 	}
 
-	/** The engines' clock, in milliseconds, if any engine told it. */
+	/** The engines' clock in milliseconds, if any engine has reported it. */
 	engineClock(): number | undefined {
 		return [...this.#watched.values()].map(({watch}) => watch.engineClock).find(clock => clock !== undefined);
 	}
@@ -57,7 +57,7 @@
 			...this.#tools,
 			pauseMilliseconds: () => pausePerEngineMilliseconds * this.#watched.size,
 			tell: (name, change) => {
-				// A call may be under way when the watch ends; what it brings belongs to an incarnation that is gone.
+				// A call may be in flight when the watcher stops; its events belong to an incarnation that has departed.
 				if (!stop.signal.aborted) {
 					this.#tools.tell(name, change);
 				}
@@ -68,7 +68,7 @@
 		void this.#run(watched);
 	}
 
-	/** A watch that fails is forgotten; the next look at the list starts a new one. */
+	/** Removes a watcher that fails; the next call of `watch` starts a new one. */
 	async #run(watched: Watched): Promise<void> {
 		const {watch, stop, engine} = watched;
 		try {
--- a/src/gateway/hub/hub-client.test.ts
+++ b/src/gateway/hub/hub-client.test.ts
@@ -16,17 +16,17 @@
 import {HubView} from './hub-view.js';
 import {NewsSources} from './news-sources.js';
 
-/** An answer that says nothing; each test adds what it is about. */
+/** An empty answer; each test adds what it is about. */
 const emptyAnswer: HubFrame = {
 	kind: 'answer', number: 1, isDeputy: false, dataCentre: 'split', isLapsed: false, open: [], loads: {}, parts: {kept: [], engines: [], unknown: []}, tables: [], mostCores: 1, instances: 1,
 };
 
-/** Longer than any test takes: nobody is let through without an answer. */
+/** Longer than any test takes: no caller is resumed without an answer. */
 const foreverMilliseconds = 60_000;
 
 /**
- * A hub that answers each question, with as many requests at engine `e1` as frames it heard, and a client with a clock of
- * the test's own. Each answer comes `roundTripMilliseconds` of that clock behind its question.
+ * A coordinator that answers each query, with as many requests at engine `e1` as it has received frames, and a client with a
+ * clock of its own. Each answer arrives `roundTripMilliseconds` of that clock after its query.
  */
 async function playHub(context: TestContext, waitMilliseconds = foreverMilliseconds) {
 	const played = {
@@ -35,7 +35,7 @@
 	const clock: MomentClock = {
 		moment: () => ({steady: played.now, wall: played.now}),
 		async sleep() {
-			// Nothing under test sleeps.
+			// No code under test sleeps.
 		},
 	};
 	const sockets = new Set<Socket>();
@@ -93,9 +93,9 @@
 	}
 }
 
-test('news are fresh when a prompt is placed, and others hear of it at once', async context => {
-	// Clients come in clumps. On news that are some hundred milliseconds old, all instances choose the engine that looked idle
-	// then, and it gets a second's worth of reading.
+test('the view is fresh when a prompt is placed, and the placement is reported at once', async context => {
+	// Callers arrive in bursts. With a view that is some hundred milliseconds old, all instances choose the engine that looked
+	// idle then, and it gets a second's worth of prompts to prefill.
 	const {played, view, client, clock, meet} = await playHub(context);
 	await meet();
 	for (let use = 0; use < 3; use++) {
@@ -108,7 +108,7 @@
 	}
 });
 
-test('no caller waits for a hub that is not connected, silent, or far away', async context => {
+test('no caller waits for a coordinator that is not connected, unresponsive, or far away', async context => {
 	const {played, client, meet} = await playHub(context);
 	await client.refresh(noQuestion);
 	await meet();
@@ -123,7 +123,7 @@
 	assert.equal(played.heard.length, 2);
 });
 
-test('a caller who waits for a hub that goes away is let through', async context => {
+test('a caller that waits for an answer is resumed when the connection closes', async context => {
 	const {played, client, meet} = await playHub(context);
 	await meet();
 	played.isSilent = true;
@@ -132,8 +132,8 @@
 	await waiting;
 });
 
-test('while the hub does not answer, its deputy does', async context => {
-	// Guards against instances that know nothing of each other for the seconds until another one may be the hub.
+test('while the coordinator does not answer, the standby is queried', async context => {
+	// Guards against instances without each other's loads for the seconds until another one may be the coordinator.
 	const hub = await playHub(context, 50);
 	const deputy = await playHub(context);
 	await hub.meet();
@@ -151,7 +151,7 @@
 	assert.deepEqual([hub.played.heard.length, deputy.played.heard.at(-1)?.kind], [3, 'tell']);
 });
 
-/** A hub that says something five times a second. */
+/** A coordinator that sends an answer five times a second. */
 const hubProgram = `
 	const {parentPort, workerData: bytes} = require('node:worker_threads');
 	const {createServer} = require('node:net');
@@ -161,8 +161,9 @@
 	}).listen(0, '127.0.0.1', () => parentPort.postMessage(server.address().port));
 `;
 
-test('a follower that was paused keeps its hub', async context => {
-	// Guards against instances that forget what all others do after a pause, although the hub's answers lie in the socket.
+test('a follower that was paused keeps its connection', async context => {
+	// Guards against instances that drop their view of all others after a pause, although the coordinator's answers wait in the
+	// socket.
 	const bytes = encodeFrame(emptyAnswer);
 	const hub = new Worker(hubProgram, {eval: true, workerData: bytes});
 	const [port] = await once(hub, 'message') as [number];
@@ -182,8 +183,8 @@
 	assert.equal(client.isConnected, true);
 });
 
-test('a hub that drips within a frame is left', async context => {
-	// Guards against followers that wait for good on a connection that carries bytes but no news.
+test('a connection on which bytes arrive but no frame is completed is closed', async context => {
+	// Guards against followers that wait without end on a connection that carries bytes but no complete frame.
 	const frame = encodeFrame(emptyAnswer);
 	const server = await startScriptedServer(context, socket => {
 		let sent = 0;
--- a/src/gateway/hub/hub-client.ts
+++ b/src/gateway/hub/hub-client.ts
@@ -1,6 +1,6 @@
 /**
- * A follower's connection to the hub. Questions go out at a steady pace; a hub that does not answer is dialled anew, since
- * a connection may fall silent while new ones work.
+ * A follower's connection to the coordinator. Queries are sent at a steady interval; a coordinator that does not answer is
+ * dialled again, since a connection may be stuck while new ones work.
  */
 import {Buffer} from 'node:buffer';
 import {connect, type Socket} from 'node:net';
@@ -14,49 +14,49 @@
 } from './hub-messages.js';
 import {type HubView} from './hub-view.js';
 
-/** A question at least this often keeps knowledge fresh also when one answer is late. */
+/** Queries at this interval keep the view fresh also when one answer is late. */
 export const askMilliseconds = 0.375 * freshMilliseconds;
-/** A question about a prompt that was asked so shortly before takes the place of a steady one. */
+/** A query about a prompt that was sent less than this before replaces a regular one. */
 const recentMilliseconds = askMilliseconds / 2;
 /**
- * Before a prompt is placed the hub is asked where its parts are kept and what the engines have to do, where that takes no
- * longer than this. A round trip within a region takes a few milliseconds, between small machines at work some dozens;
- * reading a long prompt again takes an engine some hundred, and that of all who wait there.
+ * Before a prompt is placed, the coordinator is queried for where its blocks are cached and how loaded the engines are, if a
+ * round trip takes no longer than this. A round trip within a region takes a few milliseconds, between small machines under
+ * load some dozens; prefilling a long prompt again takes an engine some hundred, and delays all requests that wait there.
  */
 const longestRoundTripMilliseconds = 100;
 /** A caller waits no longer than this for the answer; the prompt is then placed by what is known. */
 const mostWaitMilliseconds = 120;
-/** A hub that has not answered two questions in a row is not waited for. */
+/** A coordinator that has not answered two queries in a row is not waited for. */
 const longestSilenceMilliseconds = 1.9 * askMilliseconds;
-/** Weight of the newest round trip in the mean. */
+/** Weight of the newest round trip in the moving average. */
 const newestShare = 0.3;
 
-/** What a follower tells of itself. */
+/** The local instance: what the client reports about it, and where the client delivers what it receives. */
 export type FollowerSelf = {
 	instance: string;
-	/** Cores that its machine gives it. */
+	/** CPU cores that its machine gives it. */
 	cores: number;
 	loads(): Record<string, PackedLoad>;
-	/** Gives, and forgets, the stored parts that it used since the last call. */
+	/** Returns the stored blocks used since the last call, and clears them. */
 	takeUses(): string[];
-	/** Hears that the connection ended. */
+	/** Called when the connection has ended. */
 	closed(): void;
-	/** Endpoints that are chosen by what the steady questions bring, without a question for each request. */
+	/** Endpoints whose loads come with the regular queries, so that a request to them needs no query of its own. */
 	watched(): string[];
-	/** Where it stands in the tables that it follows, by table. */
+	/** The position in each table that it follows. */
 	places(): Record<string, FeedPlace>;
-	/** Takes what changed in those tables, by an answer to a question that was sent at `askedAt`. */
+	/** Applies table changes from the answer to a query that was sent at `queriedAt`. */
 	takeTables(news: readonly FeedNews[], askedAt: Moment): void;
 };
 
-/** A question under way. */
+/** A query in flight. */
 type Asked = {at: Moment; about: PlaceQuestion};
 
-/** News of what the other instances do, fresh at the moment of a decision. */
+/** Exchanges state with the other instances, so that it is fresh at the time of a decision. */
 export interface PeerNews {
-	/** Asks for news and waits for them, if that takes a short time only. */
+	/** Queries the state of the other instances, and waits for the answer if that takes only a short time. */
 	refresh(question: PlaceQuestion): Promise<void>;
-	/** Tells the others what this instance has under way. */
+	/** Reports this instance's requests in flight. */
 	tell(): void;
 }
 
@@ -91,38 +91,38 @@
 		return this.#socket !== undefined;
 	}
 
-	/** Cores of the largest machine that a hub has told of; 0 before. */
+	/** CPU cores of the largest machine that a coordinator has reported; 0 before. */
 	get mostCores(): number {
 		return this.#mostCores;
 	}
 
-	/** Whether the hub that is connected has lost its lease. */
+	/** Whether the lease of the connected coordinator has lapsed. */
 	get isLapsed(): boolean {
 		return this.#isLapsed;
 	}
 
-	/** Where the hub stands; absent before it answered. */
+	/** The coordinator's data centre; absent before it has answered. */
 	get dataCentre(): string | undefined {
 		return this.#dataCentre;
 	}
 
-	/** Whether it is worth waiting for an answer. */
+	/** Whether an answer is likely to arrive soon enough to wait for it. */
 	get isResponsive(): boolean {
 		const silence = this.#clock.moment().steady - this.#heardAt;
 		return this.#socket !== undefined && this.#roundTripMilliseconds <= longestRoundTripMilliseconds && silence <= longestSilenceMilliseconds;
 	}
 
-	/** How many instances a hub has told of last; 0 before. */
+	/** How many instances report to the coordinator, by its last answer; 0 before. */
 	get instances(): number {
 		return this.#instances;
 	}
 
-	/** Where the hub was dialled; absent without a connection. */
+	/** The address that was dialled; absent without a connection. */
 	get address(): string | undefined {
 		return this.#socket === undefined ? undefined : this.#address;
 	}
 
-	/** Opens a connection to `IP:port`; what was heard before is forgotten. */
+	/** Opens a connection to `IP:port`; the state of the one before is dropped. */
 	dial(address: string): void {
 		this.close();
 		const separator = address.lastIndexOf(':');
@@ -151,7 +151,7 @@
 		socket.on('error', end).on('close', end);
 	}
 
-	/** Asks at the steady pace, or closes a connection that has been idle for too long. */
+	/** Sends a query if one is due, or closes a connection that has been idle for too long. */
 	ask(): void {
 		if (this.#socket === undefined) {
 			return;
@@ -167,7 +167,7 @@
 		}
 	}
 
-	/** Asks, and waits for the answer if that takes a short time only; gives whether it came. */
+	/** Sends a query, and waits for the answer if that takes only a short time; returns whether it arrived. */
 	async refresh(question: PlaceQuestion): Promise<boolean> {
 		if (!this.isResponsive) {
 			return false;
@@ -223,7 +223,7 @@
 		return this.#clock.moment().steady - this.#heardAt > idleTimeoutMilliseconds;
 	}
 
-	/** What came while this process stood still is read first, or it would lose its hub with each pause. */
+	/** Reads what arrived while this process was paused first; otherwise each pause would close the connection. */
 	async #closeIfIdle(socket: Socket): Promise<void> {
 		await afterNextPoll();
 		if (this.#socket === socket && this.#isIdle()) {
@@ -254,7 +254,7 @@
 		this.#roundTripMilliseconds = (newestShare * milliseconds) + ((1 - newestShare) * mean);
 	}
 
-	/** Lets the caller go on who waits for an answer. */
+	/** Resumes the caller that waits for an answer. */
 	#answered(number: number, isAnswered: boolean): void {
 		const go = this.#waiting.get(number);
 		this.#waiting.delete(number);
--- a/src/gateway/hub/hub-messages.ts
+++ b/src/gateway/hub/hub-messages.ts
@@ -1,24 +1,27 @@
-/** What the hub and its followers say to each other, as frames over one connection each. */
+/** The messages between the coordinator and its followers, sent as frames over one connection for each follower. */
 
 import {type EndpointLoad} from '../../decision/placement/endpoint-load.js';
 import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
 
-/** A connection between the hub and a follower on which no whole frame came for so long is closed, by either side. */
+/** Either side closes a connection on which no complete frame has arrived for this long. */
 export const idleTimeoutMilliseconds = 1200;
 
-/** A load as it is sent: requests, held tokens, oldest wait, last heard, then unread tokens by rank. */
+/**
+ * A load as it is sent: requests, held tokens, longest wait, time since the endpoint's last byte, then pending prefill tokens
+ * by rank.
+ */
 export type PackedLoad = number[];
 export const oldestWaitIndex = 2;
 export const heardAgoIndex = 3;
 
-/** Stands for "never heard" and longer: a day in milliseconds. */
+/** One day: an upper bound of the time since the last byte, which also stands for an endpoint that has never sent one. */
 const neverHeard = 86_400_000;
 
 export function packLoad({requests, heldTokens, oldestWaitMilliseconds, heardAgoMilliseconds, unreadTokens}: EndpointLoad): PackedLoad {
 	return [requests, heldTokens, Math.round(oldestWaitMilliseconds), Math.round(Math.min(neverHeard, heardAgoMilliseconds)), ...unreadTokens];
 }
 
-/** Packs the loads of several endpoints by name. */
+/** Packs loads by the name of their endpoint. */
 export function packLoads(loads: ReadonlyMap<string, EndpointLoad>): Record<string, PackedLoad> {
 	return Object.fromEntries([...loads].map(([endpoint, load]) => [endpoint, packLoad(load)]));
 }
@@ -29,80 +32,86 @@
 	};
 }
 
-/** The name of an engine among the holders of parts; stores go by the name of their service, which has no such prefix. */
+/** The name of an engine as a holder of blocks. Cache stores go by the name of their service, which has no such prefix. */
 export function engineHolder(engine: string): string {
 	return `engine:${engine}`;
 }
 
-/** What a follower wants to know before it places a request. The answer is bounded, whatever the number of endpoints. */
+/** What a follower queries before it places a request. The size of the answer is bounded, whatever the number of endpoints. */
 export type PlaceQuestion = {
-	/** Endpoints that it would choose from. */
+	/** Candidates for the request. */
 	endpoints: string[];
-	/** The parts of the prompt as `salt|id`, from its start; one run of them for each salt. */
+	/** The blocks of the prompt as `salt|id`, from its start; one run of them for each salt. */
 	keys: string[];
-	/** Parts in one run. */
+	/** Number of blocks in one run. */
 	partCount: number;
 };
 
-/** A question about nothing but the state of the hub. */
+/** A query for the shared state only, without endpoints and blocks. */
 export const noQuestion: PlaceQuestion = {endpoints: [], keys: [], partCount: 0};
 
-/** Tokens of the parts that a holder keeps, by their index in the question. */
+/** The blocks that a holder has cached: their index in the query, and their tokens. */
 export type KeptParts = Array<[index: number, tokens: number]>;
 
-/** Which of the parts in question are kept where. */
+/** Which of the queried blocks are cached where. */
 export type PartsAnswer = {
-	/** By store, or engine as `engineHolder` names it. A holder that is told of and not named here keeps none. */
+	/**
+	 * By holder: a store, or an engine as `engineHolder` names it. A covered holder that is missing here has none of the
+	 * blocks.
+	 */
 	kept: Array<[holder: string, parts: KeptParts]>;
-	/** Engines that are told of: those in question, and some that keep the deepest parts. */
+	/** Engines that the answer covers: the queried ones, and some that hold the deepest blocks. */
 	engines: string[];
-	/** Those of them whose parts are not known now. */
+	/** Those of them whose cached blocks are unknown at present. */
 	unknown: string[];
 };
 
-/** What a follower says of itself. */
+/** What a follower reports about itself. */
 type FollowerNews = {
 	instance: string;
-	/** Cores that its machine gives it. */
+	/** CPU cores that its machine gives it. */
 	cores: number;
-	/** Stored parts used since the last word, as `salt|id`. */
+	/** Stored blocks that it has used since its last frame, as `salt|id`. */
 	uses: string[];
-	/** What this instance has under way, by endpoint. */
+	/** Its requests in flight, by endpoint. */
 	loads: Record<string, PackedLoad>;
 };
 
-/** What a follower sends. */
+/** A frame that a follower sends. */
 export type FollowerFrame
 	= | FollowerNews & {
 		kind: 'ask';
 		number: number;
 		about: PlaceQuestion;
-		/** Where it stands in the tables that it follows, by table. */
+		/** Its position in each table that it follows. */
 		places: Record<string, FeedPlace>;
 	}
 	| FollowerNews & {kind: 'tell'};
 
-/** What the hub sends. */
+/** A frame that the coordinator sends. */
 export type HubFrame = {
 	kind: 'answer';
 	number: number;
-	/** The engines' clock, in milliseconds; absent while it is not known. */
+	/** The engines' clock in milliseconds; absent while it is unknown. */
 	clock?: number;
-	/** Whether a deputy answers, which knows nothing of stores. */
+	/** Whether the standby answers, which knows nothing about the stores. */
 	isDeputy: boolean;
-	/** Where the hub stands. */
+	/** The coordinator's data centre. */
 	dataCentre: string;
-	/** Whether the hub has lost its lease: it tells hints still, but nothing of stores, and another one may be found. */
+	/**
+	 * Whether the coordinator's lease has lapsed. It still serves hints, but no stores once another coordinator may hold the
+	 * lease.
+	 */
 	isLapsed: boolean;
-	/** Stores that may be saved to and fetched from, and the tokens that they hold. */
+	/** Stores that blocks may be saved to and fetched from, and the tokens that they hold. */
 	open: Array<[store: string, heldTokens: number]>;
-	/** What all other instances have under way at the endpoints in question and those where the asker has something itself. */
+	/** The load of all other instances, at the queried endpoints and at those where the follower has requests itself. */
 	loads: Record<string, PackedLoad>;
 	parts: PartsAnswer;
-	/** What changed in the tables that the asker follows. */
+	/** Changes in the tables that the follower follows. */
 	tables: FeedNews[];
-	/** Cores of the largest machine that the hub knows. */
+	/** CPU cores of the largest machine that the coordinator knows. */
 	mostCores: number;
-	/** How many instances the hub hears from. */
+	/** How many instances report to the coordinator. */
 	instances: number;
 };
--- a/src/gateway/hub/hub-pair.test.ts
+++ b/src/gateway/hub/hub-pair.test.ts
@@ -15,7 +15,7 @@
 import {HubPair} from './hub-pair.js';
 import {HubView} from './hub-view.js';
 
-/** A store with a table that grows; its feed answers when there is news, or the wait is over. */
+/** A store with a growing table; its feed answers when there are changes, or when the wait is over. */
 class GrowingStore extends MemoryTable implements TableFeed {
 	readonly rows: FeedRow[] = [];
 	position = 1;
@@ -58,7 +58,7 @@
 	}
 }
 
-/** An instance that may be the hub or its deputy, and follows one table. */
+/** An instance that may be the coordinator or the standby, and follows one table. */
 async function startInstance(name: string, store: GrowingStore) {
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
 	const stop = new AbortController();
@@ -100,7 +100,7 @@
 		takeWhole: take,
 		takeChanges: take,
 		takeFailure() {
-			// The store is sound here.
+			// The store does not fail here.
 		},
 	}, {
 		clock, log, random: () => 0, isReader: () => pair.isReader, isStandby: () => pair.isDeputy,
@@ -114,7 +114,7 @@
 	};
 }
 
-/** Four instances, when one of them is the hub and another one its deputy. */
+/** Four instances, once one of them is the coordinator and another one the standby. */
 async function startInstances(context: TestContext) {
 	const store = new GrowingStore();
 	const startedAt = clock.moment().steady;
@@ -128,7 +128,7 @@
 			stop.abort();
 		}
 	});
-	await until('all hear from a hub', () => instances.every(({pair}) => pair.instances === instances.length), 8000);
+	await until('all instances report to a coordinator', () => instances.every(({pair}) => pair.instances === instances.length), 8000);
 	const rowOfDeputy = async (): Promise<string | undefined> => {
 		const read = await store.read({table: 'leases', key: 'hub-deputy'});
 		return (read.unsafeCoerce()?.value as {holder: string} | undefined)?.holder;
@@ -144,8 +144,8 @@
 	};
 }
 
-test('rows come to all instances as the store has them, by calls of one', async context => {
-	// Guards against calls that grow with the instances, and against rows that change on their way.
+test('all instances receive the rows as the store has them, by calls of one', async context => {
+	// Guards against calls that grow with the number of instances, and against rows that are altered by the relay.
 	const {store, instances, hub, deputyName} = await startInstances(context);
 	assert.equal(instances.filter(({pair}) => pair.isHub).length, 1);
 	assert.notEqual(deputyName, undefined);
@@ -161,7 +161,7 @@
 		store.add(row);
 	}
 
-	await until('all have the rows', () => instances.every(({heard}) => heard.length === rows.length), 1000);
+	await until('all instances have the rows', () => instances.every(({heard}) => heard.length === rows.length), 1000);
 	for (const {heard} of instances) {
 		assert.deepEqual(heard.map(({key, content, isDeleted}) => ({key, content, isDeleted})), rows);
 	}
@@ -170,8 +170,9 @@
 	assert.deepEqual([...store.callers], [hub.name]);
 });
 
-test('when the hub stops, its deputy reads for all until another one may be the hub', async context => {
-	// Guards against changes that nobody hears of, and against calls of all instances, for as long as the lease of the hub runs.
+test('when the coordinator stops, the standby reads the tables for all until another instance may be the coordinator', async context => {
+	// Guards against changes that no instance receives, and against calls of all instances, for as long as the lease of the
+	// coordinator runs.
 	const {store, instances, hub, deputyName} = await startInstances(context);
 	await pause(2200);
 	hub.stop.abort();
@@ -181,5 +182,5 @@
 	store.add({key: 'late', content: 1, isDeleted: false});
 	await until('the others have the row', () => others.every(({heard}) => heard.some(({key}) => key === 'late')), 1500);
 	assert.deepEqual([...store.callers], [deputyName]);
-	assert.equal(others.some(({pair}) => pair.isHub), false, 'another instance is the hub too soon');
+	assert.equal(others.some(({pair}) => pair.isHub), false, 'another instance is the coordinator too soon');
 });
--- a/src/gateway/hub/hub-pair.ts
+++ b/src/gateway/hub/hub-pair.ts
@@ -1,4 +1,4 @@
-/** The hub and its deputy at one instance: it follows both, and may be either of them. */
+/** The coordinator and its standby at one instance, which is a follower of both and may hold either lease. */
 import {type CacheStoreControl} from '../../ports/cache-store-control.js';
 import {type ClockedTable} from '../../ports/clocked-table.js';
 import {type TableService} from '../../ports/table-service.js';
@@ -10,31 +10,31 @@
 import {type HubView} from './hub-view.js';
 import {NewsSources} from './news-sources.js';
 
-/** Rows of leases that nobody follows. */
+/** Table of leases that no instance follows. */
 const leaseTable = 'leases';
 /**
- * The hub's lease may be shorter than that of orders to engines: what it orders stores to free is void behind a fraction of a
- * second. While a hub that died holds its lease, no store is used, and prompts are read again.
+ * The coordinator's lease may be shorter than that of orders to engines: its orders to free blocks are void after a fraction of
+ * a second. While a failed coordinator holds its lease, no store is used, and prompts are prefilled again.
  */
 const leaseMilliseconds = 1500;
-/** For how long the hub acts on a grant: a table that is away for less is not noticed. */
+/** How long a grant lasts: a table that is unavailable for less goes unnoticed. */
 const actingMilliseconds = 1500;
 
-/** What the two work with. */
+/** Settings and dependencies of both roles. */
 export type HubPairTools = {
 	store: TableService & ClockedTable;
 	control: CacheStoreControl;
 	view: HubView;
 	/** Where other instances connect, `IP:port` each. */
 	addresses: Record<HubRole, string>;
-	/** What this instance tells of itself. */
+	/** The local instance, as both clients report it. */
 	self: Omit<FollowerSelf, 'takeUses' | 'closed'>;
-	/** What another instance that stands at some places in the tables hears of this one. */
+	/** Table changes of this instance for a follower at the given positions. */
 	tableNews: (places: Record<string, FeedPlace>) => FeedNews[];
 };
 
 export class HubPair {
-	/** Both as one source of news. */
+	/** Exchanges state through the coordinator, or through the standby while the coordinator does not answer. */
 	readonly news: NewsSources;
 	readonly #clients: Record<HubRole, HubClient>;
 	readonly #hubs: Record<HubRole, Hub>;
@@ -51,10 +51,10 @@
 			}, context.clock),
 			'hub-deputy': new HubClient(view, {
 				...self,
-				// The stores that were used are the hub's.
+				// Only the coordinator manages stores and needs to know which blocks were used.
 				takeUses: () => [],
 				closed() {
-					// What the hub told holds on.
+					// The coordinator's answers stay valid.
 				},
 			}, context.clock),
 		};
@@ -65,22 +65,25 @@
 		};
 	}
 
-	/** Whether this instance is the hub. */
+	/** Whether this instance is the coordinator. */
 	get isHub(): boolean {
 		return this.#hubs.hub.isHub();
 	}
 
-	/** Whether this instance is the deputy. */
+	/** Whether this instance is the standby. */
 	get isDeputy(): boolean {
 		return this.#hubs['hub-deputy'].isHub();
 	}
 
-	/** Whether this instance reads the tables for all: as the hub, or as its deputy while the hub does not answer. */
+	/**
+	 * Whether this instance reads the tables for all: as the coordinator, or as the standby while the coordinator does not
+	 * answer.
+	 */
 	get isReader(): boolean {
 		return this.isHub || (this.isDeputy && !this.#clients.hub.isResponsive);
 	}
 
-	/** How many instances the hub hears from; 0 before it answered. */
+	/** How many instances report to the coordinator; 0 before it has answered. */
 	get instances(): number {
 		return this.#clients.hub.instances;
 	}
@@ -89,7 +92,7 @@
 		return Object.values(this.#hubs).flatMap(hub => [hub, hub.server]);
 	}
 
-	/** Gives back both duties, for good. */
+	/** Releases both leases and does not acquire them again. */
 	async leave(): Promise<void> {
 		await Promise.all(Object.values(this.#hubs).map(async hub => hub.leave()));
 	}
@@ -110,7 +113,7 @@
 			control,
 			cores,
 			tableNews,
-			// Asked for the first time while the other one is not made yet.
+			// Called for the first time while the other role does not exist yet.
 			hasOtherDuty: () => (this.#hubs as Record<HubRole, Hub> | undefined)?.[other].isHub() ?? false,
 			doesOtherAnswer: () => this.#clients[other].isResponsive,
 			otherDataCentre: () => this.#clients[other].dataCentre,
--- a/src/gateway/hub/hub-server.test.ts
+++ b/src/gateway/hub/hub-server.test.ts
@@ -23,7 +23,7 @@
 	tableNews: () => [],
 	cores: 1,
 	takeUses() {
-		// No store is played.
+		// No stores in this test.
 	},
 };
 
@@ -46,8 +46,8 @@
 	socket.write(encodeFrame(frame));
 }
 
-test('what an instance had under way is forgotten when its connection falls silent', async () => {
-	// Guards against endpoints that look laden, and are left alone, because an instance that lost its power or was cut off
+test('the loads of an instance are removed when its connection becomes idle', async () => {
+	// Guards against endpoints that look busy, and get no requests, because an instance that lost its power or was cut off
 	// closes no connection.
 	const port = await freePort();
 	const server = new HubServer(`127.0.0.1:${port}`, source, systemMomentClock);
@@ -86,7 +86,7 @@
 	assert.equal(isClosed, true);
 });
 
-/** Followers that ask five times a second, and report the end of a connection. */
+/** Followers that send five queries a second, and report the end of a connection. */
 const followersProgram = `
 	const {parentPort, workerData: {port, bytes, count}} = require('node:worker_threads');
 	const {connect} = require('node:net');
@@ -98,8 +98,9 @@
 	}
 `;
 
-test('a hub that was paused keeps its followers', async context => {
-	// Guards against instances that all lose what they know of each other: what they sent meanwhile waits in their sockets.
+test('a coordinator that was paused keeps its followers', async context => {
+	// Guards against a pause after which all instances lose their view of each other, although what they sent meanwhile waits
+	// in their sockets.
 	const port = await freePort();
 	const server = new HubServer(`127.0.0.1:${port}`, source, systemMomentClock);
 	const stop = new AbortController();
--- a/src/gateway/hub/hub-server.ts
+++ b/src/gateway/hub/hub-server.ts
@@ -1,6 +1,6 @@
 /**
- * The hub's side of the connections to its followers. Listens from the start, but takes followers only while this
- * instance holds the duty; what it tells them is then the duty's word.
+ * The coordinator's side of the connections to its followers. It listens from the start, but accepts followers only while this
+ * instance serves them: under the lease, or for a while after it has lapsed.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -15,28 +15,28 @@
 } from './hub-messages.js';
 import {LoadTotals} from './load-totals.js';
 
-/** What the server asks the keeper of the duty. */
+/** What the server needs from the coordinator to answer queries. */
 export interface HubSource {
-	/** Whether this is the deputy, which keeps no stores. */
+	/** Whether this is the standby, which manages no stores. */
 	readonly isDeputy: boolean;
 	readonly dataCentre: string;
-	/** Cores of this instance's machine. */
+	/** CPU cores of this instance's machine. */
 	readonly cores: number;
-	/** Whether this instance holds the duty now. */
+	/** Whether this instance holds the lease now. */
 	isHub(): boolean;
-	/** Whether followers are told anything, under the duty or for a while behind it. */
+	/** Whether followers are served, under the lease or for a while after it has lapsed. */
 	isServing(): boolean;
 	engineClock(): number | undefined;
-	/** Stores that may be saved to and fetched from, and the tokens that they hold. */
+	/** Stores that blocks may be saved to and fetched from, and the tokens that they hold. */
 	openStores(): Array<[store: string, heldTokens: number]>;
-	/** Where the parts in question are kept; `requestsAt` gives the requests under way at an engine. */
+	/** Where the queried blocks are cached; `requestsAt` returns the requests in flight at an engine. */
 	whereKept(question: PlaceQuestion, requestsAt: (engine: string) => number): PartsAnswer;
-	/** What changed behind the places where a follower stands in the tables. */
+	/** Changes in the tables after a follower's positions. */
 	tableNews(places: Record<string, FeedPlace>): FeedNews[];
 	takeUses(keys: readonly string[]): void;
 }
 
-/** A follower that does not read is dropped; it dials again and hears all anew. */
+/** A follower that does not read is disconnected; it dials again and receives the whole state. */
 const mostWaitingBytes = 1_048_576;
 
 const idleCheckMilliseconds = 400;
@@ -44,7 +44,7 @@
 type Follower = {
 	instance: string;
 	cores: number;
-	/** Of its last whole frame, on the steady clock, in milliseconds. */
+	/** When its last complete frame arrived, in milliseconds of the steady clock. */
 	lastSeenAt: number;
 };
 
@@ -85,7 +85,7 @@
 		this.#server.close();
 	}
 
-	/** Ends all connections: this instance is the hub no longer. */
+	/** Closes all connections: this instance no longer serves followers. */
 	dropAll(): void {
 		for (const socket of this.#followers.keys()) {
 			this.#drop(socket);
@@ -138,9 +138,9 @@
 	}
 
 	/**
-	 * Closes connections that are idle for too long. An instance that lost its power or was cut off closes none, and what it
-	 * had under way would weigh on its endpoints for as long as TCP goes on trying. What came while this process stood still
-	 * is read first, or it would close all of them.
+	 * Closes connections that are idle for too long. An instance that lost its power or was cut off closes none, and the
+	 * requests that it reported would count at its endpoints for as long as TCP retries. What arrived while this process was
+	 * paused is read first; otherwise a pause would close all connections.
 	 */
 	async #closeIdle(): Promise<void> {
 		await afterNextPoll();
@@ -152,7 +152,7 @@
 		}
 	}
 
-	/** An instance that has dialled anew meanwhile is still told of by its new connection. */
+	/** Keeps the loads of an instance that has reconnected meanwhile: they belong to its new connection. */
 	#drop(socket: Socket): void {
 		const instance = this.#followers.get(socket)?.instance;
 		this.#followers.delete(socket);
--- a/src/gateway/hub/hub-view.test.ts
+++ b/src/gateway/hub/hub-view.test.ts
@@ -8,7 +8,7 @@
 const at = (milliseconds: number, jump = 0): Moment => ({steady: milliseconds, wall: milliseconds + jump});
 const question: PlaceQuestion = {endpoints: ['e1', 'e2'], keys: ['s|a', 's|p'], partCount: 2};
 
-/** An answer by which a store and one engine keep the second part; of the other engine nothing is known. */
+/** An answer by which a store and one engine hold the second block; the blocks of the other engine are unknown. */
 const answer: HubFrame = {
 	kind: 'answer',
 	number: 1,
@@ -30,9 +30,9 @@
 	return view;
 }
 
-test('what was heard is used only while fresh, counted from the question', () => {
-	// The hub is cut off. Meanwhile it withdraws a part, waits until nobody can still use it, and frees it. An instance that
-	// counted from the late answer would have an engine read the freed memory.
+test('an answer is used only while fresh, counted from the sending of its query', () => {
+	// The coordinator is cut off. Meanwhile it withdraws a block, waits until no instance can still use it, and frees it. An
+	// instance that counted from the late answer would have an engine read the freed memory.
 	const view = heardAt(1000, 1600);
 	const last = at(1000 + freshMilliseconds - 1);
 	const late = at(1000 + freshMilliseconds);
@@ -46,8 +46,8 @@
 	assert.equal(view.othersAt('e1', late), undefined);
 });
 
-test('an answer about other parts makes no older news fresh', () => {
-	// Guards against an engine that reads a freed part: the hub may have withdrawn it between the two questions.
+test('an answer about other blocks does not refresh older ones', () => {
+	// Guards against an engine that reads a freed block: the coordinator may have withdrawn it between the two queries.
 	const view = heardAt(1000, 1010);
 	const laterAnswer: HubFrame = {
 		...answer, number: 2, loads: {}, parts: {kept: [], engines: [], unknown: []},
@@ -63,17 +63,17 @@
 	assert.equal(heardAt(1000, 1010).holds('cache', 's|p', at(1100, 5000)), false);
 });
 
-test('the engines\' clock is never told too far on', () => {
+test('the engines\' clock is never ahead of its true time', () => {
 	assert.equal(heardAt(1000, 1200).engineClock(at(1300)), 50_100);
 });
 
-test('a part that was taken back is not held', () => {
+test('a withdrawn block is not held', () => {
 	const view = heardAt(1000, 1010);
 	view.takeAnswer({...answer, number: 2, parts: {kept: [], engines: ['e1'], unknown: []}}, question, at(1020), at(1030));
 	assert.equal(view.holds('cache', 's|p', at(1040)), false);
 	assert.equal(view.tokensAt('e1', 's|p', at(1040)), 0);
 });
 
-test('an engine whose events were lost keeps nobody knows what', () => {
+test('the blocks of an engine whose events were lost are unknown', () => {
 	assert.equal(heardAt(1000, 1010).tokensAt('e2', 's|p', at(1020)), undefined);
 });
--- a/src/gateway/hub/hub-view.ts
+++ b/src/gateway/hub/hub-view.ts
@@ -1,6 +1,6 @@
 /**
- * What a follower knows from the hub: which stores and engines hold the parts that it asked about, what the other instances
- * have under way, and the engines' clock. Each answer is used only while fresh, counted from the sending of its question.
+ * A follower's view of the coordinator's answers: which stores and engines hold the blocks that it queried, the load of the
+ * other instances, and the engines' clock. Each answer is used only while fresh, counted from the sending of its query.
  */
 import {type EndpointLoad} from '../../decision/placement/endpoint-load.js';
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
@@ -10,18 +10,18 @@
 	engineHolder, type HubFrame, type PackedLoad, type PlaceQuestion, unpackLoad,
 } from './hub-messages.js';
 
-/** Where a part is kept, by the answer to a question. */
+/** Where a block is cached, by the answer to a query. */
 type PartNews = {
 	askedAt: Moment;
 	/** Tokens by holder. */
 	holders: Map<string, number>;
-	/** Engines whose parts were not known. */
+	/** Engines whose cached blocks were unknown. */
 	unknown: ReadonlySet<string>;
 };
 
 type LoadNews = {askedAt: Moment; load: PackedLoad};
 
-/** How many parts and endpoints are remembered; the oldest news go first. */
+/** How many blocks and endpoints are remembered; the entries that were updated longest ago are dropped first. */
 const mostParts = 2000;
 const mostLoads = 2000;
 
@@ -35,7 +35,10 @@
 	readonly #engineClock = new EngineClock();
 	readonly #uses = new Set<string>();
 
-	/** Forgets what only the hub may tell: the connection to it ended, and the next one may be to another hub. */
+	/**
+	 * Forgets what only the coordinator may serve: the connection to it has ended, and the next one may lead to another
+	 * coordinator.
+	 */
 	reset(): void {
 		this.#parts.clear();
 		this.#open = new Map();
@@ -43,7 +46,7 @@
 		this.#askedAt = undefined;
 	}
 
-	/** Takes the answer to a question that was sent at `askedAt`. */
+	/** Applies the answer to a query that was sent at `queriedAt`. */
 	takeAnswer({
 		clock, isDeputy, isLapsed, open, loads, parts,
 	}: HubFrame, {keys}: PlaceQuestion, askedAt: Moment, now: Moment): void {
@@ -73,7 +76,7 @@
 		}
 	}
 
-	/** Whether the hub has lost its lease. */
+	/** Whether the coordinator's lease has lapsed. */
 	get isLapsed(): boolean {
 		return this.#isLapsed;
 	}
@@ -82,47 +85,47 @@
 		return isFreshAt(this.#askedAt, now);
 	}
 
-	/** Whether parts may be saved to a store and fetched from it. */
+	/** Whether blocks may be saved to a store and fetched from it. */
 	isOpen(store: string, now: Moment): boolean {
 		return this.isFresh(now) && this.#open.has(store);
 	}
 
-	/** Whether a store holds a part whole. */
+	/** Whether a store holds a block completely. */
 	holds(store: string, key: string, now: Moment): boolean {
 		return this.isOpen(store, now) && (this.#newsOf(key, now)?.holders.has(store) ?? false);
 	}
 
-	/** Tokens of all parts that a store is known to hold. */
+	/** Tokens of all blocks that a store is known to hold. */
 	heldTokens(store: string): number {
 		return this.#open.get(store) ?? 0;
 	}
 
 	/**
-	 * Tokens of a part that an engine keeps, by its own events.
+	 * Tokens of a block that an engine has cached, by its own events.
 	 *
-	 * @returns `undefined` while that is not known. A hint: some events never arrive.
+	 * @returns `undefined` while that is unknown. A hint: some events never arrive.
 	 */
 	tokensAt(engine: string, key: string, now: Moment): number | undefined {
 		const news = this.#newsOf(key, now);
 		return news === undefined || news.unknown.has(engine) ? undefined : news.holders.get(engineHolder(engine)) ?? 0;
 	}
 
-	/** The engines that are known to keep a part: all, or several with little to do where many keep it. */
+	/** The engines that are known to have a block cached: all, or several with few requests where many have it. */
 	enginesWith(key: string, now: Moment): string[] {
 		const prefix = engineHolder('');
 		return [...this.#newsOf(key, now)?.holders.keys() ?? []].filter(holder => holder.startsWith(prefix)).map(holder => holder.slice(prefix.length));
 	}
 
 	/**
-	 * The engines' clock, at most as far on as it really is: a time limit reckoned from it ends too soon rather than too late.
+	 * The engines' clock, never ahead of its true time: a time limit computed from it ends too soon rather than too late.
 	 *
-	 * @returns Milliseconds; `undefined` while it is not known.
+	 * @returns Milliseconds; `undefined` while it is unknown.
 	 */
 	engineClock(now: Moment): number | undefined {
 		return isFreshAt(this.#clockAskedAt, now) ? this.#engineClock.at(now.steady) : undefined;
 	}
 
-	/** What all other instances have under way at an endpoint; `undefined` while that is not known. */
+	/** The load of all other instances at an endpoint; `undefined` while it is unknown. */
 	othersAt(endpoint: string, now: Moment): EndpointLoad | undefined {
 		const news = this.#loads.get(endpoint);
 		return news !== undefined && isFreshAt(news.askedAt, now) ? unpackLoad(news.load) : undefined;
@@ -132,7 +135,7 @@
 		this.#uses.add(key);
 	}
 
-	/** Gives the parts used since the last call. */
+	/** Returns the stored blocks used since the last call, and clears them. */
 	takeUses(): string[] {
 		const uses = [...this.#uses];
 		this.#uses.clear();
@@ -149,7 +152,7 @@
 	return askedAt !== undefined && longestElapsed(askedAt, now) < freshMilliseconds;
 }
 
-/** The order of the map is the order of the news. */
+/** Keeps the map in the order of its updates, so that the entry updated longest ago is dropped first. */
 function remember<News>(map: Map<string, News>, key: string, news: News, most: number): void {
 	map.delete(key);
 	map.set(key, news);
--- a/src/gateway/hub/hub.test.ts
+++ b/src/gateway/hub/hub.test.ts
@@ -30,7 +30,7 @@
 	return ports;
 };
 
-/** A store that holds one part; it can be made to fail. */
+/** A store that holds one block; it can be made to fail. */
 class PlayedStore implements CacheStoreControl {
 	isDown = false;
 	epoch = 1;
@@ -70,7 +70,7 @@
 	}
 }
 
-/** Three instances over one table, before one cache store that holds one part. */
+/** Three instances with one lease table and one cache store that holds one block. */
 async function startHubs(context: TestContext) {
 	const table = new MemoryTable();
 	const startedAt = clock.moment().steady;
@@ -133,51 +133,52 @@
 	};
 }
 
-test('one instance becomes the hub, all hear what stores hold and what the others do, and another one takes over', async context => {
-	// The hub's process stops. Its followers must not go on with what they heard for longer than it is fresh, and a new hub
-	// tells them again.
+test('one instance becomes the coordinator, all receive the blocks of stores and the loads of the others, and another one takes over', async context => {
+	// The coordinator's process stops. Its followers must not use its answers for longer than they are fresh, and a new
+	// coordinator serves them again.
 	const {store, instances, allKnow} = await startHubs(context);
-	await until('all know the part', allKnow, 6000 + withdrawalMilliseconds);
+	await until('all views hold the block', allKnow, 6000 + withdrawalMilliseconds);
 	assert.equal(instances.filter(({hub}) => hub.isHub()).length, 1);
-	await until('loads of the others are told', () => instances.every(({hubView}, index) => hubView.othersAt('engine', clock.moment())?.requests === 6 - (index + 1)), 2000);
+	await until('all views have the loads of the others', () => instances.every(({hubView}, index) => hubView.othersAt('engine', clock.moment())?.requests === 6 - (index + 1)), 2000);
 	const old = instances.find(({hub}) => hub.isHub())!;
 	await old.hub.leave();
 	old.stop.abort();
-	await until('another hub tells the others', () => instances.some(({hub}) => hub !== old.hub && hub.isHub()) && allKnow(), 8000 + withdrawalMilliseconds);
+	await until('another coordinator serves the others', () => instances.some(({hub}) => hub !== old.hub && hub.isHub()) && allKnow(), 8000 + withdrawalMilliseconds);
 	store.isDown = true;
-	await until('nothing is offered from a store that is away', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
+	await until('no block of an unavailable store is offered', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
 });
 
-test('a hub whose lease lapses goes on with hints, and tells of stores until another one could hold the lease', async context => {
-	// The store is away for some seconds: nobody can renew a lease or take one over. Without hints every instance would be
-	// blind for all that time, and each returning prompt be read again. What stores hold is told as long as nobody else can
-	// have taken the lease; behind that another hub might free it.
+test('a coordinator whose lease lapses goes on serving hints, and stores until another instance could hold the lease', async context => {
+	// The lease table is unavailable for some seconds: no instance can renew a lease or acquire one. Without hints no instance
+	// would know the load of the others for all that time, and each returning prompt would be prefilled again. The blocks of
+	// stores are served as long as no other instance can have acquired the lease; after that another coordinator might free
+	// them.
 	const {table, instances, allKnow, lines} = await startHubs(context);
-	await until('all know the part', allKnow, 6000 + withdrawalMilliseconds);
+	await until('all views hold the block', allKnow, 6000 + withdrawalMilliseconds);
 	table.down = true;
 	const until1000 = clock.moment().steady + 1000;
 	await until('more than the grant passes', () => {
-		assert.ok(allKnow(), 'nothing is told of stores');
+		assert.ok(allKnow(), 'no block of a store is offered');
 		return clock.moment().steady >= until1000;
 	}, 1500);
 	assert.equal(instances.some(({hub}) => hub.isHub()), false);
-	await until('nothing is offered from stores', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
+	await until('no block of a store is offered any more', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
 	const until2500 = clock.moment().steady + 2500;
 	await until('time passes', () => {
-		assert.ok(instances.every(({hubView}) => hubView.othersAt('engine', clock.moment()) !== undefined), 'hints are gone');
+		assert.ok(instances.every(({hubView}) => hubView.othersAt('engine', clock.moment()) !== undefined), 'hints are missing');
 		return clock.moment().steady >= until2500;
 	}, 3000);
 	assert.equal(instances.every(({hubView}) => hubView.isLapsed), true);
 	table.down = false;
-	await until('all know the part again', allKnow, 6000 + withdrawalMilliseconds);
+	await until('all views hold the block again', allKnow, 6000 + withdrawalMilliseconds);
 	assert.equal(instances.some(({hubView}) => hubView.isLapsed), false);
 	for (const told of ['"kind":"lease-lost"', '"kind":"dependency-lost","dependency":"hub"', '"kind":"dependency-regained","dependency":"hub"']) {
 		assert.ok(lines.some(line => line.includes(told)), told);
 	}
 });
 
-test('an instance that has become the hub leaves the duty of the deputy to another one', async () => {
-	// Guards against a deputy that is no help: it would stand still together with the hub.
+test('an instance that has become the coordinator leaves the lease of the standby to another one', async () => {
+	// Guards against a standby that fails together with the coordinator.
 	const table = new MemoryTable();
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
 	let isHub = false;
@@ -204,10 +205,10 @@
 	assert.equal(deputy.isHub(), true);
 	isHub = true;
 	deputy.step();
-	await until('the duty is given back', () => !deputy.isHub(), 1000);
+	await until('the lease is released', () => !deputy.isHub(), 1000);
 	await clock.sleep(50, new AbortController().signal);
 	const other = seatOf('i2');
-	await until('another one has it', () => {
+	await until('another instance holds it', () => {
 		void other.seek();
 		return other.left() > 0;
 	}, 2000);
--- a/src/gateway/hub/hub.ts
+++ b/src/gateway/hub/hub.ts
@@ -1,11 +1,11 @@
 /**
- * The hub: one instance, by a lease, gathers hints that no instance can have alone, and tells them to all: what the cache
- * stores and the engines hold, and what all instances have under way at each endpoint.
+ * The coordinator: one instance, elected by a lease, that aggregates hints which no instance can collect alone, and serves them
+ * to all: what the cache stores and the engines hold, and the load of all instances at each endpoint.
  *
- * Weighed against it: each instance reading each store and engine itself, which stores and engines do not allow (a few
- * calls at a time from all instances together), and telling each other in a mesh, which costs each pair a connection.
- * When the hub dies or is cut off, another one takes the lease some seconds later. Meanwhile a deputy answers, an instance
- * with a lease of its own that follows the engines as well and keeps no stores.
+ * The alternatives cost more. If each instance polled each store and engine itself, they would exceed the few calls at a time
+ * that stores and engines allow from all instances together; a mesh of all instances takes a connection for each pair. When the
+ * coordinator fails or is cut off, another instance acquires the lease some seconds later. Meanwhile a standby answers: an
+ * instance with a lease of its own that follows the engines as well and manages no stores.
  */
 import {type CacheStoreControl} from '../../ports/cache-store-control.js';
 import {hashOf} from '../../shared/hash-of.js';
@@ -23,35 +23,44 @@
 import {PartDirectory} from './part-directory.js';
 import {StoreKeepers} from './store-keepers.js';
 
-/** The lease is renewed when less than this is left of a grant, or less than the last renewals took. */
+/** The lease is renewed when less than this is left of a grant, or less than two renewals as slow as the last one take. */
 const renewMilliseconds = 750;
 /**
- * A hub that could not renew its lease goes on telling hints for this long, unless it hears of another holder: a store that
- * is slow or away for seconds keeps others from taking over as well, and without hints prompts are read again everywhere.
- * What cache stores hold is told only as long as there can be no next holder, who may free it.
+ * A coordinator that could not renew its lease serves hints for this long, unless it observes another holder: a store that is
+ * slow or unavailable for seconds keeps others from taking over as well, and without hints all prompts are prefilled again. The
+ * contents of cache stores are served only while there can be no next holder, which may free them.
  */
 const lapsedMilliseconds = 15_000;
-/** While the hub's lease has lapsed, followers look for a new one at this pace; most find the store out of reach too. */
+/**
+ * While the coordinator's lease has lapsed, followers search for a new one at this interval; the store is unreachable for most
+ * of them too.
+ */
 const lapsedLookMilliseconds = 1500;
-/** Instances that miss the hub look for it, or take its place, spread over this time. */
+/** Instances without a coordinator search for it, or try to replace it, spread over this time. */
 const spreadMilliseconds = 600;
-/** Instances that wait for the same lease to end try for it spread over this time. */
+/** Instances that wait for the same lease to expire try to acquire it spread over this time. */
 const takeoverSpreadMilliseconds = 150;
-/** How long a dialled hub may take to answer before the row is read again. */
+/** How long a dialled coordinator may take to answer before the lease row is read again. */
 const dialMilliseconds = 700;
 
-/** The deputy is asked at a slower pace while the hub answers: only its knowledge of loads is as old as that when it is needed. */
+/**
+ * While the coordinator answers, the standby is queried only once in so many steps: its knowledge of loads is at most that old
+ * when it is needed.
+ */
 const stepsPerDeputyQuestion = 2;
-/** The duty of the deputy is looked for when that of the hub has been taken. */
+/** Delay of the search for the standby's lease, so that the coordinator's lease is acquired first. */
 const deputyDelayMilliseconds = 1500;
 
-/** Which of the two duties: to tell hints and keep the stores, or to tell hints while the hub does not answer. */
+/**
+ * Which of the two leases: the holder of `hub` serves hints and manages the stores, that of `hub-deputy`, the standby, serves
+ * hints while the coordinator does not answer.
+ */
 export type HubRole = 'hub' | 'hub-deputy';
 
-/** What the hub knows of the instance. */
+/** What the coordinator uses of the gateway. */
 export type HubContext = Pick<GatewayContext, 'clock' | 'configuration' | 'dataCentre' | 'endpoints' | 'log'>;
 
-/** What the hub is given. */
+/** Settings and dependencies of a coordinator. */
 export type HubParts = {
 	role: HubRole;
 	instance: string;
@@ -59,15 +68,15 @@
 	seat: DutySeat;
 	client: HubClient;
 	control: CacheStoreControl;
-	/** Cores that this instance's machine gives it. */
+	/** CPU cores that its machine gives this instance. */
 	cores: number;
-	/** What another instance that stands at some places in the tables hears of this one. */
+	/** Table changes of this instance for a follower at the given positions. */
 	tableNews(places: Record<string, FeedPlace>): FeedNews[];
-	/** Whether this instance has the other one of the two duties. */
+	/** Whether this instance holds the lease of the other role. */
 	hasOtherDuty(): boolean;
-	/** Whether the holder of the other duty answers. */
+	/** Whether the holder of the other role answers. */
 	doesOtherAnswer(): boolean;
-	/** In which data centre the holder of the other duty stands, if that is known. */
+	/** The data centre of the holder of the other role, if it is known. */
 	otherDataCentre(): string | undefined;
 };
 
@@ -132,14 +141,17 @@
 		this.#parts.client.close();
 	}
 
-	/** Gives the duty back, for good: the process is about to end. */
+	/** Releases the lease and does not acquire it again: the process is about to end. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
 		this.#endServing();
 		await this.#parts.seat.release();
 	}
 
-	/** Renews the duty or looks for its holder, and asks it. Calls to the store run beside the questions, which must not wait. */
+	/**
+	 * Renews the lease or searches for its holder, and queries the holder. Calls to the store run beside the queries, which
+	 * must not wait for them.
+	 */
 	step(): void {
 		const {seat, client} = this.#parts;
 		const isNeeded = !this.#isLeaving;
@@ -167,7 +179,7 @@
 		return this.#parts.seat.left() > 0;
 	}
 
-	/** Whether followers are told anything: under the lease, and for a while behind it. */
+	/** Whether followers are served: under the lease, and for a while after it has lapsed. */
 	isServing(): boolean {
 		const {seat, instance} = this.#parts;
 		const isSucceeded = seat.seen !== undefined && seat.seen.holder !== instance;
@@ -178,7 +190,10 @@
 		return this.#stores.engineClock() ?? this.#engines.engineClock();
 	}
 
-	/** A process that stood still answers before its next step; by then another hub may have freed parts. */
+	/**
+	 * Checks the lease at each call: a process that was paused answers queries before its next step, when another coordinator
+	 * may have freed blocks.
+	 */
 	openStores(): Array<[store: string, heldTokens: number]> {
 		return this.isHub() || this.#parts.seat.isUncontested ? this.#stores.open() : [];
 	}
@@ -193,7 +208,7 @@
 		return this.#parts.tableNews(places);
 	}
 
-	/** How much later than others this instance tries for the duty, in milliseconds. */
+	/** How much later than others this instance tries to acquire the lease, in milliseconds. */
 	patienceMilliseconds(): number {
 		return this.#patience() + (takeoverSpreadMilliseconds * this.#ownShare);
 	}
@@ -232,7 +247,7 @@
 		}
 	}
 
-	/** Reads the row: takes the duty if it is free, else dials its holder. */
+	/** Reads the lease row: acquires the lease if it is free, otherwise dials its holder. */
 	async #look(): Promise<void> {
 		const {seat, client, instance, address} = this.#parts;
 		await (this.#isBarred() ? seat.look() : seat.seek());
@@ -246,9 +261,9 @@
 	}
 
 	/**
-	 * Keeps stores under the lease, and watches engines as long as followers are served. Behind the lease, while no other
-	 * instance can hold it, stores are told of further and nothing is freed: only another holder could free what is told, and
-	 * without the stores each returning prompt is read again for as long as the platform's table is away.
+	 * Manages stores under the lease, and watches engines as long as followers are served. After the lease has lapsed, stores
+	 * are still served and nothing is freed while no other instance can hold it: only another holder could free what is served,
+	 * and without the stores each returning prompt is prefilled again for as long as the platform's table is unavailable.
 	 */
 	#serve(): void {
 		if (this.isHub()) {
@@ -277,7 +292,7 @@
 		return !this.isDeputy || !this.#parts.doesOtherAnswer() || this.#steps % stepsPerDeputyQuestion === 0;
 	}
 
-	/** Whether this instance must leave the duty to others: with both, it would be no help when it fails. */
+	/** Whether this instance must leave the lease of the standby to others: with both roles it would fail in both at once. */
 	#isBarred(): boolean {
 		return this.isDeputy && this.#parts.hasOtherDuty();
 	}
@@ -289,7 +304,7 @@
 		});
 	}
 
-	/** From 0 up to 1, another one for each instance. */
+	/** From 0 up to 1, a different share for each instance. */
 	get #ownShare(): number {
 		return hashOf(this.#parts.instance) / (2 ** 32);
 	}
--- a/src/gateway/hub/load-totals.test.ts
+++ b/src/gateway/hub/load-totals.test.ts
@@ -6,7 +6,7 @@
 
 const heard = (totals: LoadTotals, endpoint: string, instance: string): EndpointLoad => unpackLoad(totals.withoutInstance(endpoint, instance));
 
-test('an instance hears what all others have under way, as they told it last', () => {
+test('the total of the other instances consists of the loads that each reported last', () => {
 	const totals = new LoadTotals();
 	totals.set('i1', {e1: [2, 10, 0, 50, 5, 0, 0], e2: [1, 0, 0, 0, 0, 0, 0]});
 	totals.set('i2', {e1: [3, 20, 0, 40, 7, 0, 0]});
@@ -20,8 +20,8 @@
 	assert.equal(totals.requestsAt('e2'), 4);
 });
 
-test('an instance that is gone leaves nothing behind', () => {
-	// Guards against endpoints that look laden for good.
+test('the loads of a removed instance no longer count', () => {
+	// Guards against endpoints that look busy without end.
 	const totals = new LoadTotals();
 	totals.set('i1', {e1: [2, 10, 0, 50, 5, 0, 0]});
 	totals.remove('i1');
--- a/src/gateway/hub/load-totals.ts
+++ b/src/gateway/hub/load-totals.ts
@@ -1,6 +1,7 @@
 /**
- * What all instances have under way, by endpoint. Kept as it is told, so that an answer costs as much as the endpoints in
- * question are busy, not as much as there are instances; and packed, since the hub sums thousands of loads a second.
+ * The loads of all instances, by endpoint. They are indexed as they are reported, so that the cost of an answer grows with the
+ * instances that use the queried endpoints, not with all instances. They stay packed, since the coordinator sums thousands of
+ * loads a second.
  */
 import {noLoad} from '../../decision/placement/endpoint-load.js';
 import {
@@ -13,7 +14,7 @@
 	readonly #byEndpoint = new Map<string, Map<string, PackedLoad>>();
 	readonly #endpointsOf = new Map<string, string[]>();
 
-	/** Takes the place of all that an instance told before. */
+	/** Replaces all loads that an instance reported before. */
 	set(instance: string, loads: Record<string, PackedLoad>): void {
 		this.remove(instance);
 		const endpoints = Object.keys(loads);
@@ -25,7 +26,7 @@
 		}
 	}
 
-	/** Forgets an instance. */
+	/** Removes all loads of an instance. */
 	remove(instance: string): void {
 		for (const endpoint of this.#endpointsOf.get(instance) ?? []) {
 			const byInstance = this.#byEndpoint.get(endpoint);
@@ -38,7 +39,7 @@
 		this.#endpointsOf.delete(instance);
 	}
 
-	/** What all instances but one have under way at an endpoint. */
+	/** The load of all instances but one at an endpoint. */
 	withoutInstance(endpoint: string, instance: string): PackedLoad {
 		const sum = [...nothing];
 		for (const [other, load] of this.#byEndpoint.get(endpoint) ?? []) {
@@ -50,7 +51,7 @@
 		return sum;
 	}
 
-	/** Requests of all instances at an endpoint. */
+	/** Requests in flight of all instances at an endpoint. */
 	requestsAt(endpoint: string): number {
 		let requests = 0;
 		for (const [count = 0] of this.#byEndpoint.get(endpoint)?.values() ?? []) {
@@ -61,7 +62,7 @@
 	}
 }
 
-/** Adds as `addLoads` does. */
+/** Adds a load to a sum in place, by the same rules as `addLoads`. */
 function addPacked(sum: PackedLoad, load: PackedLoad): void {
 	for (const [index, value] of load.entries()) {
 		const known = sum[index] ?? 0;
--- a/src/gateway/hub/news-sources.ts
+++ b/src/gateway/hub/news-sources.ts
@@ -1,9 +1,9 @@
 /**
- * The hub and its deputy as one source of news.
+ * Exchanges state through the coordinator, and through its standby where the coordinator does not answer.
  *
- * While the hub stands still or is gone, no other instance may take its duty for some seconds, since it may still act on
- * stores. What engines keep and what instances have under way are hints, which a deputy may tell all the while: without
- * them every returning prompt is read again, at engines that look idle to all instances at once.
+ * While the coordinator is paused or has failed, no other instance may acquire its lease for some seconds, since it may still
+ * send orders to stores. The cached blocks of engines and the loads of instances are hints, which the standby may serve
+ * meanwhile: without them every returning prompt is prefilled again, at engines that look idle to all instances at once.
  */
 import {type HubClient, type PeerNews} from './hub-client.js';
 import {type PlaceQuestion} from './hub-messages.js';
@@ -11,7 +11,7 @@
 export class NewsSources implements PeerNews {
 	readonly #sources: readonly HubClient[];
 
-	/** @param sources - The one to ask first comes first. */
+	/** @param sources - In the order in which they are tried. */
 	constructor(sources: readonly HubClient[]) {
 		this.#sources = sources;
 	}
--- a/src/gateway/hub/part-directory.test.ts
+++ b/src/gateway/hub/part-directory.test.ts
@@ -4,7 +4,7 @@
 
 const holders: Holders = {stores: ['cache'], isKnown: engine => engine !== 'e9', requestsAt: engine => engine === 'e1' ? 5 : 1};
 
-test('an answer tells of the engines in question, and of some more that keep the deepest part', () => {
+test('an answer covers the queried engines, and some more that hold the deepest block', () => {
 	const directory = new PartDirectory();
 	directory.take('cache', {added: [['s|deep', 800]], removed: []});
 	directory.take('engine:e1', {added: [['s|first', 100], ['s|deep', 800]], removed: []});
@@ -16,7 +16,7 @@
 	assert.deepEqual(answer.kept, [['cache', [[1, 800]]], ['engine:e2', [[0, 100]]], ['engine:e1', [[0, 100], [1, 800]]], ['engine:e3', [[0, 100]]]]);
 });
 
-test('an answer stays small where nearly all engines keep a part', () => {
+test('an answer stays small where nearly all engines hold a block', () => {
 	// Guards against answers that grow with the number of engines.
 	const directory = new PartDirectory();
 	for (let engine = 0; engine < 500; engine++) {
@@ -25,18 +25,18 @@
 
 	const {engines} = directory.answer({endpoints: ['e400'], keys: ['s|first', 's|deep'], partCount: 2}, holders);
 	assert.equal(engines.length, 9);
-	assert.equal(engines.includes('e1'), false, 'the keeper with the most requests is named before others');
+	assert.equal(engines.includes('e1'), false, 'the holder with the most requests is named before others');
 });
 
-test('a part that a holder has lost is told of no more', () => {
+test('a block that a holder has dropped is not in the answer', () => {
 	const directory = new PartDirectory();
 	directory.take('cache', {added: [['s|a', 800]], removed: []});
 	directory.take('cache', {added: [], removed: ['s|a', 's|never']});
 	assert.deepEqual(directory.answer({endpoints: [], keys: ['s|a'], partCount: 1}, holders).kept, []);
 });
 
-test('a store that may not be told of is not', () => {
-	// Guards against parts of a store that another hub may have freed meanwhile.
+test('a store that may not be offered is not in the answer', () => {
+	// Guards against the use of blocks that another coordinator may have freed meanwhile.
 	const directory = new PartDirectory();
 	directory.take('cache', {added: [['s|a', 800]], removed: []});
 	assert.deepEqual(directory.answer({endpoints: [], keys: ['s|a'], partCount: 1}, {...holders, stores: []}).kept, []);
--- a/src/gateway/hub/part-directory.ts
+++ b/src/gateway/hub/part-directory.ts
@@ -1,27 +1,28 @@
 /**
- * Which stores and engines keep which parts, as the hub gathers it, and what it tells of the parts of one prompt.
+ * Which stores and engines have which blocks cached, as the coordinator collects it, and the answers about the blocks of one
+ * prompt.
  *
- * With many engines, telling each instance of every part that any engine reads or drops takes more bytes than the links of
- * the instances have. An answer to a question is bounded: by the parts of one prompt, the engines in question, and a few
- * more that keep its deepest parts.
+ * With many engines, publishing every block that any engine computes or drops to each instance takes more bandwidth than the
+ * links of the instances have. An answer to a query is bounded: by the blocks of one prompt, the queried engines, and a few
+ * more that hold its deepest blocks.
  */
 import {type PartsChange} from '../../protocol/parts/store-ledger.js';
 import {
 	engineHolder, type KeptParts, type PartsAnswer, type PlaceQuestion,
 } from './hub-messages.js';
 
-/** How many engines are named beside those in question, for what they keep. */
+/** How many engines an answer names beside the queried ones, for the blocks that they hold. */
 const mostKeepers = 8;
-/** A part that more engines keep than this is found at those in question as well. */
+/** A block with more holders than this adds no further engines to an answer: some of the queried ones hold it as well. */
 const widelyKept = 24;
 
-/** What the directory has to know of holders. */
+/** What the directory has to know about holders. */
 export type Holders = {
-	/** Stores that may be told of. */
+	/** Stores whose blocks may be offered. */
 	stores: readonly string[];
-	/** Whether the parts of an engine are up to date. */
+	/** Whether the known blocks of an engine are up to date. */
 	isKnown: (engine: string) => boolean;
-	/** Requests under way at an engine. */
+	/** Requests in flight at an engine. */
 	requestsAt: (engine: string) => number;
 };
 
@@ -30,7 +31,7 @@
 export class PartDirectory {
 	readonly #holders = new Map<string, Map<string, number>>();
 
-	/** Takes what a holder has got and lost. */
+	/** Applies the changes of what a holder has cached. */
 	take(holder: string, {added, removed}: PartsChange): void {
 		for (const key of removed) {
 			const holders = this.#holders.get(key);
@@ -46,7 +47,7 @@
 		}
 	}
 
-	/** Answers a question about the parts of one prompt. */
+	/** Answers a query about the blocks of one prompt. */
 	answer({endpoints, keys, partCount}: PlaceQuestion, {stores, isKnown, requestsAt}: Holders): PartsAnswer {
 		if (keys.length === 0) {
 			return {kept: [], engines: [], unknown: []};
@@ -68,7 +69,7 @@
 		});
 	}
 
-	/** Engines that keep the deepest parts, those with the fewest requests first. */
+	/** Engines that hold the deepest blocks, those with the fewest requests first. */
 	#keepers(keys: readonly string[], partCount: number, requestsAt: (engine: string) => number): Set<string> {
 		const keepers = new Set<string>();
 		for (let depth = partCount - 1; depth >= 0 && keepers.size < mostKeepers; depth--) {
--- a/src/gateway/hub/store-keeper.ts
+++ b/src/gateway/hub/store-keeper.ts
@@ -1,4 +1,7 @@
-/** The hub's care for one cache store: follows its events, tells the followers, and frees what is unused for longest. */
+/**
+ * Manages one cache store for the coordinator: follows its events, publishes them to the followers, and evicts the least
+ * recently used blocks.
+ */
 import {type CacheStoreControl, type StoreEvents} from '../../ports/cache-store-control.js';
 import {type MomentClock} from '../../ports/moment-clock.js';
 import {type PartsChange, StoreLedger} from '../../protocol/parts/store-ledger.js';
@@ -6,27 +9,27 @@
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {EngineClock} from './engine-clock.js';
 
-/** How long a call for events may wait; events come at once. */
+/** How long a call for events may wait; events are returned at once. */
 const eventWaitMilliseconds = 800;
-/** Pause behind events, so that those of a busy moment are told together. */
+/** Pause after events, so that those of a burst are published together. */
 const batchMilliseconds = 60;
-/** Pause behind a failed call. */
+/** Pause after a failed call. */
 const retryMilliseconds = 250;
-/** A free order is void behind this time, so that it cannot come into force when the duty has passed on. */
+/** An order to free blocks is void after this time, so that it cannot take effect when another instance holds the lease. */
 const freeLifeMilliseconds = 400;
-/** How often all parts are looked through for those that no engine can use any more. */
+/** How often all blocks are checked for those that no engine can use any more. */
 const deadCheckMilliseconds = 500;
 
-/** What a keeper is given. */
+/** Dependencies of a manager. */
 export type KeeperTools = {
 	control: CacheStoreControl;
 	clock: MomentClock;
 	log: DecisionLog;
-	/** How long a store is left alone behind events, where that is more than the usual time. */
+	/** Minimum pause after events, in milliseconds; the usual pause applies where it is longer. */
 	pauseMilliseconds?: () => number;
-	/** Whether this instance may act for the duty. */
+	/** Whether this instance holds the lease. */
 	mayAct(): boolean;
-	/** Whether no engine can use what lies under a salt. */
+	/** Whether no engine can use the blocks under a salt. */
 	isDead(salt: string): boolean;
 	tell(store: string, change: PartsChange): void;
 };
@@ -43,10 +46,11 @@
 
 	/**
 	 * @param service - The name of the store's service.
-	 * @param store - Where it is, and its size.
-	 * @param tools - What a keeper is given.
-	 * @param before - When followers were last told of it, in milliseconds of the steady clock, and its epoch as the keeper
-	 * before knew it: if that is still the same, the store has not restarted since, and nothing in it is written anew.
+	 * @param store - Its address and its size.
+	 * @param tools - The dependencies.
+	 * @param before - When its blocks were last published to followers, in milliseconds of the steady clock, and its epoch as
+	 * the manager before knew it: if that is unchanged, the store has not restarted since, and no block in it is being written
+	 * again.
 	 */
 	constructor(service: string, store: StoreTraits, tools: KeeperTools, {believedUntil, inheritedEpoch}: {believedUntil: number; inheritedEpoch: number | undefined}) {
 		this.ledger = new StoreLedger(store.capacityTokens);
@@ -54,11 +58,11 @@
 		this.#store = store;
 		this.#tools = tools;
 		this.#inheritedEpoch = inheritedEpoch;
-		// Whatever the last keeper told may still be believed.
+		// Followers may still use what the manager before published.
 		this.ledger.close(believedUntil);
 	}
 
-	/** The engines' clock by this store's last word, in milliseconds. */
+	/** The engines' clock by this store's last answer, in milliseconds. */
 	get engineClock(): number | undefined {
 		return this.#engineClock.at(this.#now());
 	}
@@ -74,7 +78,7 @@
 		}
 	}
 
-	/** Makes the next call; gives the pause behind it in milliseconds. */
+	/** Makes the next call; returns the pause after it in milliseconds. */
 	async step(): Promise<number> {
 		if (this.ledger.epoch === undefined) {
 			return this.#inheritedEpoch !== undefined || this.ledger.mayOpen(this.#now()) ? this.#open() : retryMilliseconds;
--- a/src/gateway/hub/store-keepers.test.ts
+++ b/src/gateway/hub/store-keepers.test.ts
@@ -12,7 +12,7 @@
 	address: '127.0.0.1:1', dataCentre: 'split', capacityTokens: 10_000, linkMegabitsPerSecond: 1, firstMilliseconds: 1, isManaged: true,
 }]];
 
-/** Keepers at a time that the test sets; pauses pass at once. */
+/** Managers whose clock the test sets; pauses pass at once. */
 function keepersThatTellNobody(control: CacheStoreControl, now: () => number): StoreKeepers {
 	const clock: MomentClock = {
 		moment: () => ({steady: now(), wall: now()}),
@@ -27,15 +27,15 @@
 		mayAct: () => true,
 		isDead: () => false,
 		tell() {
-			// Nobody follows.
+			// No followers in this test.
 		},
 	});
 }
 
-test('a listing that arrives when the duty is over is told to nobody', async () => {
-	// The hub's lease lapses while it lists a store. Its followers stay connected, and the store is closed for them. The
-	// listing arrives then; told, it would count as held again with the next grant, though the parts may have been freed
-	// under another holder meanwhile, and an engine would read memory that is no longer that prompt's.
+test('a listing that arrives after the end of the lease is not published', async () => {
+	// The coordinator's lease lapses while it lists a store. Its followers stay connected, and the store is closed for them.
+	// The listing arrives afterwards; if published, its blocks would count as held again after the next grant, though another
+	// holder may have freed them meanwhile, and an engine would read memory that no longer holds that prompt.
 	let now = 0;
 	const clock: MomentClock = {
 		moment: () => ({steady: now, wall: now}),
@@ -53,7 +53,7 @@
 			asked.push(address);
 			return listed;
 		},
-		events: async () => Left('not asked for in this test'),
+		events: async () => Left('not called in this test'),
 		free: async () => Right(undefined),
 	};
 	const told = new Set<string>();
@@ -90,9 +90,10 @@
 	assert.deepEqual([...told], []);
 });
 
-test('a keeper that fails is followed by one that waits until nobody believes its word', async context => {
-	// The hub comes back under its number and tells of a store again; then the keeper fails. Reckoned from the hub's absence,
-	// the next one would offer the store at once, and let parts be written anew that followers of the failed one still fetch.
+test('the manager that replaces a failed one waits until nothing published by it can be in use', async context => {
+	// The coordinator comes back under its fencing number and publishes the blocks of a store again; then the manager fails.
+	// Counted from the absence of the coordinator, the next manager would offer the store at once, and let blocks be written
+	// again that followers still fetch by what the failed one published.
 	let now = 0;
 	let fails = false;
 	const listedAt: number[] = [];
@@ -105,7 +106,7 @@
 		},
 		async events() {
 			if (fails) {
-				throw new Error('a fault of the keeper');
+				throw new Error('a fault of the manager');
 			}
 
 			return Right({
@@ -135,15 +136,16 @@
 	await keepAt(backAt + 100);
 	fails = false;
 	await keepAt(backAt + 200);
-	assert.deepEqual(listedAt, [backAt], 'the next keeper offers the store at once');
+	assert.deepEqual(listedAt, [backAt], 'the next manager lists the store at once');
 	await keepAt(backAt + 200 + withdrawalMilliseconds);
 	keepers.close();
 	assert.equal(listedAt.length, 2);
 });
 
-test('a hub that held the duty all the while offers its stores again as soon as nobody believes its last word', async () => {
-	// The platform's table is away for longer than the lease, and no other hub can take it. Back under the same number, the
-	// hub need not wait once more for what another one might have told; its callers' prompts were read again meanwhile.
+test('a coordinator that kept its lease offers its stores again as soon as nothing that it published can be in use', async () => {
+	// The platform's table is unavailable for longer than the lease, and no other instance can acquire it. Back under the same
+	// fencing number, the coordinator need not wait for what another one might have published; the prompts of its callers were
+	// prefilled again meanwhile.
 	let now = 0;
 	let listings = 0;
 	const control: CacheStoreControl = {
@@ -151,7 +153,7 @@
 			listings++;
 			return Left('counted only');
 		},
-		events: async () => Left('not asked for in this test'),
+		events: async () => Left('not called in this test'),
 		free: async () => Right(undefined),
 	};
 	const keepers = keepersThatTellNobody(control, () => now);
@@ -166,13 +168,13 @@
 		return listings > 0;
 	};
 
-	assert.equal(await listsBehind(0, 1), false, 'the first word of a new hub comes too soon');
+	assert.equal(await listsBehind(0, 1), false, 'a new coordinator lists the store too soon');
 	assert.equal(await listsBehind(withdrawalMilliseconds, 1), true);
-	assert.equal(await listsBehind(withdrawalMilliseconds - 1, 1), false, 'its own last word may still be believed');
-	assert.equal(await listsBehind(withdrawalMilliseconds, 3), false, 'another hub held the duty meanwhile');
+	assert.equal(await listsBehind(withdrawalMilliseconds - 1, 1), false, 'what it published may still be in use');
+	assert.equal(await listsBehind(withdrawalMilliseconds, 3), false, 'another coordinator held the lease meanwhile');
 });
 
-/** A store that lists one part; and when keepers with what they inherited offer it, in steps of 100 ms. */
+/** Returns when managers with a handover first offer a store that lists one block, in steps of 100 ms. */
 async function firstOffer(epoch: number, inherited: Record<string, number>): Promise<number> {
 	let now = 0;
 	const control: CacheStoreControl = {
@@ -200,16 +202,16 @@
 	return now;
 }
 
-test('a store that has not restarted since the keeper before is offered at once, any other only when nobody believes older news', async () => {
-	// Guards against seconds without stores behind each change of the hub, and against a part that is fetched while it is
-	// written anew in a store that came back empty.
+test('a store that has not restarted since the manager before is offered at once, any other only when nothing older can be in use', async () => {
+	// Guards against seconds without stores after each change of the coordinator, and against a block that is fetched while it
+	// is written again in a store that came back empty.
 	assert.ok(await firstOffer(7, {cache: 7}) < 500);
 	assert.ok(await firstOffer(8, {cache: 7}) >= withdrawalMilliseconds);
 	assert.ok(await firstOffer(7, {}) >= withdrawalMilliseconds);
 });
 
-test('a keeper that takes the place of one that failed offers nothing until nobody believes older news', async () => {
-	// Guards against a part that is offered while an order of the failed keeper to free it is on its way.
+test('a manager that replaces a failed one offers nothing until nothing older can be in use', async () => {
+	// Guards against a block that is offered while an order of the failed manager to free it is in flight.
 	let now = 0;
 	let hasFailed = false;
 	const epoch = 7;
@@ -248,5 +250,5 @@
 	}
 
 	keepers.close();
-	assert.ok(now - failedAt >= withdrawalMilliseconds, `offered again ${now - failedAt} ms behind the failure`);
+	assert.ok(now - failedAt >= withdrawalMilliseconds, `offered again ${now - failedAt} ms after the failure`);
 });
--- a/src/gateway/hub/store-keepers.ts
+++ b/src/gateway/hub/store-keepers.ts
@@ -1,9 +1,9 @@
-/** The hub's keepers of all cache stores, as long as it holds the duty. */
+/** The coordinator's managers of all cache stores, for as long as it holds the lease. */
 import {type PartsChange} from '../../protocol/parts/store-ledger.js';
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {StoreKeeper, type KeeperTools} from './store-keeper.js';
 
-/** All stores together are asked for events no more often than one each so many milliseconds. */
+/** Minimum interval between calls for events, over all stores together. */
 const pausePerStoreMilliseconds = 10;
 
 export class StoreKeepers {
@@ -11,7 +11,7 @@
 	readonly #keepers = new Map<string, StoreKeeper>();
 	#keeping: AbortController | undefined;
 	#fencingNumber = 0;
-	/** Under which number of the duty stores were kept last, and until when. */
+	/** The fencing number of the lease under which stores were managed last, and until when. */
 	#lastKept: {fencingNumber: number; until: number} | undefined;
 
 	constructor(tools: KeeperTools) {
@@ -19,15 +19,15 @@
 	}
 
 	/**
-	 * Starts to keep the stores that are not kept yet.
+	 * Starts managers for the stores that have none.
 	 *
 	 * @param stores - All stores.
-	 * @param fencingNumber - The number of the duty, which rises when its holder changes.
-	 * @param inheritedEpochs - The stores' epochs as the last holder of the duty knew them.
+	 * @param fencingNumber - The number of the lease, which rises when its holder changes.
+	 * @param inheritedEpochs - The stores' epochs as the last holder of the lease knew them.
 	 */
 	keep(stores: ReadonlyArray<[name: string, store: StoreTraits]>, fencingNumber: number, inheritedEpochs: Readonly<Record<string, number>> = {}): void {
 		const believedUntil = this.#believedUntil(fencingNumber);
-		// Later on only a keeper that failed is replaced: an order of that one may still be on its way.
+		// Later on, a new manager only replaces one that failed, whose order may still be in flight.
 		const epochs = this.#keeping === undefined ? inheritedEpochs : {};
 		this.#keeping ??= new AbortController();
 		const {signal} = this.#keeping;
@@ -42,8 +42,8 @@
 	}
 
 	/**
-	 * Keeps no store any longer. Nothing counts as held from then on: what was gathered under the duty must not come back into
-	 * force with the next grant.
+	 * Stops all managers. Nothing counts as held from then on: what was collected under the lease must not take effect again
+	 * with the next grant.
 	 */
 	close(): void {
 		const now = this.#tools.clock.moment().steady;
@@ -60,22 +60,22 @@
 		this.#keepers.clear();
 	}
 
-	/** The epochs of the stores that are known, for the next holder of the duty. */
+	/** The epochs of the stores that are known, for the next holder of the lease. */
 	epochs(): Record<string, number> {
 		return Object.fromEntries([...this.#keepers].flatMap(([name, {ledger: {epoch}}]) => epoch === undefined ? [] : [[name, epoch]]));
 	}
 
-	/** The engines' clock, in milliseconds, if any store told it. */
+	/** The engines' clock in milliseconds, if any store has reported it. */
 	engineClock(): number | undefined {
 		return [...this.#keepers.values()].map(({engineClock}) => engineClock).find(clock => clock !== undefined);
 	}
 
-	/** Stores that may be saved to and fetched from, and the tokens of the parts that they offer. */
+	/** Stores that blocks may be saved to and fetched from, and the tokens of the blocks that they offer. */
 	open(): Array<[store: string, heldTokens: number]> {
 		return [...this.#keepers].filter(([, {isOpen}]) => isOpen).map(([name, {ledger}]) => [name, ledger.offeredTokens]);
 	}
 
-	/** Notes that parts were used. */
+	/** Records that blocks were used. */
 	use(keys: readonly string[]): void {
 		const now = this.#tools.clock.moment().steady;
 		for (const {ledger} of this.#keepers.values()) {
@@ -86,9 +86,9 @@
 	}
 
 	/**
-	 * When the last word of stores was told that followers may still believe: just now, by a holder that is not known here, or
-	 * by a keeper of this one that has failed. But if nothing is kept, and the number of the duty is the same as before, nobody
-	 * held it meanwhile, and the last word was this instance's own.
+	 * When blocks of stores were last published that followers may still use: now, where another holder may have published
+	 * them, or a failed manager of this instance. But if no store is managed and the fencing number is the same as before, no
+	 * other instance held the lease meanwhile, and this instance published last.
 	 */
 	#believedUntil(fencingNumber: number): number {
 		const isOwnWord = this.#keeping === undefined && this.#lastKept?.fencingNumber === fencingNumber;
@@ -96,8 +96,8 @@
 	}
 
 	/**
-	 * A call may be under way when the duty ends. What it brings is told to nobody: followers that stay connected would take
-	 * it for held with the next grant, though another holder may have freed it.
+	 * A call may be in flight when the lease ends. Its result is not published: followers that stay connected would take the
+	 * blocks for held after the next grant, though another holder may have freed them.
 	 */
 	#toolsUntil(signal: AbortSignal): KeeperTools {
 		return {
@@ -111,7 +111,7 @@
 		};
 	}
 
-	/** A keeper that fails is forgotten, and the next step starts a new one, which trusts nothing that the old one told. */
+	/** Removes a manager that fails. The next step starts a new one, which relies on nothing that the failed one published. */
 	async #run(name: string, keeper: StoreKeeper, signal: AbortSignal): Promise<void> {
 		try {
 			await keeper.run(signal);
