--- a/src/gateway/duty/duty-seat.ts
+++ b/src/gateway/duty/duty-seat.ts
@@ -1,4 +1,4 @@
-/** Takes, renews and gives back the lease on one duty; what is allowed is decided in `src/protocol/duty`. */
+/** Acquires, renews and releases the lease by which instances elect a leader; the rules are in `src/protocol/lease`. */
 import {type Either} from 'purify-ts/Either';
 import {type ClockedTable} from '../../ports/clocked-table.js';
 import {type Moment, type MomentClock} from '../../ports/moment-clock.js';
@@ -8,7 +8,7 @@
 } from '../../protocol/duty/duty-lease.js';
 import {type DecisionLog} from '../observability/decision-log.js';
 
-/** Which duty, and for whom. */
+/** Which lease, and for whom. */
 export type DutyPlan = {
 	table: string;
 	duty: string;
@@ -16,24 +16,24 @@
 	/** Where other instances reach the holder. */
 	address: string;
 	leaseMilliseconds: number;
-	/** For how long a grant is acted on, if the store answers quickly. */
+	/** How long a grant lasts, if the store answers quickly. */
 	actingMilliseconds: number;
-	/** How much later than allowed this instance looks for a duty that another one holds, in milliseconds; 0 if absent. */
+	/** Delay after which this instance tries to acquire a lease that another one held, in milliseconds; 0 if absent. */
 	patienceMilliseconds?: () => number;
 };
 
-/** What a seat works with. */
+/** Dependencies of an election. */
 export type DutyTools = {
 	store: TableService & ClockedTable;
 	clock: MomentClock;
 	log: DecisionLog;
 };
 
-/** When a lease is looked at again if a call for it failed. */
+/** Delay before the row is read again after a failed call. */
 const retryMilliseconds = 500;
-/** A store that answers slowly is asked again so much sooner that one slow renewal behind the last one still comes in time. */
+/** A store that answers slowly is called so much earlier that one slow renewal after another still completes in time. */
 const renewalsBefore = 2;
-/** A grant lasts for as many renewals as slow as the last one at least, or a slow store would leave no time to act in. */
+/** A grant lasts at least this many renewals as slow as the last one, or a slow store would leave no time to lead. */
 const renewalsInGrant = 4;
 
 export class DutySeat {
@@ -42,7 +42,7 @@
 	#grant: DutyGrant | undefined;
 	#notBefore = 0;
 	#seekMilliseconds = 0;
-	/** The row as it was read last, of whomever. */
+	/** The row as it was last read or written, whichever instance holds it. */
 	#seen: DutyRow | undefined;
 	#inherited: Readonly<Record<string, number>> = {};
 	/** The state of the row that was read last, and since when it has been the same, on the steady clock. */
@@ -53,22 +53,22 @@
 		this.#tools = tools;
 	}
 
-	/** The grant, as long as this instance may act. */
+	/** The grant, as long as this instance holds the lease. */
 	get grant(): DutyGrant | undefined {
 		return this.left() > 0 ? this.#grant : undefined;
 	}
 
-	/** Whether no other instance can hold the duty yet, though this one may not act any more. */
+	/** Whether no other instance can hold the lease yet, also while this one no longer holds it. */
 	get isUncontested(): boolean {
 		return this.#grant !== undefined && isUncontested(this.#grant, this.#plan.leaseMilliseconds, this.#tools.clock.moment());
 	}
 
-	/** The row as it was read last. */
+	/** The row as it was last read or written. */
 	get seen(): DutyRow | undefined {
 		return this.#seen;
 	}
 
-	/** What the row held before the last grant: what the holder before left, or this one itself. */
+	/** The handover in the row before the last grant, from the holder before or from this instance itself. */
 	get inherited(): Readonly<Record<string, number>> {
 		return this.#inherited;
 	}
@@ -78,22 +78,22 @@
 		return Math.max(actingMilliseconds, Math.min(mostActingMilliseconds(leaseMilliseconds), renewalsInGrant * this.#seekMilliseconds));
 	}
 
-	/** With less than this left a grant is to be renewed: two renewals as slow as the last one. */
+	/** A grant with less than this left is to be renewed: the time of two renewals as slow as the last one. */
 	get renewalMilliseconds(): number {
 		return renewalsBefore * this.#seekMilliseconds;
 	}
 
-	/** Milliseconds for which this instance may still act; 0 if it may not. */
+	/** Milliseconds for which this instance still holds the lease; 0 if it does not. */
 	left(): number {
 		const left = this.#grant === undefined ? 0 : leftOfGrant(this.#grant, this.#tools.clock.moment());
 		return Math.max(0, left);
 	}
 
 	/**
-	 * Takes or renews the lease if the row allows it; asks no sooner than a former answer said.
+	 * Acquires or renews the lease if the row allows it; makes no call sooner than an earlier answer allowed.
 	 *
-	 * @param engines - Engines that the holder changes, for others to spare them.
-	 * @param legacy - What it leaves to the next holder.
+	 * @param engines - Engines that the holder changes, for others to avoid them.
+	 * @param legacy - State for the next holder.
 	 */
 	async seek(engines: string[] = [], legacy?: Record<string, number>): Promise<void> {
 		const {store, clock, log} = this.#tools;
@@ -125,7 +125,7 @@
 			...decided.row, address: this.#plan.address, engines, ...(legacy === undefined ? {} : {legacy}),
 		};
 		const written = await store.commit({conditions: [{...name, revision: row?.revision ?? 0}], writes: [{...name, value: granted}]});
-		// In a later era the condition may have held by accident, for a revision that was given out again.
+		// In a later era the condition may have held by coincidence, for a revision that was used again.
 		if (written.isLeft() || store.era > era) {
 			this.#noteConflict(written);
 			this.#lookAgainIn(retryMilliseconds);
@@ -142,7 +142,7 @@
 		this.#grant = {row: granted, since};
 	}
 
-	/** Reads who holds the duty, and does not take it. */
+	/** Reads who holds the lease, and does not acquire it. */
 	async look(): Promise<void> {
 		const {store, clock} = this.#tools;
 		if (clock.moment().steady < this.#notBefore) {
@@ -156,7 +156,7 @@
 		this.#lookAgainIn(retryMilliseconds);
 	}
 
-	/** Forgets the grant. */
+	/** Drops the grant, and logs the reason. */
 	lose(reason: string): void {
 		if (this.#grant !== undefined) {
 			this.#tools.log.record('lease-lost', {duty: this.#plan.duty, fencingNumber: this.#grant.row.fencingNumber, reason});
@@ -165,7 +165,9 @@
 		this.#grant = undefined;
 	}
 
-	/** Gives the lease back, so that another instance may take it at once. Call it only when nothing of the duty is under way. */
+	/**
+	 * Releases the lease, so that another instance may acquire it at once. Nothing under the lease may be in flight by then.
+	 */
 	async release(): Promise<void> {
 		const {store} = this.#tools;
 		const name = {table: this.#plan.table, key: this.#plan.duty};
@@ -183,7 +185,7 @@
 		}
 	}
 
-	/** Whoever was first is known from the refusal, without another read. */
+	/** The conflict names the new holder, which saves another read. */
 	#noteConflict(written: Either<TableFailure, void>): void {
 		written.ifLeft(failure => {
 			if (failure.kind === 'conflict') {
@@ -192,7 +194,7 @@
 		});
 	}
 
-	/** For how long the row has surely stood as it was found by a read that was sent at `sentAt`. */
+	/** For how many milliseconds the row is certain to have stood as it was found by a read that was sent at `sentAt`. */
 	#unchangedFor(era: number, revision: number, sentAt: Moment): number {
 		if (this.#unchanged?.era !== era || this.#unchanged.revision !== revision) {
 			this.#unchanged = {era, revision, since: this.#tools.clock.moment().steady};
--- a/src/gateway/duty/weights-duty.ts
+++ b/src/gateway/duty/weights-duty.ts
@@ -1,4 +1,4 @@
-/** Where the row of the duty to bring engines to their weights lies: its holder writes it, and every instance reads it. */
+/** Where the row of the lease on the rollout of weights is: its holder writes it, and every instance reads it. */
 
 export const dutyTable = 'duties';
 export const weightsDuty = 'weights';
