--- a/src/gateway/weights/weight-coordinator.test.ts
+++ b/src/gateway/weights/weight-coordinator.test.ts
@@ -16,7 +16,7 @@
 
 const leaseMilliseconds = 3000;
 const stepMilliseconds = 100;
-/** Runs end first, then the weights are read. */
+/** Running requests end first; the weights are read after that. */
 const loadMilliseconds = 1000;
 const engineCount = 13;
 
@@ -28,14 +28,14 @@
 	}
 
 	async sleep(): Promise<void> {
-		// Time moves on by the test's steps only.
+		// Time advances only in the steps of the test.
 	}
 }
 
-/** How long a load takes beside so many others. */
+/** Milliseconds of a load while so many engines load, itself included. */
 type LoadTime = (loading: number) => number;
 
-/** Engines that load; orders are noted with their holder. */
+/** Engines that load weights; orders are recorded with their holder. */
 class PlayedEngines implements EngineControl {
 	readonly versions = new Map<string, number>();
 	readonly orders: Array<{holder: string; at: number}> = [];
@@ -48,7 +48,6 @@
 		this.#loadTime = loadTime;
 	}
 
-	/** Engines that load now. */
 	get loading(): number {
 		return this.#loads.size;
 	}
@@ -66,7 +65,7 @@
 		return 'accepted' as const;
 	}
 
-	/** Engines that have a version by now. */
+	/** Number of engines that have a version now. */
 	with(version: number): number {
 		this.#settle();
 		return [...this.versions.values()].filter(known => known === version).length;
@@ -82,7 +81,7 @@
 	}
 }
 
-/** Three instances before thirteen engines; each has just heard that version 2 was named. */
+/** Three instances and thirteen engines; each instance has just received the naming of version 2. */
 function startCoordinators(boundMilliseconds: number, loadTime: LoadTime = () => loadMilliseconds) {
 	const clock = new PlayedClock();
 	const store = new MemoryTable();
@@ -130,10 +129,10 @@
 	};
 }
 
-test('most engines have their weights in time, and the others a load later, though the holder of the duty stands still', async () => {
-	// Weights are named; the instance that orders engines to load them stands still right behind its first orders. Until
-	// another may act, most of the time granted has passed; at the usual pace the last engines would get their orders
-	// seconds behind it, and stand idle until then. Half of the engines serve all the while.
+test('most engines have their weights in time, and the others a load later, though the holder of the lease is paused', async () => {
+	// Weights are named; the instance that orders engines to load them is paused right after its first orders. Until another
+	// one holds the lease, most of the switchover time has passed; at the usual pace the last engines would get their orders
+	// seconds after its end, and stand idle until then. Half of the engines serve all the time.
 	const boundMilliseconds = 6000;
 	const {clock, engines, stepAll} = startCoordinators(boundMilliseconds);
 	while (engines.orders.length === 0) {
@@ -159,7 +158,7 @@
 	assert.ok(firstOfNext - lastOfFrozen >= leaseMilliseconds, `${firstOfNext - lastOfFrozen} ms between two holders`);
 });
 
-test('without trouble most engines go on serving while the others load, within the time granted', async () => {
+test('without faults most engines go on serving while the others load, within the switchover time', async () => {
 	const boundMilliseconds = 6000;
 	const {clock, engines, stepAll} = startCoordinators(boundMilliseconds);
 	let mostLoading = 0;
@@ -173,10 +172,10 @@
 	assert.equal(engines.orders.length, engineCount);
 });
 
-test('loads that slow each other do not call for more at a time, until nobody serves', async () => {
-	// Weights are named on a quiet day, and the holder of the duty is cut off. Its successor has time enough for a third of the
-	// engines at a time, but loads slow each other where more run than a quarter: reckoned from those, more still seem to be
-	// needed, and at last callers are refused for want of engines.
+test('loads that slow each other down do not raise the number at a time until no engine serves', async () => {
+	// Weights are named while there is little load, and the holder of the lease is cut off. Its successor has time for a third
+	// of the engines at a time, but loads slow each other down where more than a quarter of the engines load: estimated from
+	// those, still more seem to be needed, and in the end requests are refused for lack of engines.
 	const boundMilliseconds = 15_000;
 	const {clock, engines, stepAll} = startCoordinators(boundMilliseconds, loading => 2400 * Math.max(1, loading / 3));
 	while (engines.orders.length === 0) {
@@ -188,13 +187,13 @@
 	while (engines.with(2) < engineCount) {
 		await stepAll(instance => instance !== cutOff);
 		mostLoading = Math.max(mostLoading, engines.loading);
-		assert.ok(clock.now < 2 * boundMilliseconds, 'the roll does not end');
+		assert.ok(clock.now < 2 * boundMilliseconds, 'the rollout does not end');
 	}
 
 	assert.ok(mostLoading <= engineCount / 2, `${mostLoading} load at a time`);
 });
 
-test('instances that hear of the orders of another one do not ask the store for the duty', async () => {
+test('instances that observe the orders of another one do not call the store for the lease', async () => {
 	// Guards against calls to the store that grow with the number of instances whenever weights are named.
 	const {engines, stepAll, store} = startCoordinators(6000);
 	while (engines.orders.length === 0) {
@@ -211,7 +210,7 @@
 		reads += store.reads - before;
 	}
 
-	assert.equal(reads, 0, 'others ask for the duty');
+	assert.equal(reads, 0, 'others call the store for the lease');
 	assert.ok(engines.orders.every(order => order.holder === holder));
-	assert.notEqual(holder, 'three', 'the hub takes the duty before others');
+	assert.notEqual(holder, 'three', 'the coordinator acquires the lease before others');
 });
--- a/src/gateway/weights/weight-coordinator.ts
+++ b/src/gateway/weights/weight-coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * Brings engines to the weights that operators name. Every instance runs one; the lease on the duty decides which of them
- * acts. It is sought only while an engine is behind, so that a calm day costs no calls to the store.
+ * Brings engines to the weights that operators name. Every instance runs one; a lease decides which of them sends the orders.
+ * The lease is acquired only while the weights of an engine are outdated, so that no calls to the store are made otherwise.
  */
 import {planRoll, usualLoading, type LoadingEngine} from '../../decision/weights/plan-roll.js';
 import {type ClockedTable} from '../../ports/clocked-table.js';
@@ -14,46 +14,52 @@
 import {type GatewayContext} from '../gateway-context.js';
 import {type WeightGoal, type WeightGoals} from './weight-goals.js';
 
-/** How often the coordinator looks at what it knows; no call is made for that. */
+/** Interval between checks of the known state; they make no calls. */
 const tickMilliseconds = 100;
 /** The same while all engines have the weights that were named. */
 const idleTickMilliseconds = 400;
-/** Instances that hear of new weights together try for the lease spread over this time at least, */
+/** Minimum time over which instances that receive new weights at the same time spread their attempts to acquire the lease. */
 const shortestSpreadMilliseconds = 250;
-/** And over so much for each of them: most hear of the orders of the first one before they would ask the store. */
+/**
+ * The spread grows by this much with each instance: most observe the orders of the first one before it is their turn to call
+ * the store.
+ */
 const spreadPerInstanceMilliseconds = 10;
 /**
- * For how long a grant is acted on. A holder that stands still right behind a renewal keeps all others out for this time and
- * a lease, out of the time in which engines must have their weights; each renewal costs two calls to the store.
+ * How long a grant lasts. A holder that is paused right after a renewal keeps all others out for this time and a lease, out of
+ * the time in which engines must have their weights; each renewal costs two calls to the store.
  */
 const actingMilliseconds = 600;
 /** A grant with less than this left is renewed before the next order. */
 const renewMilliseconds = 300;
-/** An order is sent only with this much of the grant left: the check and the sending are not one step. */
+/** An order is sent only with this much of the grant left, since the check and the sending are not one step. */
 const orderMarginMilliseconds = 250;
-/** How often the report of a loading engine is read. */
+/** Interval between two reads of a loading engine's report. */
 const reportPauseMilliseconds = 150;
-/** Nothing is seen of an order for so long: an engine that is not busy then has not got it. */
+/** An engine that is not busy this long after an order has not received it. */
 const tracelessMilliseconds = 750;
-/** Left of the time granted for the weights when all engines are to be done: a prompt that waits at one begins in it. */
+/** Rest of the switchover time when all engines are to be done: a prompt that waits at an engine begins within it. */
 const rollMarginMilliseconds = 1000;
-/** What an engine takes for a load, before one was seen: its runs end, and the weights are read. */
+/** Estimate of a load before one was observed: running requests end, and the weights are read. */
 const firstLoadMilliseconds = 1000;
-/** Weight of the newest load in the mean. */
+/** Weight of the newest load in the moving average. */
 const newestLoadShare = 0.5;
 
 type CoordinatorContext = Pick<GatewayContext, 'clock' | 'endpoints' | 'loadingEngines' | 'log' | 'metrics'>;
 
-/** What the coordinator is told. */
+/** Settings and dependencies of the rollout. */
 export type CoordinatorParts = {
 	instance: string;
 	leaseMilliseconds: number;
-	/** Granted from the naming of weights until all engines must have them. */
+	/** Time from the naming of weights until all engines must have them. */
 	boundMilliseconds: number;
 	store: TableService & ClockedTable;
 	control: EngineControl;
 	goals: WeightGoals;
-	/** Whether this instance is the hub. It comes last: whatever befalls the holder of orders would cost all their hub as well. */
+	/**
+	 * Whether this instance is the coordinator. It tries last: a fault of the holder of this lease would otherwise cost all
+	 * instances their coordinator too.
+	 */
 	isHub: () => boolean;
 	/** How many instances there are, as far as known. */
 	instances: () => number;
@@ -83,7 +89,7 @@
 		}
 	}
 
-	/** Looks once whether there is something to do, and does the next part of it; false if all engines have their weights. */
+	/** Takes the next step if an engine has outdated weights; returns false if none has. */
 	async step(): Promise<boolean> {
 		const now = this.#now();
 		const goals = this.#parts.goals.all().filter(goal => this.#enginesBehind(goal).length > 0);
@@ -112,7 +118,7 @@
 		return true;
 	}
 
-	/** Whether to ask the store for the duty: not while another instance is heard to carry it out. */
+	/** Whether to try to acquire the lease: not while another holder is observed. */
 	#maySeek(goals: readonly WeightGoal[], now: number): boolean {
 		const {instance, isHub, instances} = this.#parts;
 		const heardAt = Math.max(...goals.map(goal => goal.heardAt.steady));
@@ -124,14 +130,14 @@
 	async #pursue(goal: WeightGoal): Promise<void> {
 		await this.#readReports();
 		const {boundMilliseconds} = this.#parts;
-		// Weights whose age is not known are paced as if named when they were heard of: all engines at once would serve nobody.
+		// Weights of unknown age are scheduled as if named when they were observed, since all engines must not load at once.
 		const dueAt = (goal.namedSince ?? goal.heardAt).steady + boundMilliseconds - rollMarginMilliseconds;
 		const next = planRoll(this.#enginesOf(goal), {...goal, dueAt, loadMilliseconds: this.#loadMilliseconds}, [...this.#loading.values()], this.#now());
 		if (next.length === 0) {
 			return;
 		}
 
-		// The other instances hear which engines are about to load and spare them; the same write renews the grant.
+		// The row names the engines that are about to load, so that others avoid them; the same write renews the grant.
 		await this.#seat.seek([...this.#loading.keys(), ...next.map(({name}) => name)]);
 		await Promise.all(next.map(async engine => this.#order(engine, goal)));
 	}
@@ -151,7 +157,7 @@
 		}
 
 		if (isBusy) {
-			// It carries out the order of a holder before.
+			// It executes an order of the holder before.
 			this.#noteLoading(engine);
 			return;
 		}
@@ -192,7 +198,7 @@
 		}
 	}
 
-	/** Learns from the engines under way which of them are done, or were never given the order. */
+	/** Reads from the reports of loading engines which of them are done, or never received the order. */
 	async #readReports(): Promise<void> {
 		const now = this.#now();
 		const due = [...this.#loading.values()].filter(({reportAt}) => reportAt <= now);
@@ -228,8 +234,8 @@
 	}
 
 	/**
-	 * Loads slow each other where more than usual run at a time. Learned from those, the time of a load would call for still
-	 * more at a time, until no engine is left that serves.
+	 * Loads slow each other down where more than the usual number run at a time. Estimated from those, the time of a load would
+	 * call for still more at a time, until no engine is left to serve.
 	 */
 	#learnLoad(milliseconds: number): void {
 		if (this.#loading.size <= usualLoading(this.#context.endpoints.all().filter(({weightVersions}) => weightVersions.size > 0).length)) {
--- a/src/gateway/weights/weight-goals.test.ts
+++ b/src/gateway/weights/weight-goals.test.ts
@@ -6,8 +6,9 @@
 const boundMilliseconds = 6000;
 const at = (milliseconds: number): Moment => ({steady: milliseconds, wall: milliseconds});
 
-test('weights that were replaced long ago are not granted again when newer ones are named', () => {
-	// Guards against prompts on engines that missed a version: each further naming would let runs begin there for its whole grant.
+test('weights that were replaced long ago get no further time when newer ones are named', () => {
+	// Guards against prompts on engines that missed a version: each further naming would let requests begin there for a whole
+	// switchover time.
 	const goals = new WeightGoals(boundMilliseconds);
 	goals.name({model: 'lease', version: 2}, {heardAt: at(0), namedSince: at(0)});
 	goals.name({model: 'lease', version: 3}, {heardAt: at(13_000), namedSince: at(13_000)});
@@ -16,7 +17,7 @@
 	assert.ok(goals.leftOf(goal, at(14_000), 1) <= 0);
 });
 
-test('weights of an unknown age are not granted again when newer ones are named', () => {
+test('weights replaced at an unknown time get no further time when newer ones are named', () => {
 	// Guards against the same at an instance that has just started, and does not know since when the weights are named.
 	const goals = new WeightGoals(boundMilliseconds);
 	goals.name({model: 'lease', version: 2}, {heardAt: at(0), namedSince: undefined});
@@ -24,7 +25,7 @@
 	assert.equal(goals.leftOf(goals.goalFor('lease')!, at(2000), 1), 0);
 });
 
-test('versions that are named in quick succession keep the grant of the first one that replaced each', () => {
+test('of versions named in quick succession, each has the time of the first one that replaced it', () => {
 	const goals = new WeightGoals(boundMilliseconds);
 	for (const version of [2, 3, 4]) {
 		const now = at(1000 * version);
--- a/src/gateway/weights/weight-goals.ts
+++ b/src/gateway/weights/weight-goals.ts
@@ -4,26 +4,26 @@
 
 /** When weights were named, as far as an instance can tell. */
 export type NamingTime = {
-	/** When this instance heard of them. */
+	/** When this instance received them. */
 	heardAt: Moment;
-	/** No later than their naming; absent where they may be of any age, as for a process that has just started. */
+	/** A moment no later than their naming; absent where they may be of any age, as for a process that has just started. */
 	namedSince: Moment | undefined;
 };
 
-/** A goal. */
+/** The weights that a model is to be served with. */
 export type WeightGoal = NamedWeights & NamingTime;
 
 export class WeightGoals {
-	/** By model, the newest first: those whose grant may still be counted, and the newest one whose grant is over. */
+	/** By model, the newest first: those whose switchover time may still run, and the newest one whose time is over. */
 	readonly #goals = new Map<string, WeightGoal[]>();
 	readonly #boundMilliseconds: number;
 
-	/** @param boundMilliseconds - Behind it no run may begin on older weights, counted from the naming. */
+	/** @param boundMilliseconds - Time from the naming after which no request may begin on older weights. */
 	constructor(boundMilliseconds: number) {
 		this.#boundMilliseconds = boundMilliseconds;
 	}
 
-	/** Takes a goal unless a higher version is known; true if it is new. */
+	/** Adds a target unless the same or a higher version is known; returns whether it is new. */
 	name(weights: NamedWeights, time: NamingTime): boolean {
 		const known = this.#goals.get(weights.model) ?? [];
 		if (known[0] !== undefined && known[0].version >= weights.version) {
@@ -41,13 +41,13 @@
 	}
 
 	/**
-	 * Gives for how long runs may still begin on weights that are older than a goal. The time counts from the naming of the
-	 * first version that replaced them: counted from the newest goal, each further one would grant it to them anew.
+	 * Returns for how long requests may still begin on weights that are older than a target. The time counts from the naming of
+	 * the first version that replaced them: counted from the newest target, each further version would start it again.
 	 *
-	 * @param goal - The newest goal of a model.
+	 * @param goal - The newest target of a model.
 	 * @param now - The present moment.
-	 * @param weightVersion - The weights that an engine has; by default those just before the goal.
-	 * @returns Milliseconds; 0 or less if no run may begin.
+	 * @param weightVersion - The weights that an engine has; by default those just before the target.
+	 * @returns Milliseconds; 0 or less if no request may begin.
 	 */
 	leftOf(goal: WeightGoal, now: Moment, weightVersion = goal.version - 1): number {
 		const replacedBy = this.#goals.get(goal.model)?.filter(({version}) => version > weightVersion) ?? [goal];
