--- a/src/gateway/duty/duty-seat.ts
+++ b/src/gateway/duty/duty-seat.ts
@@ -58,7 +58,7 @@
 		return this.left() > 0 ? this.#grant : undefined;
 	}
 
-	/** Whether no other instance can hold the lease yet, also while this one no longer holds it. */
+	/** Whether no other instance can hold the lease yet; stays true for a while after this instance's grant has ended. */
 	get isUncontested(): boolean {
 		return this.#grant !== undefined && isUncontested(this.#grant, this.#plan.leaseMilliseconds, this.#tools.clock.moment());
 	}
--- a/src/gateway/endpoints/endpoint-registry.ts
+++ b/src/gateway/endpoints/endpoint-registry.ts
@@ -38,9 +38,9 @@
 export class EndpointRegistry {
 	readonly #records = new Map<string, EndpointRecord>();
 	readonly #doubts = new Map<string, Doubt>();
-	/** Until when an outage may be the reason that a row vanishes. */
+	/** Until when an outage may be the reason that a row vanishes, in milliseconds of the steady clock. */
 	#unsureUntil = 0;
-	/** Incarnations that are leaving or have departed, in the order in which this was found. */
+	/** Incarnations that are leaving or have departed, those found first at the front. */
 	readonly #departures = new Set<string>();
 	/** Rows of a restored store that contradict a departure, and until when they are ignored. */
 	readonly #staleRows = new Map<string, {record: EndpointRecord; until: number}>();
--- a/src/gateway/hub/hub.ts
+++ b/src/gateway/hub/hub.ts
@@ -32,8 +32,8 @@
  */
 const lapsedMilliseconds = 15_000;
 /**
- * While the coordinator's lease has lapsed, followers search for a new one at this interval; the store is unreachable for most
- * of them too.
+ * While the coordinator's lease has lapsed, followers search for a new one at this interval; most of them cannot reach the
+ * store either.
  */
 const lapsedLookMilliseconds = 1500;
 /** Instances without a coordinator search for it, or try to replace it, spread over this time. */
--- a/src/gateway/hub/store-keepers.ts
+++ b/src/gateway/hub/store-keepers.ts
@@ -27,7 +27,7 @@
 	 */
 	keep(stores: ReadonlyArray<[name: string, store: StoreTraits]>, fencingNumber: number, inheritedEpochs: Readonly<Record<string, number>> = {}): void {
 		const believedUntil = this.#believedUntil(fencingNumber);
-		// Later on, a new manager only replaces one that failed, whose order may still be in flight.
+		// Later on, a new manager only replaces one that failed, whose order may still be in flight: it gets no handover.
 		const epochs = this.#keeping === undefined ? inheritedEpochs : {};
 		this.#keeping ??= new AbortController();
 		const {signal} = this.#keeping;
--- a/src/gateway/weights/weight-coordinator.ts
+++ b/src/gateway/weights/weight-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Brings engines to the weights that operators name. Every instance runs one; a lease decides which of them sends the orders.
- * The lease is acquired only while the weights of an engine are outdated, so that no calls to the store are made otherwise.
+ * Brings engines to the weights that operators name. Every instance runs one rollout; a lease decides which instance sends the
+ * orders. The lease is acquired only while the weights of an engine are outdated, so that no calls to the store are made
+ * otherwise.
  */
 import {planRoll, usualLoading, type LoadingEngine} from '../../decision/weights/plan-roll.js';
 import {type ClockedTable} from '../../ports/clocked-table.js';
@@ -38,7 +39,10 @@
 const reportPauseMilliseconds = 150;
 /** An engine that is not busy this long after an order has not received it. */
 const tracelessMilliseconds = 750;
-/** Rest of the switchover time when all engines are to be done: a prompt that waits at an engine begins within it. */
+/**
+ * All engines are to be done this long before the end of the switchover time, so that prompts that wait at an engine begin in
+ * time.
+ */
 const rollMarginMilliseconds = 1000;
 /** Estimate of a load before one was observed: running requests end, and the weights are read. */
 const firstLoadMilliseconds = 1000;
@@ -89,7 +93,7 @@
 		}
 	}
 
-	/** Takes the next step if an engine has outdated weights; returns false if none has. */
+	/** Performs the next step if an engine has outdated weights; returns false if none has. */
 	async step(): Promise<boolean> {
 		const now = this.#now();
 		const goals = this.#parts.goals.all().filter(goal => this.#enginesBehind(goal).length > 0);
