--- a/src/gateway/watchers/catalog.ts
+++ b/src/gateway/watchers/catalog.ts
@@ -1,22 +1,22 @@
-/** How the rows of the store are read as configuration and endpoints; one implementation for each spelling. */
+/** Decodes the store's rows into configurations, target weights and endpoints; one implementation per row format. */
 import {type Either} from 'purify-ts/Either';
 import {type JsonValue} from '../../shared/types.js';
 import {type RoutedConfiguration} from '../../shared/routed-configuration.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 
-/** The weights that a model is to be served with. */
+/** The weight version that an operator named for a model: the one that its engines are to serve. */
 export type NamedWeights = {
 	model: string;
 	version: number;
 };
 
-/** What a row of the operators' table says. */
+/** A decoded row of the operators' table. */
 export type OperatorRow
 	= | {kind: 'configuration'; configuration: RoutedConfiguration}
 		| {kind: 'weights'; weights: NamedWeights}
 		| {kind: 'other'};
 
-/** The tables, and how their rows are read. A `Left` lists all that is wrong with a row. */
+/** The names of the tables, and decoders for their rows. A `Left` lists everything that is wrong with a row. */
 export interface Catalog {
 	readonly operatorTable: string;
 	readonly endpointTable: string;
--- a/src/gateway/watchers/endpoint-reader.ts
+++ b/src/gateway/watchers/endpoint-reader.ts
@@ -1,4 +1,4 @@
-/** Keeps the registry of endpoints on the platform's list. */
+/** Updates the endpoint registry from the store's table of endpoints. */
 import {type Moment} from '../../ports/moment-clock.js';
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
@@ -26,7 +26,7 @@
 	takeChanges(rows: readonly FeedRow[], _sentAt: Moment, now: Moment): void {
 		for (const row of rows) {
 			const record = row.isDeleted ? undefined : this.#read(row);
-			// A row that cannot be read names no endpoint to use, also where it could be read before.
+			// A row that cannot be decoded removes its endpoint, even if an earlier version of the row could be decoded.
 			this.#changed(record === undefined ? this.#context.endpoints.remove(row.key, now.steady) : this.#context.endpoints.put(record));
 		}
 
--- a/src/gateway/watchers/feed-follower.test.ts
+++ b/src/gateway/watchers/feed-follower.test.ts
@@ -43,7 +43,7 @@
 		clock: {
 			moment: () => ({steady: now, wall: now}),
 			async sleep() {
-				// Steps are made by the test.
+				// The test makes each step itself.
 			},
 		},
 		log,
@@ -57,7 +57,7 @@
 });
 const found = (rows: FeedRow[], position: number, era = 0): Either<never, FeedAnswer> => Right({rows, position, era});
 
-test('knowledge is dated from the sending of the call, and an answer without changes dates it anew', async () => {
+test('an answer, also one without changes, confirms the table as of the sending of its call', async () => {
 	const {follower, heard, asked} = followerOf([found([row('a', 5)], 5), found([], 5), found([row('b', 9)], 9)]);
 	await follower.step();
 	await follower.step();
@@ -66,7 +66,7 @@
 	assert.deepEqual(asked, ['whole list', 'after 5', 'after 5']);
 });
 
-test('a feed that forgot its history makes the table be read whole again', async () => {
+test('the whole table is read again when the feed has lost its history', async () => {
 	const {follower, heard, asked} = followerOf([found([], 5), Left({kind: 'history-lost'}), found([row('a', 90)], 90)]);
 	await follower.step();
 	await follower.step();
@@ -75,7 +75,7 @@
 	assert.equal(heard.at(-1), 'whole a as of 1400');
 });
 
-test('a failed call leaves the position and dates nothing', async () => {
+test('a failed call keeps the position and confirms nothing', async () => {
 	const {follower, heard, asked} = followerOf([found([], 5), Left({kind: 'unavailable', detail: 'down'}), found([], 5)]);
 	await follower.step();
 	await follower.step();
@@ -84,8 +84,8 @@
 	assert.deepEqual(heard.slice(1), ['failure', 'changes  as of 1400']);
 });
 
-test('a store that came back older and has passed the position again is read whole', async () => {
-	// Guards against rows that are missed for good: a position that was given out again looks like one that was reached.
+test('the whole table is read again when a store restored from an older copy has passed the position again', async () => {
+	// Guards against rows that are never delivered: a position that is assigned a second time looks like one already reached.
 	const {follower, heard, asked} = followerOf([found([], 50, 1), found([row('b', 60)], 60, 2), found([row('a', 45), row('b', 60)], 60, 2), found([], 60, 2)]);
 	await follower.step();
 	await follower.step();
@@ -96,7 +96,7 @@
 	assert.deepEqual(heard.slice(2), ['whole a b as of 1400, restored', 'changes  as of 2100, restored']);
 });
 
-test('a restored store proves something again when living writers have had the time to write anew', async () => {
+test('a restored store confirms its state again once live writers have had the time to rewrite their rows', async () => {
 	const {follower, heard} = followerOf([found([], 50, 1), found([], 40, 2), found([], 40, 2), found([], 40, 2), found([], 40, 2), found([], 40, 2)]);
 	for (let call = 0; call < 6; call++) {
 		await follower.step();
@@ -110,8 +110,8 @@
 });
 const at = (milliseconds: number): Moment => ({steady: milliseconds, wall: milliseconds});
 
-test('what another instance tells is dated from the question, less the age of its proof', async () => {
-	// Guards against a key that is served for longer than allowed because its instance took old news for new ones.
+test('a relayed update confirms the table as of its query, less the age of its confirmation', async () => {
+	// Guards against a revoked key that is accepted for too long because an instance took an old confirmation for a recent one.
 	const {follower, heard} = followerOf([found([], 5)]);
 	await follower.step();
 	follower.takeRelayed(newsOf({}), at(600));
@@ -119,8 +119,8 @@
 	assert.deepEqual(follower.place, {era: 0, position: 9});
 });
 
-test('rows that were heard from two sources are taken once, and never turn back', async () => {
-	// Guards against an endpoint that is ready again by an answer that was on its way when its leaving was relayed.
+test('rows that arrive from two sources are applied once, and never replace newer ones', async () => {
+	// Guards against an endpoint that counts as ready again because an older answer arrives after the relayed row of its leaving.
 	const {follower, heard, asked} = followerOf([found([], 5), found([row('b', 7), row('c', 12)], 12)]);
 	await follower.step();
 	const call = follower.step();
@@ -132,7 +132,7 @@
 	assert.deepEqual(follower.place, {era: 0, position: 12});
 });
 
-test('news of another era, or without the rows in between, are not taken', async () => {
+test('an update of another era, or without the rows in between, is not applied', async () => {
 	const {follower, heard} = followerOf([found([], 5, 2)]);
 	await follower.step();
 	follower.takeRelayed(newsOf({era: 1}), at(600));
@@ -143,16 +143,17 @@
 	assert.deepEqual(follower.place, {era: 2, position: 5});
 });
 
-test('a failure at the instance that reads is heard before the rows that vanish by it', async () => {
-	// Guards against endpoints that are dropped because their rows lapsed while the store was away for others to see.
+test('a failure at the reader is handled before the rows that disappear because of it', async () => {
+	// Guards against endpoints that are dropped because their rows expired while other instances could not reach the store.
 	const {follower, heard} = followerOf([found([], 5)]);
 	await follower.step();
 	follower.takeRelayed(newsOf({failedMilliseconds: 300}), at(600));
 	assert.deepEqual(heard.slice(1), ['failure', 'changes b as of 500, relayed']);
 });
 
-test('one instance reads for another, which makes calls again when the proof grows old', async context => {
-	// Guards against a herd of calls while one instance reads, and against instances that go blind when it is gone.
+test('a follower of the reader makes no calls until its relayed confirmation is too old', async context => {
+	// Guards against many calls to the store while one instance reads for all, and against instances that stop following the
+	// table when the reader has failed.
 	const calls = {reader: 0, follower: 0};
 	const stop = new AbortController();
 	context.after(() => {
@@ -171,13 +172,13 @@
 			table: 'list', waitMilliseconds: 150, readerWaitMilliseconds: 50, relayLapseMilliseconds: 400,
 		}, {
 			takeWhole() {
-				// What is heard is not looked at here.
+				// Rows are not checked here.
 			},
 			takeChanges() {
-				// Nor here.
+				// Changes are not checked here.
 			},
 			takeFailure() {
-				// There is none.
+				// No failure occurs.
 			},
 		}, {
 			clock, log: new DecisionLog({writableLength: 0, write: () => true}, {}, () => 0), random: () => 0, isReader: () => who === 'reader',
@@ -198,9 +199,9 @@
 		await clock.sleep(50, stop.signal);
 	}
 
-	assert.ok(calls.follower <= 2, `${calls.follower} calls while another one read`);
-	assert.ok(calls.reader >= 5, `${calls.reader} calls of the one that reads`);
+	assert.ok(calls.follower <= 2, `${calls.follower} calls while another instance read`);
+	assert.ok(calls.reader >= 5, `${calls.reader} calls of the reader`);
 	const before = calls.follower;
 	await clock.sleep(1500, stop.signal);
-	assert.ok(calls.follower >= before + 3, `${calls.follower - before} calls behind the loss of the one that read`);
+	assert.ok(calls.follower >= before + 3, `${calls.follower - before} calls after the loss of the reader`);
 });
--- a/src/gateway/watchers/feed-follower.ts
+++ b/src/gateway/watchers/feed-follower.ts
@@ -1,15 +1,16 @@
 /**
- * Follows one table of the store: reads it whole, then waits for what changes, for ever.
+ * Follows one table of the store: reads the whole table, then waits for changes until it is stopped.
  *
- * Each answered call, also one without changes, proves that the table stood so when the call was sent; whoever holds a
- * lease on that knowledge renews it from there. A call that hangs proves nothing and is given up after its own time limit,
- * on a connection of its own. When the feed has forgotten what came behind the last position, the table is read whole
- * again: changes in between would be missed otherwise. The same holds where the store has come back from an older copy: it
- * gives positions out again, and what was written up to the last position would never be told.
+ * Each answered call, also one without changes, confirms the state of the table as of the time when the call was sent;
+ * leases on that state are renewed from that time. A call that hangs confirms nothing: it times out on a connection of its
+ * own. When the feed no longer holds the changes after the last position, the whole table is read again, because changes in
+ * between would be missed. The same applies when the store was restored from an older copy: it assigns positions a second
+ * time, so changes up to the last position would never be delivered.
  *
- * With hundreds of instances, one of them reads for all: the others hear from it what changed and how old its proof is, and
- * make no calls as long as that is recent. When it dies, stalls, is cut off or is turned away by the store, the age grows,
- * and each of them reads for itself again, spread over a moment.
+ * With hundreds of instances, one of them, the reader, calls the store for all: it relays to the others what changed and
+ * the age of the confirmation, and they make no calls while that age is small. When the reader fails, stalls, is
+ * partitioned or is refused by the store, the age grows, and each instance calls the store itself again after a random
+ * delay.
  */
 import {longestElapsed, type Moment, type MomentClock} from '../../ports/moment-clock.js';
 import {type FeedAnswer, type FeedFailure, type TableFeed} from '../../ports/table-feed.js';
@@ -21,41 +22,40 @@
 	type Arrival, type FeedNews, type FeedPlace, type FeedReader,
 } from './feed-news.js';
 
-/** Which table, and how long a call may wait for changes. */
+/** The table to follow, and how long a call may wait for changes. */
 export type FeedPlan = {
 	table: string;
 	waitMilliseconds: number;
-	/** The same for the instance that reads for the others: what it tells them is as old as its last call. */
+	/** The same for the reader: what it relays is as old as its last call. */
 	readerWaitMilliseconds: number;
-	/** With a proof that is older than this, an instance reads for itself. */
+	/** An instance whose latest relayed confirmation is older than this calls the store itself. */
 	relayLapseMilliseconds: number;
 };
 
-/** What a follower works with. */
 export type FeedTools = {
 	clock: MomentClock;
 	log: DecisionLog;
 	random: () => number;
-	/** Whether this instance reads for the others. */
+	/** Whether this instance is the reader, which calls the store for the others. */
 	isReader?: () => boolean;
-	/** Whether it does so as soon as the one that reads now is gone. */
+	/** Whether it becomes the reader when the present one fails. */
 	isStandby?: () => boolean;
 };
 
-/** First pause behind a failed call; doubles up to the longest. Short, since knowledge ages while nothing is heard. */
+/** Delay after the first failed call; doubles up to the maximum. Short, because the state goes stale meanwhile. */
 const firstPauseMilliseconds = 100;
 const longestPauseMilliseconds = 800;
-/** Jitter of a pause, so that instances that lost the store together do not return together. */
+/** Jitter of a delay, so that instances that lost the store at the same time do not retry at the same time. */
 const jitterShare = 0.5;
-/** Pause behind a call that brought changes: while many rows change, one call brings those of a moment together. */
+/** Delay after a call that returned changes: while many rows change, the next call returns them in one batch. */
 const batchMilliseconds = 60;
-/** How often an instance that hears from another one looks whether it has become the one that reads. */
+/** How often an instance that gets relayed updates checks whether it has become the reader. */
 const longestRelayWaitMilliseconds = 400;
-/** The same for the one that reads next: the others must hear from it before the last proof that they have is too old. */
+/** The same for the standby reader: its updates must reach the others before their last confirmation is too old. */
 const standbyWaitMilliseconds = 80;
-/** Instances that miss the one that reads begin to read spread over this time. */
+/** Instances that get no more relayed updates start to call the store spread over this time. */
 const relaySpreadMilliseconds = 300;
-/** Failures that are older say nothing of rows that vanish now. */
+/** An older failure of the reader does not explain why a row disappears now, and is ignored. */
 const failureLifeMilliseconds = 4000;
 
 export class FeedFollower implements Child {
@@ -67,17 +67,17 @@
 	readonly #history = new FeedHistory();
 	readonly #spreadMilliseconds: number;
 	#place: FeedPlace | undefined;
-	/** The latest era that was seen, also while there is no place. */
+	/** The latest era that was seen, also while there is no cursor. */
 	#era: number | undefined;
-	/** When the call was sent whose answer proved the place. */
+	/** When the call was sent whose answer confirmed the cursor. */
 	#provenAt: Moment | undefined;
-	/** The same, of a proof that another instance told. */
+	/** The same, for a confirmation that another instance relayed. */
 	#relayedAt: Moment | undefined;
 	#failedAt: Moment | undefined;
-	/** Until when a store that came back from an older copy may lack what is being written again, on the steady clock. */
+	/** Until when, on the steady clock, a restored store may lack rows that are still to be rewritten. */
 	#restoredUntil = Number.NEGATIVE_INFINITY;
 	#mustRead = true;
-	/** Whether the last call was made for the others. */
+	/** Whether this instance was the reader at the last call. */
 	#wasReader = false;
 	#wake: AbortController | undefined;
 	#pause = 0;
@@ -92,7 +92,7 @@
 		this.#spreadMilliseconds = relaySpreadMilliseconds * tools.random();
 	}
 
-	/** Where this instance stands; absent until the table was read. */
+	/** Era and position up to which the table was read; absent before the first read. */
 	get place(): FeedPlace | undefined {
 		return this.#place;
 	}
@@ -117,7 +117,7 @@
 		}
 	}
 
-	/** Makes one call. */
+	/** Makes one call to the store and applies its answer. */
 	async step(): Promise<void> {
 		const {clock} = this.#tools;
 		const {table} = this.#plan;
@@ -144,10 +144,10 @@
 	}
 
 	/**
-	 * Takes what the instance that reads tells.
+	 * Applies an update that the reader relayed.
 	 *
-	 * @param news - Its news of this table.
-	 * @param askedAt - When the question was sent that they answer: their proof is older by its age at most.
+	 * @param news - The update of this table.
+	 * @param askedAt - When the query was sent that it answers; the table is confirmed as of this time less the update's age.
 	 */
 	takeRelayed(news: FeedNews, askedAt: Moment): void {
 		if (news.failedMilliseconds !== undefined && news.failedMilliseconds < failureLifeMilliseconds) {
@@ -168,7 +168,7 @@
 		this.#takeChanges({...news, rows: news.rows ?? []}, provenAt, 'relayed');
 	}
 
-	/** What another instance that stands at a place hears of this one; `undefined` while there is no proof to tell. */
+	/** Returns the update for an instance with the given cursor; `undefined` while nothing is confirmed. */
 	newsFor({era, position}: FeedPlace): FeedNews | undefined {
 		const now = this.#tools.clock.moment();
 		if (this.#place === undefined || this.#provenAt === undefined || now.steady < this.#restoredUntil) {
@@ -185,7 +185,7 @@
 		};
 	}
 
-	/** How long the next call may wait; the first one for the others does not, since they have a proof only when it is answered. */
+	/** How long the next call may wait. A new reader's first call returns at once, since the others wait for a confirmation. */
 	#nextWait(): number {
 		const {waitMilliseconds, readerWaitMilliseconds} = this.#plan;
 		const isReader = this.#tools.isReader?.() ?? false;
@@ -198,7 +198,7 @@
 		return isFirst ? 0 : readerWaitMilliseconds;
 	}
 
-	/** For how long this instance needs no calls of its own, by what another one told last, in milliseconds. */
+	/** Milliseconds for which the latest relayed confirmation makes calls of this instance unnecessary. */
 	#relayLeft(now: Moment): number {
 		const isReader = this.#tools.isReader?.() ?? false;
 		return this.#mustRead || isReader || this.#relayedAt === undefined
@@ -206,7 +206,7 @@
 			: this.#plan.relayLapseMilliseconds + this.#spreadMilliseconds - longestElapsed(this.#relayedAt, now);
 	}
 
-	/** Waits until the proof has grown old, or the table has to be read. */
+	/** Waits until the relayed confirmation is too old, the table has to be read, or the next check of this instance's role. */
 	async #awaitRelay(milliseconds: number, signal: AbortSignal): Promise<void> {
 		const longest = this.#tools.isStandby?.() ? standbyWaitMilliseconds : longestRelayWaitMilliseconds;
 		const wake = new AbortController();
@@ -228,7 +228,7 @@
 		this.#reader.takeWhole(rows, sentAt, now, now.steady < this.#restoredUntil ? 'restored' : 'live');
 	}
 
-	/** Another source may have told some of the rows meanwhile, and later ones; or the place was given up. */
+	/** Skips rows that another source has already delivered, and all rows if the cursor was reset or is of another era. */
 	#takeChanges({rows, position, era}: FeedAnswer, provenAt: Moment, arrival: Arrival): void {
 		const known = this.#place;
 		if (known?.era !== era) {
@@ -245,8 +245,8 @@
 	}
 
 	/**
-	 * In another era the place is none, and the table is read whole. What the store has lost is written to it again within some
-	 * seconds; until then it proves nothing.
+	 * A new era resets the cursor, so that the whole table is read. Live writers rewrite the rows that the store has lost within
+	 * some seconds; until then its answers confirm nothing.
 	 */
 	#noteEra(era: number): void {
 		const formerEra = this.#era;
--- a/src/gateway/watchers/feed-history.test.ts
+++ b/src/gateway/watchers/feed-history.test.ts
@@ -8,7 +8,7 @@
 });
 const keysOf = (rows: FeedRow[] | undefined): string[] | undefined => rows?.map(({key}) => key);
 
-test('changes are told from a position on, and none where some are missing', () => {
+test('changes after a position are returned, and none if some are missing', () => {
 	const history = new FeedHistory();
 	assert.equal(history.behind(0), undefined);
 	history.begin(10);
@@ -20,7 +20,7 @@
 	assert.equal(history.behind(9), undefined);
 });
 
-test('old changes are forgotten, and whoever needs them reads the table', () => {
+test('old changes are dropped, and an instance that needs them has to read the table', () => {
 	const history = new FeedHistory();
 	history.begin(0);
 	history.add([row('a', 1)], 1, 0);
@@ -29,8 +29,8 @@
 	assert.deepEqual(keysOf(history.behind(1)), ['b']);
 });
 
-test('large rows are left to the store', () => {
-	// Guards against a hub that sends a large configuration to all others over the link of one machine.
+test('large rows are not relayed', () => {
+	// Guards against a coordinator that sends a large configuration to all other instances over the link of one machine.
 	const history = new FeedHistory();
 	history.begin(0);
 	history.add([row('a', 1, 'x'.repeat(100_000))], 1, 0);
--- a/src/gateway/watchers/feed-history.ts
+++ b/src/gateway/watchers/feed-history.ts
@@ -1,39 +1,45 @@
 /**
- * The latest changes of a table, for other instances that follow it from a position not far behind.
+ * The latest changes of a table, to be relayed to instances that lag slightly behind.
  *
- * Bounded by age and by count: whoever is further behind reads the table itself. Large rows are left to such a read too,
- * since the store has a far faster link than an instance that would send them to all others.
+ * The history is bounded by age and by count; an instance that lags further behind reads the table itself. Large rows are
+ * not relayed either: the store has a far faster link than an instance that would send them to all others.
  */
 import {type FeedRow} from '../../ports/table-feed.js';
 
-/** Others lag behind by some hundred milliseconds; one that was cut off for longer reads the table anew. */
+/** Other instances lag behind by some hundred milliseconds; one that was partitioned for longer reads the whole table. */
 const longestAgeMilliseconds = 15_000;
 const mostChanges = 1000;
-/** Rows that are longer than this together are not passed on. */
+/** Rows whose JSON is longer than this in total are not relayed. */
 const mostPassedOnCharacters = 32_768;
 
 type Change = {
-	/** The position that the table had reached with it. */
+	/** The position of the table after this change. */
 	position: number;
 	rows: readonly FeedRow[];
-	/** When it was heard of, in milliseconds of the steady clock. */
+	/** When it was received, in milliseconds of the steady clock. */
 	at: number;
-	/** Of its rows as JSON; worked out when it is first asked for. */
+	/** Length of its rows as JSON; computed on first use. */
 	characters?: number;
 };
 
 export class FeedHistory {
-	/** All changes behind this position are at hand. */
+	/** The history is complete after this position. */
 	#since = Number.POSITIVE_INFINITY;
 	#changes: Change[] = [];
 
-	/** Begins anew with a table that was read whole as of a position. */
+	/** Drops all changes, after the whole table was read as of a position. */
 	begin(position: number): void {
 		this.#since = position;
 		this.#changes = [];
 	}
 
-	/** Takes rows that changed up to a position. */
+	/**
+	 * Adds rows that changed up to a position.
+	 *
+	 * @param rows - The changed rows, in order.
+	 * @param position - The position of the table after them.
+	 * @param now - Milliseconds of the steady clock.
+	 */
 	add(rows: readonly FeedRow[], position: number, now: number): void {
 		if (rows.length === 0) {
 			return;
@@ -46,9 +52,9 @@
 	}
 
 	/**
-	 * Gives what changed behind a position, in order.
+	 * Returns the rows that changed after a position, in order.
 	 *
-	 * @returns The rows; `undefined` if they are not all at hand, or too large to be passed on.
+	 * @returns The rows; `undefined` if some are no longer held, or if they are too large to be relayed.
 	 */
 	behind(position: number): FeedRow[] | undefined {
 		if (position < this.#since) {
--- a/src/gateway/watchers/feed-news.ts
+++ b/src/gateway/watchers/feed-news.ts
@@ -1,36 +1,39 @@
-/** What instances tell each other of the tables that they follow, and what is told to whoever reads a table's rows. */
+/** The updates that instances relay to each other about the tables they follow, and the interface of a table's consumer. */
 import {type Moment} from '../../ports/moment-clock.js';
 import {type FeedRow} from '../../ports/table-feed.js';
 
 /**
- * How rows came: by a call of this instance to the feed, as they were written; from another instance that reads, a moment
- * later; or from a store that has just come back from an older copy and may lack what is being written again.
+ * How rows arrived: `live`, by a call of this instance to the feed, as they were written; `relayed`, by the reader, somewhat
+ * later; `restored`, from a store that was restored from an older copy and may lack rows that are still to be rewritten.
  */
 export type Arrival = 'live' | 'relayed' | 'restored';
 
-/** What a follower is for. */
+/**
+ * Handles the rows that a follower receives. `sentAt` is the time as of which the rows are confirmed: when the call was
+ * sent, or the query of a relayed update less its age. `now` is the time of their arrival.
+ */
 export interface FeedReader {
-	/** Takes the whole table. */
+	/** Handles the whole table. */
 	takeWhole(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void;
-	/** Takes what changed, in order; may be nothing. */
+	/** Handles the changed rows, in order; there may be none. */
 	takeChanges(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void;
-	/** Hears that a call failed at a moment. */
+	/** Handles a failed call to the store, of this instance or of the reader, or the finding that the store was restored. */
 	takeFailure(failedAt: Moment): void;
 }
 
-/** Where an instance stands in a table; positions of two eras cannot be compared. */
+/** Up to where an instance has read a table; positions of two eras cannot be compared. */
 export type FeedPlace = {
 	era: number;
 	position: number;
 };
 
-/** What the instance that reads tells another one of a table. */
+/** What the reader relays to another instance about a table. */
 export type FeedNews = FeedPlace & {
 	table: string;
-	/** What changed behind the other's place; absent where the other has to read the table itself. */
+	/** What changed after the other instance's cursor; absent where the other instance has to read the table itself. */
 	rows?: FeedRow[];
-	/** How long ago the call was sent whose answer proved this place. */
+	/** How long ago the call was sent whose answer confirmed this cursor. */
 	ageMilliseconds: number;
-	/** How long ago a call failed last; absent if none did. */
+	/** How long ago the last failed call failed; absent if none did. */
 	failedMilliseconds?: number;
 };
--- a/src/gateway/watchers/loading-engines.ts
+++ b/src/gateway/watchers/loading-engines.ts
@@ -1,6 +1,6 @@
 /**
- * Which engines are loading weights, as the holder of that duty tells in its row. A hint: whoever misses it sends a
- * request to an engine that rejects it.
+ * Which engines are loading weights, as the holder of the weights lease writes in its row. This is a hint: an instance that
+ * misses it sends a request to an engine that rejects it.
  */
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type Moment} from '../../ports/moment-clock.js';
@@ -8,9 +8,9 @@
 import {weightsDuty} from '../duty/weights-duty.js';
 import {type FeedReader} from './feed-news.js';
 
-/** A hint is forgotten behind this time: its holder may have died before it could take it back. */
+/** A hint expires after this time: the holder may have failed before it could withdraw the hint. */
 const hintLifeMilliseconds = 4000;
-/** A holder that has not renewed its grant for so long cannot act; nobody may follow it sooner than a lease later. */
+/** A holder that has not renewed its lease for this long no longer leads; a successor follows one lease later at the earliest. */
 const holderLifeMilliseconds = 2000;
 
 export class LoadingEngines implements FeedReader {
@@ -28,7 +28,7 @@
 		return this.#now() - this.#heardAt < hintLifeMilliseconds ? this.#engines : new Set();
 	}
 
-	/** Whether a holder of the duty was heard of a moment ago: it writes its row with each renewal. */
+	/** Whether a holder of the lease has renewed it recently: it writes its row with each renewal. */
 	isHolderAlive(): boolean {
 		return this.#now() - this.#heardAt < holderLifeMilliseconds;
 	}
@@ -47,6 +47,6 @@
 	}
 
 	takeFailure(): void {
-		// A hint that is missing costs a rejected try; nothing is to be done.
+		// A missing hint costs one rejected attempt; nothing has to be done.
 	}
 }
--- a/src/gateway/watchers/operator-reader.test.ts
+++ b/src/gateway/watchers/operator-reader.test.ts
@@ -17,7 +17,7 @@
 	key: `weights-${version}`, content: version, isDeleted: false, revision: version,
 });
 
-/** A reader, and what it makes of weights that it reads at a time. */
+/** A handler, and the milliseconds left for switching to the named weights at a time. */
 function readerOfWeights() {
 	const goals = new WeightGoals(boundMilliseconds);
 	const catalog: Catalog = {
@@ -35,7 +35,7 @@
 	return {reader, leftAt: (now: Moment): number => goals.leftOf(goals.goalFor('lease')!, now)};
 }
 
-test('weights that come while the feed is followed were named just now', () => {
+test('weights that arrive while the feed is followed count as named on arrival', () => {
 	const {reader, leftAt} = readerOfWeights();
 	reader.takeWhole([], at(0), at(5), 'live');
 	reader.takeChanges([rowOf(2)], at(5), at(1800), 'live');
@@ -43,16 +43,16 @@
 	assert.equal(leftAt(at(4800)), 3000);
 });
 
-test('weights that a process finds when it starts may be of any age', () => {
-	// An instance is restarted seconds behind a naming. Counting from its own reading, it would send callers to engines with
-	// the old weights long after the time granted for them.
+test('weights that a process finds when it starts may have been named at any time', () => {
+	// An instance restarts seconds after weights were named. If it counted from its own read, it would send requests to engines
+	// with the old weights long after the time granted for them.
 	const {reader, leftAt} = readerOfWeights();
 	reader.takeWhole([rowOf(2)], at(0), at(5), 'live');
 	assert.equal(leftAt(at(5)), 0);
 });
 
-test('weights that come behind failed calls were named at any time since the last answered one', () => {
-	// The store turned the instance away for four seconds, and weights were named meanwhile.
+test('weights that arrive after failed calls may have been named at any time since the last answered call', () => {
+	// The store refused the instance's calls for four seconds, and weights were named meanwhile.
 	const {reader, leftAt} = readerOfWeights();
 	reader.takeWhole([], at(0), at(5), 'live');
 	reader.takeChanges([], at(1000), at(3000), 'live');
@@ -61,8 +61,8 @@
 	assert.equal(leftAt(at(7010)), boundMilliseconds - 6010);
 });
 
-test('weights that another instance told of were named since the last proof', () => {
-	// Guards against older weights that are served for longer than granted: the news were on their way for a while.
+test('relayed weights may have been named at any time since the last confirmation', () => {
+	// Guards against older weights that are served for longer than granted: a relayed update takes a while to arrive.
 	const {reader, leftAt} = readerOfWeights();
 	reader.takeWhole([], at(0), at(5), 'live');
 	reader.takeChanges([], at(900), at(1000), 'relayed');
@@ -70,8 +70,8 @@
 	assert.equal(leftAt(at(1800)), boundMilliseconds - 900);
 });
 
-test('a store that has just come back from an older copy renews no trust', () => {
-	// Guards against a revoked key that is served on: the configuration that took it away is not written again yet.
+test('a store that was just restored from an older copy does not renew the lease on the configuration', () => {
+	// Guards against a revoked key that is still accepted: the configuration that revoked it has not been rewritten yet.
 	const configuration = new ConfigurationView({freshMilliseconds: 1000, leaseMilliseconds: 2000});
 	configuration.offer(testConfiguration({version: 7}));
 	const reader = new OperatorReader({
--- a/src/gateway/watchers/operator-reader.ts
+++ b/src/gateway/watchers/operator-reader.ts
@@ -1,4 +1,4 @@
-/** Takes what operators write: configurations, and the weights that models are to be served with. */
+/** Applies what operators write to the store: configurations, and the weight versions that models are to be served with. */
 import {type Moment} from '../../ports/moment-clock.js';
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type GatewayContext} from '../gateway-context.js';
@@ -10,9 +10,9 @@
 	readonly #context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>;
 	readonly #catalog: Catalog;
 	readonly #goals: WeightGoals;
-	/** When a call was sent whose answer proved what stood in the table; what comes later was written later. */
+	/** As of when the table was last confirmed; rows that arrive after that confirmation were written after this time. */
 	#provenAt: Moment | undefined;
-	/** Whether the feed has been followed without a gap, so that news come as they are written. */
+	/** Whether the feed has been followed without a gap, so that rows arrive as they are written. */
 	#isFollowing = false;
 
 	constructor(context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>, catalog: Catalog, goals: WeightGoals) {
@@ -32,7 +32,7 @@
 		}
 
 		if (arrival === 'restored') {
-			// A newer configuration that took a key away may be missing still: the lease must not begin anew.
+			// A newer configuration that revoked a key may not have been rewritten yet, so the lease must not be renewed.
 			this.#isFollowing = false;
 			return;
 		}
@@ -45,7 +45,7 @@
 	}
 
 	takeFailure(): void {
-		// The lease on the configuration runs out by itself.
+		// The lease on the configuration expires without further action.
 		this.#isFollowing = false;
 	}
 
--- a/src/gateway/watchers/table-feeds.ts
+++ b/src/gateway/watchers/table-feeds.ts
@@ -1,4 +1,4 @@
-/** The followers of the store's tables of one instance, which it reads itself or hears of from the instance that reads for all. */
+/** The followers of the store's tables at one instance, fed by calls to the store or by updates that the reader relays. */
 import {type MomentClock, type Moment} from '../../ports/moment-clock.js';
 import {type TableFeed} from '../../ports/table-feed.js';
 import {dutyTable} from '../duty/weights-duty.js';
@@ -10,22 +10,21 @@
 import {type FeedNews, type FeedPlace} from './feed-news.js';
 import {OperatorReader} from './operator-reader.js';
 
-/** Hints may be late: a feed that brings nothing else waits long, to cost few calls. */
+/** Hints may be late, so the calls of a feed that carries only hints wait long; this keeps their number small. */
 const hintWaitMilliseconds = 20_000;
-/** The same, where another instance reads for this one. */
+/** The same for the reader. */
 const relayedHintWaitMilliseconds = 1000;
-/** Without the instance that reads for all, an instance asks for hints itself behind this time. */
+/** An instance that has received no relayed hints for this long calls the store for them itself. */
 const hintLapseMilliseconds = 4000;
 
-/** What the feeds work with. */
 export type TableFeedTools = {
 	store: TableFeed;
 	catalog: Catalog;
 	clock: MomentClock;
 	random: () => number;
-	/** Whether this instance reads for the others. */
+	/** Whether this instance is the reader, which calls the store for the others. */
 	isReader: () => boolean;
-	/** Whether it does so as soon as the one that reads now is gone. */
+	/** Whether it becomes the reader when the present one fails. */
 	isStandby: () => boolean;
 };
 
@@ -50,12 +49,12 @@
 		];
 	}
 
-	/** Where this instance stands, by table; without those that it has not read yet. */
+	/** The cursors of this instance by table, without the tables that it has not read yet. */
 	places(): Record<string, FeedPlace> {
 		return Object.fromEntries(this.followers.flatMap(({table, place}) => place === undefined ? [] : [[table, place]]));
 	}
 
-	/** What an instance that stands at these places hears of this one. */
+	/** Returns the updates for an instance with the given cursors. */
 	newsFor(places: Record<string, FeedPlace>): FeedNews[] {
 		return this.followers.flatMap(follower => {
 			const place = places[follower.table];
@@ -64,7 +63,7 @@
 		});
 	}
 
-	/** Takes what another instance tells, in answer to a question that was sent at `askedAt`. */
+	/** Applies the updates that another instance sent in answer to a query of `askedAt`. */
 	takeNews(news: readonly FeedNews[], askedAt: Moment): void {
 		for (const one of news) {
 			this.followers.find(({table}) => table === one.table)?.takeRelayed(one, askedAt);
