--- a/src/gateway/configuration/configuration-view.test.ts
+++ b/src/gateway/configuration/configuration-view.test.ts
@@ -6,7 +6,7 @@
 const bounds = {freshMilliseconds: 3000, leaseMilliseconds: 4800};
 
 test('a version never goes back', () => {
-	// A read that was slow is answered behind a newer one. Taking it would bring a removed route back to life.
+	// A slow read is answered after a newer one. Applying its answer would bring a removed route back into force.
 	const view = new ConfigurationView(bounds);
 	assert.equal(view.offer(testConfiguration({version: 7})), true);
 	assert.equal(view.offer(testConfiguration({version: 3})), false);
@@ -14,8 +14,8 @@
 	assert.equal(view.current?.version, 7);
 });
 
-test('trust is counted from the sending of the last answered read', () => {
-	// The read hangs for four seconds and is answered then. What it says may be four seconds old, so trust ends 0.8 s later.
+test('validity counts from the sending of the last answered read', () => {
+	// A read is answered after four seconds. Its content may be four seconds old, so the lease expires 0.8 s after the answer.
 	const view = new ConfigurationView(bounds);
 	assert.equal(view.trustAt({steady: 0, wall: 0}), 'none');
 	view.offer(testConfiguration());
@@ -25,8 +25,8 @@
 	assert.equal(view.trustAt({steady: 5900, wall: 104_900}), 'lapsed');
 });
 
-test('neither a suspended machine nor a jump of the time of day stretches the lease', () => {
-	// The machine is suspended for ten seconds: the steady clock did not move. Then the time of day is set back.
+test('neither a suspended machine nor a jump of the wall clock extends the lease', () => {
+	// The machine is suspended for ten seconds, in which the steady clock does not move. Later the wall clock is set back.
 	const view = new ConfigurationView(bounds);
 	view.offer(testConfiguration());
 	view.confirm({steady: 1000, wall: 100_000});
--- a/src/gateway/configuration/configuration-view.ts
+++ b/src/gateway/configuration/configuration-view.ts
@@ -1,25 +1,28 @@
 /**
- * The configuration in force at this instance, and for how long it may be trusted.
+ * The configuration in force at this instance, and for how long it is valid.
  *
- * Two failures are guarded against. A late or repeated read brings an older version back: only a higher version is
- * taken. An instance that is cut off from the store serves a key that was taken away long ago: trust is a lease. It is
- * counted from the sending of the last read that was answered, since the answer describes no earlier moment; a read that
- * hangs extends nothing. A revocation that was acknowledged after that read was sent is therefore younger than the
- * lease, so with a lease of the permitted length no key outlives its bound.
+ * It guards against two failures. A late or duplicate read returns an older version: only a higher version is accepted. An
+ * instance that is partitioned from the store goes on accepting a key that was revoked long ago: validity is a lease. The
+ * lease counts from the sending of the last answered read, because the answer describes the table at that time or later; a
+ * read that hangs does not extend it. A revocation that the answer misses was therefore acknowledged after the lease began,
+ * so with a lease of the permitted length no key is accepted beyond its bound.
  */
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
 import {type RoutedConfiguration} from '../../shared/routed-configuration.js';
 import {RouteTable} from './route-table.js';
 
-/** A configuration with its routes made ready for look-up. */
+/** A configuration with its routes indexed for look-up. */
 export type ConfigurationInForce = RoutedConfiguration & {table: RouteTable};
 
-/** How far the configuration may be trusted. */
+/**
+ * How valid the configuration is: `none` before the first one, `fresh` while its confirmation is recent, `ageing` while keys
+ * are still accepted, `lapsed` after the lease has expired.
+ */
 export type Trust = 'none' | 'lapsed' | 'ageing' | 'fresh';
 
-/** Bounds of trust, in milliseconds since the sending of the last answered read. */
+/** Bounds of validity, in milliseconds since the sending of the last answered read. */
 export type TrustBounds = {
-	/** Beyond it, what the configuration does not know is not called unknown. */
+	/** Beyond it, a route or key that is missing from the configuration is not reported as unknown. */
 	freshMilliseconds: number;
 	/** Beyond it, no key is accepted. */
 	leaseMilliseconds: number;
@@ -39,7 +42,7 @@
 	}
 
 	/**
-	 * Takes a configuration if its version is higher than the one in force.
+	 * Brings a configuration into force if its version is higher than the present one.
 	 *
 	 * @param configuration - What was read.
 	 * @returns Whether it is in force now.
@@ -54,9 +57,9 @@
 	}
 
 	/**
-	 * Renews the lease, unless a later read was answered before.
+	 * Renews the lease, unless the answer to a later read has already renewed it.
 	 *
-	 * @param sentAt - When the read was sent that has now been answered.
+	 * @param sentAt - When the read was sent whose answer has arrived.
 	 */
 	confirm(sentAt: Moment): void {
 		if (this.#confirmedAt === undefined || sentAt.steady > this.#confirmedAt.steady) {
@@ -69,7 +72,7 @@
 		return this.#confirmedAt === undefined ? Number.POSITIVE_INFINITY : longestElapsed(this.#confirmedAt, now);
 	}
 
-	/** How far the configuration may be trusted now. */
+	/** How valid the configuration is at a moment. */
 	trustAt(now: Moment): Trust {
 		const age = this.ageAt(now);
 		if (this.#current === undefined) {
--- a/src/gateway/configuration/route-table.test.ts
+++ b/src/gateway/configuration/route-table.test.ts
@@ -9,7 +9,7 @@
 	testRoute({name: 'night', host: 'quay.example', pathPrefix: '/bookings/night/'}),
 ]);
 
-test('the longest prefix of the host decides', () => {
+test('the longest matching path prefix of the host selects the route', () => {
 	assert.equal(table.routeFor('quay.example', '/bookings/night/7?x=/')?.name, 'night');
 	assert.equal(table.routeFor('quay.example', '/bookings/7')?.name, 'bookings');
 	assert.equal(table.routeFor('quay.example', '/bookings')?.name, 'all');
@@ -17,8 +17,8 @@
 	assert.equal(table.routeFor('other.example', '/bookings/'), undefined);
 });
 
-test('the raw path is compared: no decoding, no dots removed', () => {
-	// The endpoint gets the raw path; a route chosen by a normalised one would send it to a service it is not meant for.
+test('the raw path is compared, without decoding or removal of dot segments', () => {
+	// The endpoint gets the raw path; a route chosen by the normalised path could send it to a service that it is not meant for.
 	assert.equal(table.routeFor('quay.example', '/bookings/../night/')?.name, 'bookings');
 	assert.equal(table.routeFor('quay.example', '/%62ookings/night/')?.name, 'all');
 	assert.equal(table.routeFor('quay.example', '//bookings/')?.name, 'all');
--- a/src/gateway/configuration/route-table.ts
+++ b/src/gateway/configuration/route-table.ts
@@ -18,13 +18,13 @@
 	}
 
 	/**
-	 * Finds a route.
+	 * Finds the route of a request.
 	 *
-	 * The path is compared as it was sent: decoding or normalising it could select another route than the endpoint,
-	 * which gets the raw path, would expect.
+	 * The path is compared as it was sent. The endpoint gets the raw path, so a decoded or normalised path could select a
+	 * route that is not meant for it.
 	 *
 	 * @param host - The `Host` header, with or without a port.
-	 * @param target - The raw request target; its query does not count.
+	 * @param target - The raw request target; its query is ignored.
 	 * @returns The route with the longest prefix, or `undefined`.
 	 */
 	routeFor(host: string, target: string): Route | undefined {
