--- a/src/gateway/observability/decision-log.test.ts
+++ b/src/gateway/observability/decision-log.test.ts
@@ -2,8 +2,8 @@
 import {test} from 'node:test';
 import {DecisionLog} from './decision-log.js';
 
-test('ten thousand refusals make a bounded number of lines, and none goes uncounted', () => {
-	// A service is down and every caller is refused. The lines must not cost more than the refusals.
+test('ten thousand refusals make a bounded number of lines, and each of them is written or counted', () => {
+	// A service is down and every request is refused. Logging must not cost more than the refusals themselves.
 	const lines: string[] = [];
 	let now = 0;
 	const output = {
@@ -25,9 +25,9 @@
 	assert.equal(told.reduce((sum, {leftOut = 0}) => sum + leftOut, 0) + lines.length, 10_001);
 });
 
-test('ordinary ends fill their share of the bytes, and a failure among them is written', () => {
-	// A busy instance ends 45 requests a second in order. Its newest lines are all that is kept; among them must be the
-	// line of the one request a second that failed.
+test('lines of ordinary requests use only their share of the bytes, and a failure among them is written', () => {
+	// A busy instance completes 45 requests a second. A collector retains only its newest lines, which must include the line
+	// of the one request a second that failed.
 	const lines: string[] = [];
 	let now = 0;
 	const output = {writableLength: 0, write: (line: string) => lines.push(line) > 0};
@@ -52,9 +52,9 @@
 	assert.ok(served.every(({instance}) => instance === undefined));
 });
 
-test('a stream that breaks off in a storm of refusals has its line', () => {
-	// All endpoints are full: they reject 200 requests a second, and their callers are refused. One stream a second breaks
-	// off, behind the refusals.
+test('a stream that is aborted among many refusals has its line', () => {
+	// All endpoints are full: they reject 200 requests a second, which are then refused. One stream a second is aborted, after
+	// the refusals of that second.
 	const lines: string[] = [];
 	let now = 0;
 	const output = {writableLength: 0, write: (line: string) => lines.push(line) > 0};
@@ -74,7 +74,7 @@
 	assert.deepEqual([broken.length, broken.filter(({kind}) => kind === 'try-failed').length], [120, 60]);
 });
 
-test('a reader that does not read costs lines, not memory', () => {
+test('a reader that does not read makes lines be dropped, not memory grow', () => {
 	const output = {
 		writableLength: 1_000_000, write(): boolean {
 			throw new Error('must not be called');
--- a/src/gateway/observability/decision-log.ts
+++ b/src/gateway/observability/decision-log.ts
@@ -1,18 +1,19 @@
 /**
- * Structured lines on standard output, one for each decision that touches a request or changes what the process believes.
+ * Structured lines on standard output, one for each decision about a request and each change of the process's state.
  *
- * Three failures are guarded against. A storm of refusals turns into a storm of lines that takes the processor from the
- * requests: each kind of line has a rate, and what is over it is counted and told with the next line of that kind, or by a
- * line of counts some seconds later. Lines on requests that went well push those on failures out of what a collector keeps:
- * all lines together have a rate in bytes, of which ordinary ends may take only a part. A reader that is slow makes writes
- * pile up: beyond a bound of bytes that wait, lines are dropped and counted, and no write is ever waited for.
+ * The log guards against three failures. Many refusals at once would produce as many lines, whose cost is CPU time that
+ * requests need: each kind of line has a rate, and lines over it are counted; the count is part of the next line of that
+ * kind, or of a line of counts some seconds later. Lines about successful requests would push those about failures out of
+ * what a log collector retains: all lines together have a rate in bytes, of which ordinary requests get only a part. A slow
+ * reader of the output would make writes pile up in memory: beyond a bound of queued bytes, lines are dropped and counted,
+ * and the process never waits for a write.
  */
 import {Buffer} from 'node:buffer';
 import {type Writable} from 'node:stream';
 import {type JsonValue} from '../../shared/types.js';
 import {LineBudget, type LineRank} from './line-budget.js';
 
-/** A kind of line; each has a rate of its own. */
+/** A kind of line; each kind has a rate of its own. */
 export type DecisionKind
 	= | 'started' | 'stopping' | 'stopped' | 'reloaded'
 		| 'dependency-lost' | 'dependency-regained' | 'store-restored'
@@ -21,33 +22,33 @@
 		| 'lease-taken' | 'lease-lost' | 'order-given' | 'order-failed' | 'weights-named'
 		| 'store-parts' | 'event-loop-late' | 'left-out' | 'fault';
 
-/** The fields of a line beside its kind and time. */
+/** The fields of a line in addition to its kind, its time and the identity of the process. */
 export type DecisionFields = Record<string, JsonValue | undefined>;
 
-/** Lines of one kind and rank that are written in a second; a busy instance ends some dozens of requests in that time. */
+/** Lines of one kind and rank that may be written in a second; a busy instance completes some dozens of requests in it. */
 const linesPerSecond = 50;
 /**
- * Lines of one kind on failures that are written in a second. When two endpoints die at once, some 80 sends are cut in one
- * moment; at the rate of the other ranks 30 of them would have no line. 300 lines of a cut send, 320 bytes each, are
- * all that the budget has at once, and it bounds longer ones before this does.
+ * Lines of one kind about failures that may be written in a second. When two endpoints fail at once, some 80 attempts are
+ * cut at the same time; at the rate of the other ranks, 30 of them would have no line. 300 lines of a cut attempt, 320 bytes
+ * each, use up the whole byte budget; longer lines reach that bound before this one.
  */
 const failureLinesPerSecond = 300;
-/** Bytes that may wait for a slow reader: a few seconds of lines. */
+/** Bytes that may be queued for a slow reader: a few seconds of lines. */
 const mostWaitingBytes = 262_144;
 
-/** Kinds about a single request; all others are about the process. */
+/** The ranks of kinds about a single request; all other kinds are about the process. */
 const ranksOfRequests: ReadonlyMap<DecisionKind, LineRank> = new Map([
 	['request-served', 'ordinary'], ['request-refused', 'refusal'], ['request-ended', 'failure'], ['try-failed', 'failure'],
 ]);
 
 /**
- * How long counts of lines that were left out wait for a next line of their kind to tell them. Behind the last storm of a
- * quiet day there is none, and whoever counts lines would take those that were written for all. A `left-out` line tells them
- * after this time: 150 bytes in 5 s are 1% of the bytes, and a process that is killed takes no more than this with it.
+ * How long counts of lines that were left out wait for the next line of their kind. If no such line follows, a count of the
+ * written lines would be taken for the number of all events, so a `left-out` line reports the counts after this time. Its
+ * 150 bytes in 5 s are 1% of the byte rate, and a process that is killed loses the counts of no longer a time than this.
  */
 export const leftOutWaitMilliseconds = 5000;
 
-/** Statuses from here on say that the request failed for a cause that is not its caller's. */
+/** Statuses from here on mean that the request failed for a reason other than the request itself. */
 const firstServerError = 500;
 
 type Rate = {second: number; written: number; left: number};
@@ -56,15 +57,15 @@
 	readonly #output: Pick<Writable, 'write' | 'writableLength'>;
 	readonly #identity: Record<string, string>;
 	readonly #now: () => number;
-	/** By kind and rank: when all endpoints are full, refused requests would use up the lines of those that broke off. */
+	/** By kind and rank: when all endpoints are full, refused requests would use up the lines of aborted ones. */
 	readonly #rates = new Map<string, Rate>();
 	readonly #budget = new LineBudget();
 	#telling: NodeJS.Timeout | undefined;
 
 	/**
-	 * @param output - Where lines go; standard output in a program.
-	 * @param identity - Fields of every line but those of ordinary ends.
-	 * @param now - Gives milliseconds since the epoch.
+	 * @param output - Where lines are written; standard output in a program.
+	 * @param identity - Fields of every line except those of ordinary requests.
+	 * @param now - Returns milliseconds since the epoch.
 	 */
 	constructor(output: Pick<Writable, 'write' | 'writableLength'>, identity: Record<string, string>, now: () => number) {
 		this.#output = output;
@@ -74,7 +75,7 @@
 
 	/**
 	 * Writes a line, or counts it if too many of its kind were written in this second or too many bytes of all kinds. The last
-	 * line of a process is always written, behind the counts that are not told yet.
+	 * line of a process is always written, after the counts that are not reported yet.
 	 */
 	record(kind: DecisionKind, fields: DecisionFields = {}): void {
 		const now = this.#now();
@@ -102,7 +103,7 @@
 		return !isReaderBehind && this.#budget.hasRoomFor(rank, now);
 	}
 
-	/** The timer holds no process that is done otherwise, and one runs at a time however many lines are left out. */
+	/** Starts the timer unless it runs. It does not keep the process alive. */
 	#awaitTelling(): void {
 		if (this.#telling !== undefined) {
 			return;
@@ -119,7 +120,7 @@
 		}, leftOutWaitMilliseconds).unref();
 	}
 
-	/** Writes all counts that no line of their kind has told. */
+	/** Writes a line with all counts that no line of their kind has reported. */
 	#tellLeftOut(now: number): void {
 		const untold = [...this.#rates].filter(([, {left}]) => left > 0);
 		if (untold.length === 0) {
@@ -132,7 +133,7 @@
 		}
 	}
 
-	/** Ordinary ends are told without the identity, a seventh of their length: a collector knows the process that it reads from. */
+	/** Lines of ordinary requests omit the identity, a seventh of their length: a collector knows which process it reads from. */
 	#write(kind: DecisionKind, rank: LineRank, fields: DecisionFields, now: number): void {
 		const identity = rank === 'ordinary' ? {} : this.#identity;
 		const line = `${JSON.stringify({
@@ -163,9 +164,9 @@
 }
 
 /**
- * Ranks a line. Requests that no endpoint took, and the endpoints' rejections that led there, come in storms like requests
- * refused from their heads, and are ranked with them. A request that ended whole is no failure, unless the endpoint answered
- * that it failed itself.
+ * Returns the rank of a line. Requests that no endpoint accepted, and the endpoints' rejections, are as many at a time as
+ * requests that are refused because of their heads, and have the same rank. A request with a complete answer is no failure
+ * unless its status says that the endpoint failed.
  */
 function rankOf(kind: DecisionKind, {outcome, status}: DecisionFields): LineRank {
 	const rank = ranksOfRequests.get(kind) ?? 'process';
--- a/src/gateway/observability/failures-among-others.test.ts
+++ b/src/gateway/observability/failures-among-others.test.ts
@@ -16,7 +16,7 @@
 	connection: 'kept', framing: 'chunked', bodyBytes: 8120, bodyEnd: 'reset',
 } as const;
 
-/** The line of a request that took so long. */
+/** The line of a request with this duration. */
 function lineOf(id: string, facts: EndFacts, milliseconds: number): EndLine {
 	return endLine({
 		head: {attemptId: id},
@@ -33,21 +33,21 @@
 	ordinary: id => lineOf(id, whole, 900),
 	late: id => lineOf(id, whole, 1600),
 	repeated: repeatedEnd,
-	'framed by their connections': id => lineOf(id, {
+	'ended by the close of their connections': id => lineOf(id, {
 		...whole, transfer: {
 			connection: 'new', framing: 'connection', bodyBytes: 812, bodyEnd: 'in-order',
 		},
 	}, 900),
 };
 
-/** Writes the line of a send that was cut. */
+/** Writes the line of an attempt that was cut. */
 function recordCut(log: DecisionLog, id: string, step: 'break-off' | 'repeat'): void {
 	log.record('try-failed', {
 		id, endpoint: 'quay-desk-zone-1-12', outcome: 'cut', step, sends: 1, detail: 'read ECONNRESET', status: 200, transfer: brokenTransfer,
 	});
 }
 
-/** Writes both lines of an answer that broke off. */
+/** Writes both lines of an answer that was aborted. */
 function recordBrokenOff(log: DecisionLog, id: string): void {
 	recordCut(log, id, 'break-off');
 	const {kind, fields} = lineOf(id, {...whole, end: 'broken-off', transfer: brokenTransfer}, 700);
@@ -56,9 +56,9 @@
 
 for (const [name, endOf] of Object.entries(wholeEnds)) {
 	for (const each of [5, 10, 20, 45]) {
-		test(`${each} whole answers a second (${name}) leave room for the lines of those that break off`, () => {
-			// One answer a second breaks off behind many that come whole. Its caller complains, and the engineer finds no line
-			// of it: those of the whole answers, which are written first, used up the bytes that a process may write.
+		test(`${each} complete answers a second (${name}) leave room for the lines of aborted ones`, () => {
+			// One answer a second is aborted after many complete ones. Its caller complains, but the log has no line of it:
+			// the lines of the complete answers, which are written first, used up the bytes that a process may write.
 			const lines: string[] = [];
 			let now = 0;
 			const log = new DecisionLog({writableLength: 0, write: (line: string) => lines.push(line) > 0}, {instance: 'front-zone-1'}, () => now);
@@ -78,7 +78,7 @@
 	}
 }
 
-/** Late answers of one second, more than their share of the burst holds. */
+/** Writes the lines of a second's late answers, more than their share of the burst holds. */
 function fillWithLateAnswers(log: DecisionLog): void {
 	for (let count = 0; count < 45; count++) {
 		const {kind, fields} = wholeEnds.late!(`late-${count}`);
@@ -87,17 +87,17 @@
 }
 
 const endedAtOnce: Record<string, (log: DecisionLog, id: string) => void> = {
-	'are sent elsewhere and come whole'(log, id) {
+	'are retried and get complete answers'(log, id) {
 		recordCut(log, id, 'repeat');
 		const {kind, fields} = repeatedEnd(id);
 		log.record(kind, fields);
 	},
-	'break off': recordBrokenOff,
+	'are aborted': recordBrokenOff,
 };
 for (const [name, recordEnd] of Object.entries(endedAtOnce)) {
-	test(`when two endpoints die at once, each send that was cut has its line: all requests ${name}`, () => {
-		// Two endpoints of one host die, with 40 requests each, behind a second of late answers. Whoever asks why one of them
-		// broke or was late must find at which endpoint it was cut, also where the log was busy with the answers before.
+	test(`when two endpoints fail at once, each attempt that was cut has its line: all requests ${name}`, () => {
+		// Two endpoints of one host fail, with 40 requests each, after a second of late answers. An engineer who asks why one of
+		// them was aborted or late must find at which endpoint it was cut, although the log was busy with the answers before.
 		const lines: string[] = [];
 		const log = new DecisionLog({writableLength: 0, write: (line: string) => lines.push(line) > 0}, {instance: 'front-zone-1'}, () => 0);
 		fillWithLateAnswers(log);
@@ -107,6 +107,6 @@
 
 		const count = (text: string): number => lines.filter(line => line.includes(text)).length;
 		assert.equal(count('"kind":"try-failed"'), 80);
-		assert.equal(count('"outcome":"broken-off"'), name === 'break off' ? 80 : 0);
+		assert.equal(count('"outcome":"broken-off"'), name === 'are aborted' ? 80 : 0);
 	});
 }
--- a/src/gateway/observability/gateway-metrics.test.ts
+++ b/src/gateway/observability/gateway-metrics.test.ts
@@ -3,7 +3,7 @@
 import {test} from 'node:test';
 import {GatewayMetrics} from './gateway-metrics.js';
 
-test('every metric is served as text and stands in docs/OPERATIONS.md', async () => {
+test('every metric is served as text and documented in docs/OPERATIONS.md', async () => {
 	const {registry} = new GatewayMetrics();
 	const page = readFileSync('docs/OPERATIONS.md', 'utf8');
 	const names = registry.getMetricsAsArray().map(({name}) => name);
--- a/src/gateway/observability/gateway-metrics.ts
+++ b/src/gateway/observability/gateway-metrics.ts
@@ -1,9 +1,9 @@
-/** Counters and latency histograms of the routed data path, in the text format that Prometheus and its kin read. */
+/** Counters and latency histograms of the routed data path, served in the Prometheus text format. */
 import {
 	Counter, Gauge, Histogram, Registry,
 } from 'prom-client';
 
-/** From a local hand-over to the longest usual time-out, in seconds. */
+/** Bucket bounds in seconds, from an answer on the same machine to the longest usual timeout. */
 const latencyBuckets = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
 
 export class GatewayMetrics {
@@ -20,7 +20,7 @@
 		name: 'savorygauge_tries_total', help: 'Sends to endpoints, by how they ended.', labelNames: ['outcome'], registers: [this.registry],
 	});
 
-	/** Labels have the names of `AnswerFraming` and `BodyEnd`. */
+	/** The label values are those of `AnswerFraming` and `BodyEnd`. */
 	readonly answers = new Counter({
 		name: 'savorygauge_answers_total', help: 'Bodies of endpoints\' answers, by how their end is marked and how they ended.', labelNames: ['framing', 'ending'], registers: [this.registry],
 	});
--- a/src/gateway/observability/left-out.test.ts
+++ b/src/gateway/observability/left-out.test.ts
@@ -4,7 +4,7 @@
 
 type ToldLine = {kind: DecisionKind; leftOut?: number; counts?: Record<string, number>};
 
-/** A log on a mocked clock and timer. */
+/** A log with a mocked clock and timer. */
 function loggedBy(context: TestContext): {log: DecisionLog; output: {writableLength: number}; lines: () => ToldLine[]; pass: (milliseconds: number) => void} {
 	context.mock.timers.enable({apis: ['setTimeout', 'Date']});
 	const lines: string[] = [];
@@ -25,9 +25,9 @@
 	}
 }
 
-test('what a storm left out is told within seconds though no further line of its kind comes', context => {
-	// A storm of refusals ends and the service is quiet. Whoever counts the refusals of that storm by its lines counts the 50
-	// that were written: the number of the others waits for a next refusal, which does not come.
+test('the count of lines left out is reported within seconds, also if no further line of their kind follows', context => {
+	// After many refusals the service is quiet. An engineer who counts the refusals by their lines finds the 50 that were
+	// written: the number of the others would be part of the next refusal, which does not come.
 	const {log, lines, pass} = loggedBy(context);
 	recordMany(log, 'request-refused', 70);
 	recordMany(log, 'try-failed', 1);
@@ -37,7 +37,7 @@
 	assert.equal(lines().filter(({kind}) => kind === 'left-out').length, 1);
 });
 
-test('what was left out when a process stops is told before its last line', context => {
+test('when a process stops, the counts of lines left out are reported before its last line', context => {
 	const {log, lines} = loggedBy(context);
 	recordMany(log, 'request-refused', 70);
 	recordMany(log, 'request-served', 60);
@@ -47,7 +47,7 @@
 	assert.equal(stopped?.kind, 'stopped');
 });
 
-test('a process that wrote all that it may still tells what it left out when it stops', context => {
+test('a process that has used up its byte budget still reports the lines left out when it stops', context => {
 	const {log, lines} = loggedBy(context);
 	log.record('configuration-refused', {findings: ['x'.repeat(200_000)]});
 	recordMany(log, 'request-refused', 3);
@@ -55,7 +55,7 @@
 	assert.deepEqual(lines().map(({kind}) => kind), ['configuration-refused', 'left-out', 'stopped']);
 });
 
-test('a count that a line of its kind told is not told again', context => {
+test('a count that a line of its kind has reported is not reported again', context => {
 	const {log, lines, pass} = loggedBy(context);
 	recordMany(log, 'request-refused', 70);
 	pass(1000);
@@ -64,7 +64,7 @@
 	assert.equal(lines().at(-1)?.leftOut, 20);
 });
 
-test('a storm without end has one line of counts in each wait, and none is told twice or lost', context => {
+test('under a lasting flood of lines one line of counts is written per delay, and no count is lost or reported twice', context => {
 	const {log, lines, pass} = loggedBy(context);
 	const seconds = 60;
 	for (let second = 0; second < seconds; second++) {
@@ -80,7 +80,7 @@
 	assert.equal(left + told.length - counted.length, seconds * 1000);
 });
 
-test('counts wait for a reader that is slow, and are told when it reads again', context => {
+test('counts wait while the reader of the output is slow, and are reported when it reads again', context => {
 	const {log, output, lines, pass} = loggedBy(context);
 	output.writableLength = 1_000_000;
 	recordMany(log, 'request-refused', 7);
--- a/src/gateway/observability/line-budget.test.ts
+++ b/src/gateway/observability/line-budget.test.ts
@@ -4,7 +4,7 @@
 	burstBytes, bytesPerSecond, LineBudget, savedBytes, type LineRank,
 } from './line-budget.js';
 
-/** Writes a line if there is room for it; tells whether it was written. */
+/** Writes a line if there is room for it; returns whether it was written. */
 function write(budget: LineBudget, line: {rank: LineRank; bytes: number}, now: number): boolean {
 	const isWritten = budget.hasRoomFor(line.rank, now);
 	if (isWritten) {
@@ -14,9 +14,9 @@
 	return isWritten;
 }
 
-test('half a minute of ordinary ends leaves the room that a second of failures needs', () => {
-	// A busy instance ends more requests in order than the budget holds lines for. Then an endpoint dies, and some dozens
-	// of requests fail at once. Their lines are the ones that are looked for afterwards.
+test('half a minute of ordinary requests leaves the room that a second of failures needs', () => {
+	// A busy instance completes more requests than the budget has lines for. Then an endpoint fails, and some dozens of
+	// requests fail at once. Theirs are the lines that an engineer needs afterwards.
 	const budget = new LineBudget();
 	let ordinary = 0;
 	for (let now = 0; now < 30_000; now += 10) {
@@ -32,16 +32,16 @@
 	assert.equal(failures, 28);
 });
 
-test('a storm of refusals leaves room for failures, and failures for what becomes of the process', () => {
+test('many refusals leave room for failures, and many failures leave room for lines about the process', () => {
 	const budget = new LineBudget();
 	while (write(budget, {rank: 'refusal', bytes: 350}, 0)) {
-		// Until the budget turns refusals away.
+		// Until the budget rejects refusals.
 	}
 
 	assert.ok(!write(budget, {rank: 'ordinary', bytes: 200}, 0));
 	assert.ok(write(budget, {rank: 'failure', bytes: 400}, 0));
 	while (write(budget, {rank: 'failure', bytes: 400}, 0)) {
-		// Until it turns failures away.
+		// Until it rejects failures.
 	}
 
 	assert.ok(write(budget, {rank: 'process', bytes: 250}, 0));
@@ -58,8 +58,8 @@
 	assert.ok(written > 60 * bytesPerSecond);
 });
 
-test('a line longer than the burst is written once, and paid for afterwards', () => {
-	// The findings of a refused configuration may fill more than all that is allowed at once.
+test('a line longer than the burst is written once, and its bytes are deducted afterwards', () => {
+	// The findings of a refused configuration may be longer than the whole burst.
 	const budget = new LineBudget();
 	assert.ok(write(budget, {rank: 'process', bytes: 2 * burstBytes}, 0));
 	assert.ok(!write(budget, {rank: 'process', bytes: 100}, 1000));
@@ -76,19 +76,19 @@
 	assert.ok(write(budget, {rank: 'process', bytes: 300}, 1000));
 });
 
-test('a slow minute of whole answers leaves room for refusals and failures', () => {
+test('many late answers leave room for refusals and failures', () => {
 	const budget = new LineBudget();
 	while (write(budget, {rank: 'whole', bytes: 600}, 0)) {
-		// Until the budget turns whole answers away.
+		// Until the budget rejects lines of the rank `whole`.
 	}
 
 	assert.ok(!write(budget, {rank: 'ordinary', bytes: 200}, 0));
 	assert.ok(write(budget, {rank: 'refusal', bytes: 350}, 0));
 });
 
-test('behind the failures of two endpoints that died, refusals have lines again within seconds, and all bytes are bounded', () => {
-	// Two endpoints die and 80 requests break off at once. The callers behind them are refused: an engineer who looks for one
-	// of these must find its line, although those of the failures used up many bytes.
+test('after two endpoints have failed, refusals have lines again within seconds', () => {
+	// Two endpoints fail and 80 requests are aborted at once. Later requests are refused: an engineer who looks for one of
+	// these must find its line, although the lines of the failures used up many bytes.
 	const budget = new LineBudget();
 	let failures = 0;
 	for (let count = 0; count < 80; count++) {
@@ -100,10 +100,10 @@
 	assert.ok(write(budget, {rank: 'ordinary', bytes: 200}, 6000));
 });
 
-test('a busy process is ready for the next death of two endpoints some minutes later, and writes no more than its rate', () => {
+test('a busy process can log the next failure of two endpoints some minutes later, and writes no more than its rate', () => {
 	const budget = new LineBudget();
 	while (write(budget, {rank: 'failure', bytes: 860}, 0)) {
-		// Until it turns failures away.
+		// Until it rejects failures.
 	}
 
 	let ordinary = 0;
--- a/src/gateway/observability/line-budget.ts
+++ b/src/gateway/observability/line-budget.ts
@@ -1,48 +1,49 @@
 /**
- * Which lines of the log are left out when there are too many bytes of them.
+ * A token bucket in bytes that decides which lines of the log are left out when there are too many.
  *
- * Collectors keep the newest part of what a process wrote. A process that writes much about requests that went well
- * pushes its lines about failures out of what is kept: whoever looks for a failure a minute later finds only successes.
- * So all lines together have a rate in bytes, and each rank may draw on the allowance only down to a reserve that is left
- * for the ranks above it. Ordinary ends are left out first, and however many there are, half of the burst is there for the
- * other ranks in any moment. Failures have savings beside it, for the moment in which endpoints die.
+ * Log collectors retain only the newest output of a process. A process that writes much about successful requests pushes
+ * its lines about failures out of that window, so that an engineer who looks for a failure a minute later finds only
+ * successes. Therefore all lines together have a rate in bytes, and each rank may use the allowance only down to a reserve
+ * for the ranks above it. Lines of ordinary requests are left out first; however many there are, half of the burst stays
+ * available to the other ranks. Failures have a reserve of their own besides, for the case that endpoints fail.
  */
 
 /**
- * What a line is about, the first to be left out first.
+ * What a line is about, in the order in which lines are left out.
  *
- * - `ordinary`: a request that ended as it should.
- * - `whole`: a request that ended whole, but late, repeated, or with nothing but the end of its connection to say so. Their
- *   callers have their answers, and on a slow day they are many: 10 a second with the rank of failures left of 60 broken
- *   answers a minute the lines of 7 to 10.
+ * - `ordinary`: a request that completed normally.
+ * - `whole`: a request that got a complete answer, but late, after a retry, or with an answer whose end is marked only by the
+ *   end of its connection. These callers have their answers, and when the service is slow there are many: with the rank of
+ *   failures, 10 such lines a second left room for the lines of only 7 to 10 of 60 broken answers a minute.
  * - `refusal`: a request that was refused, or rejected by an endpoint; all such lines of a second are alike.
- * - `failure`: a request that failed or broke off.
- * - `process`: what the process believes: configuration, leases, endpoints, dependencies.
+ * - `failure`: a request that failed or whose answer was aborted.
+ * - `process`: the state of the process: configuration, leases, endpoints, dependencies.
  */
 export type LineRank = 'ordinary' | 'whole' | 'refusal' | 'failure' | 'process';
 
 /**
- * What may be written on average: sixteen ordinary ends a second, the load of one instance at the target size. A collector
- * that keeps the newest 142 KB of a process then holds its last 40 s, but for bursts of failures, where it held 11 s of the
- * busiest one with full lines for ordinary ends and no bound on bytes; recomputed from the lines of 14 instances.
+ * Average rate of all lines: sixteen ordinary requests a second, the load of one instance at the target size. A collector
+ * that retains the newest 142 KB of a process then holds its last 40 s, except during bursts of failures. With full lines for
+ * ordinary requests and no bound on bytes, it held 11 s of the busiest process; computed from the lines of 14 instances.
  */
 export const bytesPerSecond = 3072;
 
-/** What may be written at once by all ranks together: the lines of some seconds. */
+/** Bytes that all ranks together may write at once: the lines of some seconds. */
 export const burstBytes = 32_768;
 
 /**
- * What failures may write beyond the burst: with its rest, both lines of 80 requests that break off when two endpoints die
- * together, 860 bytes each, behind any storm of other lines. Without it 10 of the 80 had both. It is apart from the burst:
- * with a burst of three times the size such failures would have to be paid back first, and the refusals that follow them,
- * and ordinary ends, would have no line for some 15 s. A collector that keeps 142 KB still holds what came before, some 15 s.
+ * Bytes that failures may write beyond the burst. With the rest of the burst they hold both lines, 860 bytes together, of
+ * each of 80 requests that are aborted when two endpoints fail at once, after any number of other lines. Without this
+ * reserve, 10 of the 80 had both lines. It is separate from the burst: with a burst of three times the size, the failures
+ * would have to be refilled first, and the refusals that follow them and ordinary requests would have no line for some 15 s.
+ * A collector that retains 142 KB still holds some 15 s of the lines before.
  */
 export const savedBytes = 65_536;
 
-/** Of what comes in, for as long as savings are not full: three minutes from none, at the cost of two ordinary ends a second. */
+/** Share of the rate that refills the failure reserve: three minutes from empty, at the cost of two ordinary lines a second. */
 const shareOfSavings = 1 / 8;
 
-/** What a rank leaves of the burst for those above it. */
+/** Bytes of the burst that each rank leaves to the ranks above it. */
 const reservedBytes: Record<LineRank, number> = {
 	ordinary: burstBytes / 2,
 	whole: burstBytes * 3 / 8,
@@ -57,18 +58,18 @@
 	#filledAt: number | undefined;
 
 	/**
-	 * Tells whether a line of a rank is to be written, before anybody spends time on writing it out. A line that fits in part
-	 * is written whole, so that one longer than the whole burst is not lost for good.
+	 * Returns whether a line of a rank may be written; called before the line is serialised. Any remaining allowance is enough
+	 * for a whole line, so that a line longer than the burst can be written at all.
 	 *
 	 * @param rank - What the line is about.
-	 * @param now - Milliseconds of any clock; one that is set back adds nothing.
+	 * @param now - Milliseconds of any clock; a clock that is set back adds nothing to the allowance.
 	 */
 	hasRoomFor(rank: LineRank, now: number): boolean {
 		this.#fill(now);
 		return this.#hasAllowance(rank) || (rank === 'failure' && this.#savings > 0);
 	}
 
-	/** Notes that a line of so many bytes was written. Savings are spent last. */
+	/** Deducts the bytes of a written line. The failure reserve is used only after the allowance. */
 	spend(rank: LineRank, bytes: number): void {
 		if (rank === 'failure' && !this.#hasAllowance(rank)) {
 			this.#savings -= bytes;
--- a/src/gateway/observability/operations.test.ts
+++ b/src/gateway/observability/operations.test.ts
@@ -21,7 +21,7 @@
 	body: 'x',
 });
 
-/** Sends one request to a gateway before one endpoint; gives the status and the lines with the request's id. */
+/** Sends one request through a gateway with at most one endpoint; returns its status, its answer and its log lines. */
 async function linesOf(kind: RouteKind, play: PlayedEndpoint | undefined): Promise<{status: number; answer: string; lines: Array<Record<string, unknown>>}> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds: 400})]})).start();
 	if (play !== undefined) {
@@ -33,7 +33,7 @@
 	return {status: statusOf(answer), answer, lines: gateway.lines.filter(({id}) => id === 'lost-1')};
 }
 
-test('from the id of a refused request to its cause: no endpoint of the service is known', async () => {
+test('the log lines of a refused request show its cause: no endpoint of the service is known', async () => {
 	const {status, lines} = await linesOf('non-idempotent', undefined);
 	assert.equal(status, 503);
 	assert.deepEqual(lines.map(({kind, outcome, sends, service}) => ({
@@ -43,7 +43,7 @@
 	}]);
 });
 
-test('from the id of a broken stream to its cause: the endpoint cut it, and the route may not be resumed', async () => {
+test('the log lines of an aborted stream show its cause: the endpoint cut it, and its route does not allow resuming', async () => {
 	const {status, lines} = await linesOf('stream', (request, response) => {
 		response.writeHead(200, sealedHeaders(request));
 		response.write('id: 1\ndata: a\n\n', () => {
@@ -51,7 +51,7 @@
 		});
 	});
 	assert.equal(status, 200);
-	assert.equal((lines[0]?.transfer as AnswerTransfer).framing, 'chunked', 'tells that a head came, where `status` does not');
+	assert.equal((lines[0]?.transfer as AnswerTransfer).framing, 'chunked', 'shows that a response head was received, which `status` does not');
 	assert.deepEqual(lines.map(({kind, endpoint, outcome, step}) => ({
 		kind, endpoint, outcome, step,
 	})), [
@@ -64,9 +64,9 @@
 	]);
 });
 
-test('from the id of a booking answered 504 to its cause: the endpoint held it until the time-out, and it may have run', async () => {
+test('the log lines of a booking answered 504 show its cause: the endpoint held it until the timeout, and it may have run', async () => {
 	const {status, lines} = await linesOf('non-idempotent', () => {
-		// It never answers.
+		// The endpoint never answers.
 	});
 	assert.equal(status, 504);
 	const [end] = lines;
@@ -75,18 +75,18 @@
 	assert.ok(Number(end?.milliseconds) >= 399);
 });
 
-/** The head of an answer without a length: its end is the end of the connection. */
+/** The head of an answer without a length: the end of the connection is its end. */
 function headWithoutLength(request: IncomingMessage): string {
 	const headers = Object.entries({...sealedHeaders(request), connection: 'close'});
 	return `HTTP/1.1 200 OK\r\n${headers.map(([name, value]) => `${name}: ${value}\r\n`).join('')}\r\n`;
 }
 
-test('from the id of half an answer to its cause: the endpoint reset its connection in the middle of it', async () => {
-	// An endpoint sends the first bytes of an answer without a length. The caller gets them, then the endpoint dies and its
+test('the log lines of half an answer show its cause: the endpoint reset its connection in the middle of it', async () => {
+	// An endpoint sends the first bytes of an answer without a length. The caller gets them; then the endpoint fails and its
 	// host resets the connection. The caller has a 200 and "half", and must be able to see that the rest is missing.
 	const gateway = await new TestGateway(testConfiguration()).start();
 	let resetEndpoint = (): void => {
-		assert.fail('the caller got bytes before the endpoint sent any');
+		assert.fail('the caller received bytes before the endpoint sent any');
 	};
 
 	const {name} = await gateway.addEndpoint((request, response) => {
@@ -112,7 +112,7 @@
 	assert.deepEqual(others, []);
 });
 
-test('from the id of half an answer to its cause: the endpoint gave less than it should and marked that as whole', async () => {
+test('the log lines of half an answer show its cause: the endpoint sent too little and marked that as the complete answer', async () => {
 	const {answer, lines} = await linesOf('idempotent', (request, response) => {
 		answerSealed(request, response, {body: 'half'});
 	});
--- a/src/gateway/observability/report-lag.ts
+++ b/src/gateway/observability/report-lag.ts
@@ -1,9 +1,9 @@
 import {type GatewayContext} from '../gateway-context.js';
 
-/** A longer lag gets a line in the log. */
+/** A lag of at least this long is logged. */
 const loggedMilliseconds = 200;
 
-/** Tells logs and metrics how late the event loop ran a timer. */
+/** Counts the time by which the event loop ran a timer late, and logs it if it is long. */
 export function reportLag({log, metrics}: Pick<GatewayContext, 'log' | 'metrics'>, lagMilliseconds: number): void {
 	metrics.eventLoopLate.inc(lagMilliseconds / 1000);
 	if (lagMilliseconds >= loggedMilliseconds) {
