--- a/src/gateway/testing/test-configuration.ts
+++ b/src/gateway/testing/test-configuration.ts
@@ -1,7 +1,7 @@
-/** Routes, services and configurations for tests; each test names only what it is about. */
+/** Routes and configurations for tests; a test gives only the fields that matter to it. */
 import {type Route, type RoutedConfiguration, type RoutedService} from '../../shared/routed-configuration.js';
 
-/** A route of a plain, idempotent service without keys. */
+/** Returns a route to a plain, idempotent service that needs no key. */
 export function testRoute(changes: Partial<Route> = {}): Route {
 	return {
 		name: 'route',
@@ -20,7 +20,7 @@
 	};
 }
 
-/** A configuration with one plain service, `desk`, and the given routes. */
+/** Returns a configuration with one plain service, `desk`, and one route unless others are given. */
 export function testConfiguration(changes: Partial<RoutedConfiguration> = {}): RoutedConfiguration {
 	return {
 		version: 1,
--- a/src/gateway/testing/test-endpoint.ts
+++ b/src/gateway/testing/test-endpoint.ts
@@ -1,6 +1,6 @@
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 
-/** An endpoint of the plain service `desk`; each test names only what it is about. */
+/** Returns an endpoint of the plain service `desk`; a test gives only the fields that matter to it. */
 export function testEndpoint(changes: Partial<EndpointRecord> = {}): EndpointRecord {
 	return {
 		name: 'desk-1',
--- a/src/gateway/testing/test-follower.ts
+++ b/src/gateway/testing/test-follower.ts
@@ -1,6 +1,6 @@
 import {type FollowerSelf} from '../hub/hub-client.js';
 
-/** An instance that has nothing under way, follows no tables and watches no endpoints; each test names only what it is about. */
+/** Returns a follower without requests in flight, tables and watched endpoints; a test gives only the fields that matter. */
 export function testFollower(changes: Partial<FollowerSelf> = {}): FollowerSelf {
 	return {
 		instance: 'i1',
@@ -8,12 +8,12 @@
 		loads: () => ({}),
 		takeUses: () => [],
 		closed() {
-			// Nothing is to be forgotten.
+			// There is no state to reset.
 		},
 		watched: () => [],
 		places: () => ({}),
 		takeTables() {
-			// None is followed.
+			// No table is followed.
 		},
 		...changes,
 	};
--- a/src/gateway/testing/test-gateway.ts
+++ b/src/gateway/testing/test-gateway.ts
@@ -1,4 +1,4 @@
-/** A gateway's data path in this process, before endpoints that a test plays. */
+/** Runs a gateway's data path within the test process, with endpoints whose behaviour the test defines. */
 import {once} from 'node:events';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
@@ -26,7 +26,7 @@
 import {testConfiguration} from './test-configuration.js';
 import {testEndpoint} from './test-endpoint.js';
 
-/** What an endpoint of a test does with a request. */
+/** What an endpoint of a test does with a request. It may leave the request unanswered. */
 export type PlayedEndpoint = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>;
 
 export class TestGateway {
@@ -65,10 +65,10 @@
 			hubView: new HubView(),
 			peerNews: {
 				async refresh() {
-					// A single instance has no others to hear of.
+					// A single instance has no other instances to query.
 				},
 				tell() {
-					// And none to tell.
+					// It has no other instances to publish to.
 				},
 			},
 			partPlanner: new PartPlanner(),
@@ -89,7 +89,7 @@
 		return this;
 	}
 
-	/** Adds an endpoint that this process plays; it is chosen in the order of being added if `slots` fall. */
+	/** Adds an endpoint with the given behaviour. Endpoints are chosen in the order of addition if their `slots` decrease. */
 	async addEndpoint(play: PlayedEndpoint, changes: Partial<EndpointRecord> = {}): Promise<EndpointRecord> {
 		const server = createServer((request, response) => {
 			void play(request, response);
@@ -125,17 +125,17 @@
 	}
 }
 
-/** An answer to play; a whole 200 without a body unless told otherwise. */
+/** An answer of a test's endpoint; by default a 200 without a body. */
 export type PlayedAnswer = {status?: number; headers?: Record<string, string>; body?: string};
 
-/** Answers as a sound endpoint does: with the id and a seal. */
+/** Answers as a healthy endpoint does: with the attempt's id and a seal. */
 export function answerSealed(request: IncomingMessage, response: ServerResponse, answer: PlayedAnswer = {}): void {
 	const {status = 200, headers = {}, body = ''} = answer;
 	response.writeHead(status, {...sealedHeaders(request), 'content-length': String(body.length), ...headers});
 	response.end(body);
 }
 
-/** The headers by which an answer proves whose it is. */
+/** The headers that show which attempt an answer belongs to. */
 export function sealedHeaders(request: IncomingMessage): Record<string, string> {
 	return {[ownWireNames.attemptId]: String(request.headers[ownWireNames.attemptId]), [ownWireNames.seal]: 'seal'};
 }
