--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the routed data path share. */
+/** The components that the routed data path shares. */
 import {type PartPlanner} from '../decision/parts/plan-parts.js';
 import {type PlacementPolicy} from '../decision/placement/placement.js';
 import {type SharedRepeatBudget} from '../decision/limits/shared-repeat-budget.js';
--- a/src/gateway/gateway-daemon.test.ts
+++ b/src/gateway/gateway-daemon.test.ts
@@ -24,7 +24,7 @@
 	return `127.0.0.1:${port}`;
 }
 
-/** A store whose feeds tell one configuration and one endpoint, and then nothing more. */
+/** A store whose feeds return one configuration and one endpoint, and no changes afterwards. */
 class QuietStore extends MemoryTable {
 	async readWhole(table: string) {
 		return Right({
@@ -44,11 +44,11 @@
 	}
 }
 
-/** Waits for a condition; under load a process may take seconds to start. */
+/** Waits up to 20 s for a condition: under load a process may take seconds to start. */
 async function waitUntil(what: string, isTrue: () => Promise<boolean>): Promise<void> {
 	const giveUpAt = performance.now() + 20_000;
 	while (!await isTrue()) {
-		assert.ok(performance.now() < giveUpAt, `not in time: ${what}`);
+		assert.ok(performance.now() < giveUpAt, `timed out while waiting for: ${what}`);
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
@@ -59,9 +59,9 @@
 	method: 'POST', path: '/', headers: {host: 'quay.example', [names.attemptId]: 'a1', [names.deadline]: '20000'}, body: 'x',
 });
 
-test('a process that is told to stop is unready at once, serves who still comes, and ends no stream', async () => {
-	// The balancer sends new connections until it has missed two answers. A process that closed its listener at once would
-	// refuse them, and one that ended at once would cut the streams of its callers.
+test('a process that shuts down is not ready at once, still serves new connections, and aborts no stream', async () => {
+	// The load balancer sends new connections until two of its checks have failed. A process that closed its listener at once
+	// would refuse them, and one that exited at once would cut the streams of its callers.
 	const open: ServerResponse[] = [];
 	const endpoint = createServer((incoming, response) => {
 		response.writeHead(200, {[names.attemptId]: String(incoming.headers[names.attemptId]), [names.seal]: 's'});
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -1,9 +1,9 @@
 /**
- * One gateway: the followers that keep its knowledge fresh, the listener for callers, and the answers to the balancer.
+ * One gateway process: the followers of the store's tables, the listener for callers, the readiness check and the metrics.
  *
- * The way down loses nothing: first it stops being ready and goes on serving, since the balancer sends new connections
- * until it has missed two answers; then it takes nothing new and finishes what it has; it ends when all is finished, or
- * shortly before the platform would kill it.
+ * A shutdown loses no requests. First the gateway reports that it is not ready and goes on serving, since the load balancer
+ * sends new connections until two of its checks have failed. Next it accepts no new connections and finishes the requests in
+ * flight. It exits when all are finished, or shortly before the platform would kill it.
  */
 import process from 'node:process';
 import {H3} from 'h3';
@@ -44,7 +44,7 @@
 import {WeightCoordinator} from './weights/weight-coordinator.js';
 import {WeightGoals} from './weights/weight-goals.js';
 
-/** What speaks to the outside, by the deployment's protocol. */
+/** The adapters to the outside, which implement the deployment's protocols. */
 export type GatewayPorts = {
 	clock: MomentClock;
 	names: WireNames;
@@ -53,18 +53,18 @@
 	control: EngineControl;
 	storeControl: CacheStoreControl;
 	metrics: GatewayMetrics;
-	/** Numbers from 0 up to 1. */
+	/** Returns a random number from 0 up to 1. */
 	random: () => number;
 };
 
 const intensity = {restarts: 20, periodMilliseconds: 60_000};
-/** The balancer asks once a second and drops an instance behind two misses. */
+/** The load balancer checks once a second and stops using an instance after two failed checks. */
 const unreadyMilliseconds = 2300;
-/** Left of the grace period for the end of the process itself. */
+/** Part of the grace period that is reserved for the exit of the process itself. */
 const exitMarginMilliseconds = 400;
-/** How many endpoints the steady questions are about: all of a small deployment; of a large one, those of plain services. */
+/** Maximum number of endpoints in a periodic query: all of a small deployment; of a large one, those of plain services. */
 const mostWatched = 24;
-/** More than any deployment's own limit on headers, which is checked behind the parser. */
+/** More than any deployment's own limit on headers, which is checked after parsing. */
 const parserHeaderBytes = 65_536;
 
 export class GatewayDaemon {
@@ -130,7 +130,7 @@
 		this.#root = this.#tree(ports);
 	}
 
-	/** Listens, and runs until it is stopped. */
+	/** Opens the listeners, and runs until the daemon is stopped. */
 	async run(): Promise<void> {
 		this.#eventLoopLag.start();
 		await Promise.all([this.#callers.listen(), this.#ready.listen(), this.#metricsListener.listen()]);
@@ -141,8 +141,8 @@
 	}
 
 	/**
-	 * Takes changed settings. Addresses and names hold for the life of a process; the grace period is taken over. Settings
-	 * that are not sound change nothing: the process goes on with those it has.
+	 * Applies changed settings: only the grace period, since all other settings are fixed for the life of a process. If the new
+	 * settings are not valid, the process keeps the present ones.
 	 */
 	reload(read: Either<Finding[], GatewaySettings>): void {
 		read.caseOf({
@@ -156,7 +156,7 @@
 		});
 	}
 
-	/** Takes nothing new, finishes what it has, and ends. */
+	/** Shuts down: goes on serving until the load balancer has noticed, finishes the requests in flight, and ends the daemon. */
 	async stop(): Promise<void> {
 		if (this.#isStopping) {
 			return;
@@ -174,7 +174,7 @@
 		this.#stop.abort();
 		this.#eventLoopLag.stop();
 		this.#exchanges.close();
-		// Nobody waits for these two: the balancer and the metrics' reader ask again elsewhere.
+		// These two are not awaited: the load balancer and the metrics scraper simply send their next request elsewhere.
 		void this.#ready.drain();
 		void this.#metricsListener.drain();
 		log.record('stopped', {openRequests: this.#front.open, milliseconds: Math.round(clock.moment().steady - startedAt)});
@@ -201,7 +201,7 @@
 		});
 	}
 
-	/** Plain calls are placed without a question for each; what others do at their endpoints comes with the steady ones. */
+	/** The endpoints of plain calls: these are placed by what the periodic queries return, without a query for each call. */
 	#watchedEndpoints(): string[] {
 		const {endpoints, configuration} = this.#context;
 		const services = configuration.current?.services;
@@ -236,7 +236,7 @@
 		});
 	}
 
-	/** A new configuration may change what a client may cost. */
+	/** Applies the timeouts of a new configuration to the callers' listener. */
 	#applyLimits(): void {
 		const {current} = this.#context.configuration;
 		if (current !== undefined && current.version !== this.#limitsVersion) {
@@ -246,7 +246,7 @@
 		}
 	}
 
-	/** Ready means: a configuration that can be trusted, endpoints to send to, and no order to stop. */
+	/** Ready means: the configuration is valid, an endpoint is known, and no shutdown has begun. */
 	#isReady(): boolean {
 		const {configuration, endpoints, clock} = this.#context;
 		const trust = configuration.trustAt(clock.moment());
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -1,22 +1,22 @@
-/** What a gateway process is told at its start. */
+/** The settings of a gateway process, and the times that follow from them. */
 
-/** Bounds that the deployment sets; all in milliseconds but the ratio. */
+/** Bounds that the deployment sets; all in milliseconds except the ratio. */
 export type GatewayBounds = {
-	/** Within it a configuration change is in force at every instance that reaches the store. */
+	/** Within this time a configuration change is in force at every instance that reaches the store. */
 	configurationMilliseconds: number;
-	/** Behind it no request runs with a key that was taken away, also where the store is out of reach. */
+	/** After this time no request runs with a revoked key, even where the store is unreachable. */
 	revocationMilliseconds: number;
-	/** Within it an endpoint that leaves gets no new work. */
+	/** After this time an endpoint that leaves gets no new requests. */
 	drainMilliseconds: number;
-	/** From the order to stop to the end of the process. */
+	/** From the signal to stop to the exit of the process. */
 	graceMilliseconds: number;
 	repeatRatio: number;
 	repeatWindowMilliseconds: number;
-	/** A holder of orders that has said nothing for so long may be replaced. */
+	/** The holder of a lease that has not renewed it for this long may be replaced. */
 	leaseMilliseconds: number;
-	/** Within it every engine runs newly named weights. */
+	/** Within this time every engine runs newly named weights. */
 	weightsMilliseconds: number;
-	/** How often an endpoint renews its entry in the list. */
+	/** How often an endpoint renews its row in the store. */
 	heartbeatMilliseconds: number;
 };
 
@@ -25,18 +25,18 @@
 	dataCentre: string;
 	/** `IP:port` for callers. */
 	listenCallers: string;
-	/** `IP:port` where the balancer asks whether this instance is ready. */
+	/** `IP:port` where the load balancer checks whether this instance is ready. */
 	listenReady: string;
-	/** Path of the balancer's question. */
+	/** Path of the readiness check. */
 	readyPath: string;
-	/** `IP:port` where other instances connect. */
+	/** `IP:port` where other instances connect to the coordinator. */
 	listenPeers: string;
-	/** `IP:port` where they connect to the deputy of the hub. */
+	/** `IP:port` where they connect to the standby coordinator. */
 	listenDeputy: string;
 	/** `IP:port` of the metrics. */
 	listenMetrics: string;
 	storeAddress: string;
-	/** Cores that the machine gives to this process; may be a fraction. */
+	/** CPU cores available to this process; may be a fraction. */
 	cores: number;
 	bounds: GatewayBounds;
 };
@@ -45,37 +45,37 @@
 export type GatewayTimings = {
 	/** How long a call to the feed may wait for changes. */
 	feedWaitMilliseconds: number;
-	/** The same for the instance that reads for the others. */
+	/** The same for the reader, the instance that calls the store for the others. */
 	readerWaitMilliseconds: number;
-	/** With what another instance tells, an instance goes on without calls of its own for as long as it is no older. */
+	/** An instance makes no calls to the feed as long as the reader's latest confirmation is no older than this. */
 	relayLapseMilliseconds: number;
-	/** Beyond this age of the configuration, what it lacks is not called unknown. */
+	/** Beyond this age of the configuration, a route or key that is missing from it is not reported as unknown. */
 	freshMilliseconds: number;
 	/** Beyond this age, no key is accepted. */
 	keyLeaseMilliseconds: number;
 };
 
 /**
- * Share of the revocation bound that a feed call waits. A call that is lost is noticed behind one wait; the next then has
- * to be answered before the lease ends, so two waits and a call must fit into the bound.
+ * Share of the revocation bound that a feed call waits. A lost call is noticed only after one wait, and the next call has to
+ * be answered before the lease expires, so two waits and a call must fit into the bound.
  */
 const feedWaitShare = 0.4;
-/** A feed call waits no longer than this: silence of the connection hides endpoints that leave for as long. */
+/** A feed call waits no longer than this: a connection that fails unnoticed hides leaving endpoints for this long. */
 const longestFeedWaitMilliseconds = 2000;
 /**
- * Share of the bounds on configuration and on endpoints that leave that the news of the instance that reads for all may be
- * old. Beyond, each reads for itself, spread over a moment, and has to be answered within the rest.
+ * Maximum age of relayed confirmations, as a share of the smaller of the bounds on configuration changes and on leaving
+ * endpoints. Beyond it each instance calls the store itself after a random delay, and is answered within the rest.
  */
 const relayLapseShare = 0.6;
-/** Share of that age that the waiting of one call may take; the way through the reader and the pace of questions take the rest. */
+/** Share of that age that a call of the reader may wait; the relaying and the interval of queries take up the rest. */
 const readerWaitShare = 0.3;
-/** Between a lease check and the sending of the request: a late timer and a slow instance. */
+/** Time between the check of a lease and the sending of the request, on a slow instance with a late timer. */
 const keyLeaseMarginMilliseconds = 150;
-/** Two answered calls in a row may be this late before the configuration counts as old. */
+/** Feed waits for which a configuration is fresh after the last answered call: one for the next call, the rest for lateness. */
 const freshWaits = 1.5;
 
 /**
- * Works out the times that follow from the bounds.
+ * Computes the times that follow from the bounds.
  *
  * @param bounds - The deployment's bounds.
  * @returns The times in milliseconds.
--- a/src/gateway/main.ts
+++ b/src/gateway/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `savorygauge-gateway`: the routed data path on the platform. */
+/** The program `savorygauge-gateway`: the routed data path on the platform. */
 import {runGateway} from './run-gateway.js';
 
 await runGateway();
--- a/src/gateway/run-gateway.ts
+++ b/src/gateway/run-gateway.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of `savorygauge-gateway` together, the routed data path on the platform, and runs them. */
+/** Assembles the components of `savorygauge-gateway`, the routed data path on the platform, and runs them. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {Either} from 'purify-ts/Either';
@@ -18,7 +18,7 @@
 import {type GatewaySettings} from './gateway-settings.js';
 import {GatewayMetrics} from './observability/gateway-metrics.js';
 
-/** Runs until the process is told to stop. */
+/** Runs the gateway until a signal stops the process; exits with findings if the settings are not valid. */
 export async function runGateway(): Promise<void> {
 	const path = process.env[settingsPathVariable];
 	if (path === undefined) {
