--- a/src/peer/framing/frame-codec.test.ts
+++ b/src/peer/framing/frame-codec.test.ts
@@ -3,14 +3,14 @@
 import {test} from 'node:test';
 import {encodeFrame, frameLimitBytes, FrameReader} from './frame-codec.js';
 
-test('frames come out whole, however the bytes are cut', () => {
+test('frames are decoded whole, however the bytes are split', () => {
 	const frames = Buffer.concat([encodeFrame({version: 1}), encodeFrame(['a', 2, true])]);
 	const reader = new FrameReader();
 	const values = [...frames].flatMap(byte => reader.read(Buffer.from([byte])).orDefault([]));
 	assert.deepEqual(values, [{version: 1}, ['a', 2, true]]);
 });
 
-test('a frame over the limit is refused before its body arrives', () => {
+test('a frame over the limit is rejected before its body arrives', () => {
 	const head = Buffer.alloc(4);
 	head.writeUInt32BE(frameLimitBytes + 1, 0);
 	const answer = new FrameReader().read(head);
--- a/src/peer/framing/frame-codec.ts
+++ b/src/peer/framing/frame-codec.ts
@@ -1,23 +1,23 @@
 /**
- * Frames between our own processes: four bytes of length, big-endian, and that many bytes of CBOR. A frame longer than
- * the limit is refused before it is read, so that a broken peer cannot fill the memory.
+ * Frames between our own processes: a length of four bytes, big-endian, and that many bytes of CBOR. A frame longer than
+ * the limit is rejected before its body is read, so that a faulty peer cannot exhaust the memory.
  */
 import {Buffer} from 'node:buffer';
 import {Decoder, Encoder} from 'cbor-x';
 import {type Either, Left, Right} from 'purify-ts/Either';
 
-/** The longest body of a frame. */
+/** The maximum length of a frame's body. */
 export const frameLimitBytes = 1_048_576;
 
 const lengthBytes = 4;
 const encoder = new Encoder({useRecords: false, mapsAsObjects: true});
 const decoder = new Decoder({useRecords: false, mapsAsObjects: true});
 
-/** Why bytes are no frames of ours. The connection they came over cannot be used any more. */
+/** Why bytes are not valid frames. Their connection cannot be used any more. */
 export type FrameError = {kind: 'too-long'; length: number} | {kind: 'malformed'; detail: string};
 
 /**
- * Writes a value as a frame.
+ * Encodes a value as a frame.
  *
  * @param value - Any value that CBOR can carry.
  * @returns The bytes of the frame.
@@ -27,7 +27,7 @@
 }
 
 /**
- * Puts the length before a body.
+ * Prepends the length to a body.
  *
  * @param body - Encoded bytes, at most `frameLimitBytes`.
  * @returns The bytes of the frame.
@@ -39,21 +39,21 @@
 	return frame;
 }
 
-/** Collects the bytes of one connection and gives the values of whole frames. */
+/** Collects the bytes of one connection and returns the values of complete frames. */
 export class FrameReader {
 	#collected: Buffer = Buffer.alloc(0);
 	readonly #decode: (body: Buffer) => unknown;
 
-	/** @param decode - Turns a body into its value; plain CBOR unless given. */
+	/** @param decode - Decodes a body into its value; plain CBOR by default. */
 	constructor(decode: (body: Buffer) => unknown = body => decoder.decode(body)) {
 		this.#decode = decode;
 	}
 
 	/**
-	 * Takes the next bytes.
+	 * Appends the next bytes of the connection.
 	 *
 	 * @param bytes - Bytes in the order in which they arrived.
-	 * @returns The values of the frames that are now whole, or what is wrong.
+	 * @returns The values of the frames that these bytes complete, or what is wrong.
 	 */
 	read(bytes: Buffer): Either<FrameError, unknown[]> {
 		this.#collected = this.#collected.length === 0 ? bytes : Buffer.concat([this.#collected, bytes]);
--- a/src/peer/message/message-codec.test.ts
+++ b/src/peer/message/message-codec.test.ts
@@ -3,7 +3,7 @@
 import {createMessageReader, encodeMessage} from './message-codec.js';
 import {type PeerMessage} from './peer-message.js';
 
-test('a heartbeat is small and comes out as it went in', () => {
+test('a heartbeat is small and is decoded as it was encoded', () => {
 	const heartbeat: PeerMessage = {
 		kind: 'heartbeat', incarnation: 1_796_000_000_000, viewDigest: 4_000_000_000, configurationVersion: 23_000,
 	};
--- a/src/peer/message/message-codec.ts
+++ b/src/peer/message/message-codec.ts
@@ -1,7 +1,7 @@
 /**
- * Peer messages as frames. Their field names travel as small numbers (`keyMap`), which takes a heartbeat from 97 to
- * under 60 bytes; a name that is not in the map, as in a configuration item, travels as text. Numbers are never given
- * to another name: two releases run side by side.
+ * Encodes peer messages as frames. Field names are sent as small numbers (`keyMap`), which shortens a heartbeat from 97 to
+ * under 60 bytes; a name that is not in the map, such as those of configuration items, is sent as text. A number is never
+ * reassigned to another name, because two releases run side by side.
  */
 import {Buffer} from 'node:buffer';
 import {Decoder, Encoder} from 'cbor-x';
@@ -43,7 +43,7 @@
 const decoder = new Decoder(options);
 
 /**
- * Writes a message as a frame.
+ * Encodes a message as a frame.
  *
  * @param message - The message.
  * @returns The bytes of the frame.
@@ -52,7 +52,7 @@
 	return frameOf(encoder.encode(message.kind === 'loads' ? {...message, updates: packUpdates(message.updates)} : message));
 }
 
-/** Gives a reader for the bytes of one link. */
+/** Creates a reader for the bytes of one link. */
 export function createMessageReader(): FrameReader {
 	return new FrameReader(body => unpacked(decoder.decode(body)));
 }
--- a/src/peer/message/packed-updates.ts
+++ b/src/peer/message/packed-updates.ts
@@ -1,6 +1,6 @@
 /**
- * Load updates as ten bytes each. They are most of what instances say to each other: as CBOR maps they took 22 bytes,
- * and a cell of eight with 16 endpoints each was over its share of 4 KB a second.
+ * Packs load updates into ten bytes each. They are most of the traffic between instances: as CBOR maps they took 22 bytes,
+ * with which a cell of eight instances with 16 endpoints each exceeded its share of 4 KB a second.
  */
 import {Buffer} from 'node:buffer';
 import {type LoadUpdate} from './peer-message.js';
@@ -10,14 +10,13 @@
 const largestShort = 65_535;
 const prefillUnitTokens = 64;
 
-/** Bytes of one packed update. */
 export const packedUpdateBytes = updateBytes;
 
 /**
- * Packs updates. Numbers too large for their place are cut to the largest that fits: such an endpoint is full either way.
+ * Packs updates. A number too large for its field becomes the largest that fits: such an endpoint is full in either case.
  *
  * @param updates - The updates.
- * @returns Ten bytes each.
+ * @returns Ten bytes for each update.
  */
 export function packUpdates(updates: readonly LoadUpdate[]): Buffer {
 	const packed = Buffer.alloc(updates.length * updateBytes);
@@ -36,7 +35,7 @@
 /**
  * Unpacks updates.
  *
- * @param packed - As it came; a rest that is no whole update is left out.
+ * @param packed - The received bytes; an incomplete update at the end is ignored.
  * @returns The updates.
  */
 export function unpackUpdates(packed: Buffer): LoadUpdate[] {
--- a/src/peer/message/peer-message.ts
+++ b/src/peer/message/peer-message.ts
@@ -1,7 +1,10 @@
-/** What instances say to each other. Everything here is a hint but for configuration changes, which prove themselves. */
+/**
+ * The messages between peers. Everything in them is a hint, except configuration changes, which are verified by their
+ * chain of digests.
+ */
 import {type ConfigurationChange, type ConfigurationItem} from '../../shared/types.js';
 
-/** The oldest and the newest version of this protocol that this release speaks. */
+/** The oldest and the newest version of this protocol that this release supports. */
 export const spokenVersions: VersionRange = {least: 1, newest: 1};
 
 /** A range of protocol versions, both ends included. */
@@ -10,20 +13,23 @@
 	newest: number;
 };
 
-/** How a member stands: `left` is a graceful end, which a later word of the same start cannot take back. */
+/**
+ * The status of a member. A `suspect` has missed heartbeats; `gone` means that it counts as failed; `left` is a graceful
+ * departure, which no later update of the same incarnation overrides.
+ */
 export type MemberStatus = 'alive' | 'suspect' | 'gone' | 'left';
 
-/** A change of membership. A higher incarnation goes before a lower one; at the same one, the later status wins. */
+/** A gossip update about a member. A higher incarnation overrides a lower one; at the same one, the later status wins. */
 export type MemberRumour = {
 	name: string;
 	dataCentre: string;
 	peerAddress: string;
-	/** Starts as the time of the process start and grows when the member contradicts its own death. */
+	/** At first the time of the process start; the member raises it to refute an update by which it has failed or left. */
 	incarnation: number;
 	status: Exclude<MemberStatus, 'suspect'>;
 };
 
-/** A summary of an endpoint's load, small enough to be sent each second. */
+/** A summary of an endpoint's load, small enough to be sent every second. */
 export type LoadSummary = {
 	/** Hash of the endpoint's name. */
 	endpoint: number;
@@ -40,16 +46,16 @@
 	kvCapacity: number;
 };
 
-/** What changes from second to second of a summary whose rest a peer already has. */
+/** The fields of a summary that change from second to second, for peers that already have the rest of it. */
 export type LoadUpdate = Pick<LoadSummary, 'endpoint' | 'running' | 'waiting' | 'waitingPrefillTokens'> & {
-	/** Share of the KV memory in use, from 0 to 1. */
+	/** Used share of the KV memory, from 0 to 1. */
 	kvShare: number;
 };
 
-/** The first message of each side. `challenge` is random text that the other side's proof has to cover. */
+/** The first message of each side of a link. `challenge` is random text that the other side's proof has to cover. */
 export type Hello = {kind: 'hello'; versions: VersionRange; from: MemberRumour; challenge: string};
 
-/** What every heartbeat announces, so that whoever missed something learns of it from the next one. */
+/** A heartbeat. It announces the sender's digest and version, so that a peer that missed something notices it at the next one. */
 export type Heartbeat = {
 	kind: 'heartbeat';
 	incarnation: number;
@@ -58,7 +64,7 @@
 	rumours?: MemberRumour[];
 };
 
-/** A whole configuration, for an instance whose missing changes are no longer kept by its peers. */
+/** A whole configuration, for an instance whose missing changes its peers no longer retain. */
 export type ConfigurationSnapshot = {
 	version: number;
 	digest: string;
@@ -67,7 +73,7 @@
 	contentDigest: string;
 };
 
-/** Any message. In `loads`, `age` is that of the oldest report, for clocks of two instances are never compared. */
+/** Any message. In `loads`, `age` is that of the oldest report; it is no time, because clocks of instances are never compared. */
 export type PeerMessage
 	= | Hello
 		| {kind: 'proof'; digest: string}
@@ -80,17 +86,17 @@
 
 type PeerMessageKind = PeerMessage['kind'];
 
-/** All kinds, to tell a message of a later release from one that is malformed. */
+/** All kinds that this release knows; a message of another kind comes from a later release. */
 export const peerMessageKinds: ReadonlySet<string> = new Set<PeerMessageKind>([
 	'hello', 'proof', 'heartbeat', 'view', 'ask-changes', 'changes', 'snapshot', 'loads',
 ]);
 
 /**
- * Picks the protocol version for a link.
+ * Negotiates the protocol version of a link.
  *
  * @param own - The versions of this release.
  * @param other - The versions of the peer's release.
- * @returns The newest version that both speak; `undefined` if there is none.
+ * @returns The newest version that both support; `undefined` if there is none.
  */
 export function negotiatedVersion(own: VersionRange, other: VersionRange): number | undefined {
 	const version = Math.min(own.newest, other.newest);
--- a/src/peer/sharing/rendezvous.ts
+++ b/src/peer/sharing/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: each key belongs to the member with the highest mixed hash, so every instance with the same view
- * names the same owner without asking anybody, and a member that goes gives away only its own keys.
+ * Rendezvous hashing: each key belongs to the member with the highest combined hash. Instances with the same view of the
+ * membership choose the same owner without communication, and the departure of a member moves only that member's keys.
  */
 
 import {createHash} from 'node:crypto';
@@ -9,18 +9,18 @@
  * Hashes a text.
  *
  * @param text - Any text.
- * @returns A whole number of 32 bits.
+ * @returns An unsigned integer of 32 bits.
  */
 export function hashOfText(text: string): number {
 	return createHash('sha256').update(text).digest().readUInt32BE(0);
 }
 
 /**
- * Gives the first members for a key, best first.
+ * Returns the members with the highest combined hashes for a key, highest first.
  *
  * @param key - The key's hash; see `hashOfText`.
  * @param members - The members, in any order.
- * @param count - How many are wanted.
+ * @param count - The maximum number of members to return.
  * @returns At most `count` members.
  */
 export function bestMembers<Named extends {name: string; nameHash: number}>(key: number, members: readonly Named[], count: number): Named[] {
@@ -32,7 +32,7 @@
 }
 
 /**
- * Gives the owner of a key.
+ * Returns the owner of a key.
  *
  * @param key - The key's hash; see `hashOfText`.
  * @param members - The live members, in any order.
@@ -52,7 +52,7 @@
 	return best;
 }
 
-/** The final step of MurmurHash3 over the sum: each bit of the input turns over half of the output's bits. */
+/** The finalizer of MurmurHash3, applied to the sum: each bit of the input changes half of the output's bits on average. */
 function mixed(nameHash: number, key: number): number {
 	let hash = Math.imul(nameHash + key, 1);
 	hash = Math.imul(hash ^ (hash >>> 16), 0x85_EB_CA_6B); // eslint-disable-line no-bitwise -- the function is defined on bits
