--- a/src/peer/membership/membership.ts
+++ b/src/peer/membership/membership.ts
@@ -1,36 +1,36 @@
 /**
- * Who is there, as one instance believes: the platform's lagging list, corrected by direct heartbeats and by rumours of
- * peers. A pure state machine with the present time as an argument. It is a hint: two instances with different views do
- * some work twice or miss some, and never give a wrong answer.
+ * The membership as one instance sees it: the platform's list, which lags, corrected by heartbeats and by gossip updates of
+ * peers. It is a state machine without input and output, and the present time is an argument. The membership is a hint: two
+ * instances with different views do some work twice or not at all, but never give a wrong answer.
  */
 import {type ListedInstance} from '../../shared/types.js';
 import {type MemberRumour, type MemberStatus} from '../message/peer-message.js';
 import {hashOfText} from '../sharing/rendezvous.js';
 
-/** Silence that a neighbour does not show while it is well: heartbeats come each second. */
+/** A neighbour from which nothing is received for longer than this is late: heartbeats are sent every second. */
 export const lateAfterMilliseconds = 1500;
 
-/** Silence after which a neighbour is suspected: two and a half heartbeats. It keeps its shards. */
+/** Time without a heartbeat after which a neighbour is suspected: two and a half heartbeats. It keeps its shards. */
 export const suspectAfterMilliseconds = 2500;
 
-/** Silence after which a neighbour counts as gone: four heartbeats. Its shards go to others; the sum stays under 5 s. */
+/** Time without a heartbeat after which a neighbour is `gone`: four heartbeats. Its shards then move, within 5 s in all. */
 export const goneAfterMilliseconds = 4000;
 
-/** How long a member that is gone and no longer listed is remembered, so that late rumours do not bring it back. */
+/** How long a failed or departed member that is no longer listed is remembered, so that late updates do not bring it back. */
 export const forgetAfterMilliseconds = 60_000;
 
-/** A member as one instance believes it to be. */
+/** A member as one instance sees it. */
 export type Member = {
 	name: string;
 	nameHash: number;
 	dataCentre: string;
 	peerAddress: string;
-	/** 0 while it is known from the list alone. */
+	/** 0 while the member is known from the list only. */
 	incarnation: number;
 	status: MemberStatus;
 	changedAt: number;
 	isListed: boolean;
-	/** When it last spoke to this instance itself, or became a neighbour; only looked at for neighbours. */
+	/** When its last message to this instance arrived, or it became a neighbour; only used for neighbours. */
 	heardAt: number;
 };
 
@@ -58,12 +58,12 @@
 		this.#lastTickAt = now;
 	}
 
-	/** What this instance says of itself. */
+	/** The gossip update about this instance itself. */
 	get self(): MemberRumour {
 		return rumourOf(this.#self);
 	}
 
-	/** A digest over the members of the own data centre that anybody has heard from; equal views have equal digests. */
+	/** A digest over the members of the own data centre that have an incarnation; equal views have equal digests. */
 	get viewDigest(): number {
 		this.#digestCache ??= this.#digest();
 		return this.#digestCache;
@@ -79,19 +79,19 @@
 		return this.#live().all;
 	}
 
-	/** Everybody remembered, for operators. */
+	/** All remembered members, for operators. */
 	everybody(): readonly Member[] {
 		return [...this.#members.values()];
 	}
 
-	/** Everybody remembered, as rumours for a peer of the own data centre. */
+	/** The remembered members of the own data centre that have an incarnation, as updates for a peer. */
 	view(): MemberRumour[] {
 		return [...this.#members.values()]
 			.filter(({incarnation, dataCentre}) => incarnation > 0 && dataCentre === this.#self.dataCentre)
 			.map(member => rumourOf(member));
 	}
 
-	/** Gone members that the platform still lists: worth a try now and then, as after a cut both sides are silent. */
+	/** Failed members that the platform still lists. They are dialled now and then: after a partition neither side sends. */
 	goneButListed(): readonly Member[] {
 		return [...this.#members.values()].filter(({status, isListed}) => status === 'gone' && isListed);
 	}
@@ -101,8 +101,8 @@
 	}
 
 	/**
-	 * Takes the platform's list. It adds members and takes away those that never spoke; it never overrules what a member
-	 * or its neighbours said, for it lags by seconds.
+	 * Applies the platform's list. It adds members, and removes those without an incarnation and those whose retention has
+	 * expired. It lags by seconds, so it never overrides what a member or its neighbours have announced.
 	 */
 	takeList(instances: readonly ListedInstance[], now: number): void {
 		const listed = new Map(instances
@@ -131,7 +131,7 @@
 		}
 	}
 
-	/** Takes note that a member spoke to this instance itself. */
+	/** Notes a message that a member sent to this instance itself. */
 	heard(name: string, incarnation: number, now: number): void {
 		const member = this.#members.get(name);
 		if (member === undefined || incarnation < member.incarnation) {
@@ -145,10 +145,10 @@
 	}
 
 	/**
-	 * Takes a rumour.
+	 * Applies a gossip update.
 	 *
-	 * @returns What to pass on: the rumour if it was news, the contradiction if it said that this instance is gone, or
-	 *   nothing.
+	 * @returns The update to forward: this one if it was new, the refutation if it said that this instance has failed or left,
+	 *   otherwise `undefined`.
 	 */
 	takeRumour(rumour: MemberRumour, now: number): MemberRumour | undefined {
 		if (rumour.name === this.#self.name) {
@@ -168,15 +168,15 @@
 	}
 
 	/**
-	 * Lets time pass: a silent neighbour becomes suspected, then gone.
+	 * Marks neighbours without heartbeats as suspected, and later as gone.
 	 *
-	 * @param neighbours - The names that send heartbeats to this instance.
+	 * @param neighbours - The names of the members that send heartbeats to this instance.
 	 * @param now - Milliseconds since the epoch.
-	 * @returns Rumours to spread.
+	 * @returns Updates to spread.
 	 */
 	tick(neighbours: ReadonlySet<string>, now: number): MemberRumour[] {
-		// After a pause of this process everybody seems silent. Judging by that would make all of its neighbours gone at
-		// once; so they get the whole time again.
+		// After a pause of this process no neighbour has a recent heartbeat, and all of them would be marked as gone at once. So
+		// their time starts again.
 		const wasPaused = now - this.#lastTickAt > suspectAfterMilliseconds;
 		this.#lastTickAt = now;
 		const rumours: MemberRumour[] = [];
@@ -185,8 +185,8 @@
 				continue;
 			}
 
-			// A neighbour that is late stays under judgement when the ring is drawn anew without it: with a rack dead, each
-			// death that is noticed moves cells, and the others' silence would start from nothing each time.
+			// The time of a late member runs on when a new ring makes it a neighbour no longer. When a rack fails, each detected
+			// failure changes the cells, and would otherwise restart the time of the other failed members.
 			const silence = now - member.heardAt;
 			if (wasPaused || (!neighbours.has(member.name) && silence <= lateAfterMilliseconds)) {
 				member.heardAt = now;
@@ -228,7 +228,7 @@
 		}
 	}
 
-	/** A sum, so that the order of the members does not matter. */
+	/** The digest is a sum, so that it does not depend on the order of the members. */
 	#digest(): number {
 		let digest = 0;
 		for (const {nameHash, dataCentre, incarnation, status} of this.#members.values()) {
@@ -252,7 +252,7 @@
 	}
 }
 
-/** Gives what peers are told of a member; a suspicion is this instance's own and is not passed on. */
+/** Returns the gossip update about a member. A suspicion is local to this instance: a suspect is announced as alive. */
 export function rumourOf(member: Member): MemberRumour {
 	const {
 		name, dataCentre, peerAddress, incarnation, status,
--- a/src/peer/membership/overlay.ts
+++ b/src/peer/membership/overlay.ts
@@ -1,35 +1,36 @@
 /**
- * Which peers an instance keeps links to. While all instances are few, everybody links to everybody. Beyond that, a data
- * centre's instances stand in a ring in order of their hash: an instance links to the members of its own cell, a run of
- * the ring, and to a few at growing distances, so that the number of links stays the same while the ring grows and a
- * rumour crosses it in a few hops. Two instances of each data centre link to two of each other one.
+ * Selects the peers to which an instance keeps links. Few instances form a full mesh. Beyond that, the instances of a data
+ * centre form a ring in the order of their hashes: an instance links to the members of its own cell, which is a section of
+ * the ring, and to a few members at larger distances. So the number of links stays constant while the ring grows, and an
+ * update crosses it in a few hops. For each pair of data centres, two instances of either side are bridges, which link to
+ * each other.
  */
 import {bestMembers, hashOfText} from '../sharing/rendezvous.js';
 import {type Member} from './membership.js';
 
 /**
- * Up to so many instances in all data centres, everybody links to everybody. Today's 14 to 18 fit, also while a roll-out
- * has the old and the new ones listed at the same time; 39 heartbeats a second are under 1.5 KB each way.
+ * Up to this many instances in all data centres form a full mesh. Today's 14 to 18 fit, also while a roll-out has the old and
+ * the new ones listed at the same time; 39 heartbeats a second are under 1.5 KB in each direction.
  */
 export const fullMeshLimit = 40;
 
-/** Most members of a cell. */
+/** Maximum number of members of a cell. */
 export const cellLimit = 8;
 
-/** With links to both sides this far away, and whole cells, a ring of 95 is crossed in about six hops. */
+/** Distance of the long links to both sides, as a share of the ring: with them and the cells, six hops cross a ring of 95. */
 const longLinkFraction = 0.3;
 const gatewaysPerDataCentre = 2;
 
-/** What an instance needs to know of its place. */
+/** The place of an instance in the overlay network. */
 export type Overlay = {
-	/** Peers with a link, by name. */
+	/** Peers to link to, by name. */
 	neighbours: ReadonlyMap<string, Member>;
-	/** Peers that share detailed knowledge with this instance; each is a neighbour. */
+	/** Peers with which this instance exchanges endpoint loads; each is a neighbour. */
 	cell: ReadonlyMap<string, Member>;
 };
 
 /**
- * Works out the place of an instance.
+ * Computes the place of an instance.
  *
  * @param self - The instance's name.
  * @param own - The live members of its data centre, itself included.
@@ -62,7 +63,7 @@
 		.filter(member => member !== ring[place]);
 }
 
-/** A gateway is chosen for each pair of data centres, so that no instance carries the links to all others. */
+/** Bridges are chosen for each pair of data centres, so that no instance has the links to all other data centres. */
 function gatewayLinks(self: string, own: readonly Member[], all: readonly Member[]): Member[] {
 	const ownName = own.find(({name}) => name === self)?.dataCentre ?? '';
 	const others = byDataCentre(all.filter(({dataCentre}) => dataCentre !== ownName));
--- a/src/peer/node/gone-retry.ts
+++ b/src/peer/node/gone-retry.ts
@@ -1,4 +1,7 @@
-/** After a cut both sides hold each other gone and are silent; one try now and then finds the end of it. */
+/**
+ * Chooses one failed member at a time to be dialled. After a network partition both sides count each other as failed and
+ * send nothing; an occasional attempt detects that the partition has ended.
+ */
 import {type Member} from '../membership/membership.js';
 
 const retryMilliseconds = 2000;
@@ -8,17 +11,17 @@
 	#nextAt = 0;
 	#name = '';
 
-	/** @param random - Gives numbers from 0 up to 1, from a seeded generator. */
+	/** @param random - Returns numbers from 0 up to 1, from a seeded generator. */
 	constructor(random: () => number) {
 		this.#random = random;
 	}
 
-	/** The member that is tried now; empty for none. */
+	/** The name of the member to dial now; empty for none. */
 	get name(): string {
 		return this.#name;
 	}
 
-	/** Chooses another one when it is time. */
+	/** Chooses another member when the interval has passed. */
 	tick(goneMembers: () => readonly Member[], now: number): void {
 		if (now < this.#nextAt) {
 			return;
--- a/src/peer/node/peer-node-options.ts
+++ b/src/peer/node/peer-node-options.ts
@@ -1,12 +1,12 @@
-/** What an instance among its peers is told, and what it tells its surroundings. */
+/** The options of a peer node, and the listener for its events. */
 import {type ConfigurationKeeper, type FanoutMode} from '../configuration/configuration-fanout.js';
 import {type LearnedLoad} from '../knowledge/load-knowledge.js';
 import {type ConfigurationSnapshot, type MemberRumour} from '../message/peer-message.js';
 
-/** What the instance tells its surroundings. */
+/** Is notified of what the node receives from its peers. */
 export interface PeerListener {
 	loadsLearned(loads: readonly LearnedLoad[]): void;
-	/** Brings a snapshot into force if it is newer; false if it is damaged or old. */
+	/** Brings a snapshot into force if it is newer; returns `false` if it is damaged or old. */
 	snapshotOffered(snapshot: ConfigurationSnapshot): boolean;
 	memberChanged(rumour: MemberRumour): void;
 	endpointsShared(shared: {taken: number; released: number}): void;
@@ -17,8 +17,8 @@
 	keeper: ConfigurationKeeper;
 	listener: PeerListener;
 	fanoutMode: FanoutMode;
-	/** The longest random wait before an ask; the usual one unless given. */
+	/** The maximum random delay before a query for changes; by default that of the fan-out. */
 	askBackoffMilliseconds?: number;
-	/** Gives numbers from 0 up to 1, from a seeded generator. */
+	/** Returns numbers from 0 up to 1, from a seeded generator. */
 	random(): number;
 };
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -15,10 +15,10 @@
 
 const ownedBy = (peers: readonly VirtualPeer[]) => peers.flatMap(({node}) => node.knowledge.owned()).toSorted();
 
-test('a third of 48 instances dies at once', () => {
-	// Callers see nothing of it here: the endpoints that the dead ones watched get another watcher. First the links of
-	// the dead end and they fall silent, then their neighbours call them gone, the rumour crosses the ring, and everybody
-	// shares out anew. Within 5 s each endpoint has exactly one owner again, or two answers about its load would age.
+test('the endpoints of failed instances get a new owner within 5 s when a third of 48 instances fail at once', () => {
+	// The endpoints that the failed instances polled need another owner. Their neighbours receive no more heartbeats and mark
+	// them as gone, the updates cross the ring, and all instances assign owners again. After 5 s each endpoint must have
+	// exactly one owner, because loads that nobody polls go stale.
 	const network = new VirtualPeers(1);
 	const listed = endpoints(96);
 	network.startAll(names(48), listed);
@@ -36,8 +36,8 @@
 	assert.ok(took !== undefined && took <= 5000, `owned again, and one view, after ${took} ms`);
 });
 
-test('a member that leaves gives away only its own shards, at once and evenly', () => {
-	// A graceful end: the good-bye crosses the data centre, and each key that was not the leaving one's stays where it is.
+test('when a member leaves, only its own shards move, within a second', () => {
+	// On a graceful shutdown the announcement crosses the data centre, and each key of another member keeps its owner.
 	const network = new VirtualPeers(8);
 	const peers = network.startAll(names(50));
 	network.run(5000);
@@ -48,15 +48,15 @@
 	network.kill(leaving.listed.name);
 	const stayed = peers.filter(peer => peer !== leaving);
 	const took = network.runUntil(() => stayed.every(({node}) => node.membership.ownLive().length === 49), 5000);
-	assert.ok(took !== undefined && took <= 1000, `handed over after ${took} ms`);
+	assert.ok(took !== undefined && took <= 1000, `departure known after ${took} ms`);
 	const moved = keys.filter(key => before.get(key) !== first.node.ownerOf(key));
 	assert.deepEqual(moved, keys.filter(key => before.get(key) === leaving.listed.name));
 	assert.ok(stayed.every(({node}) => keys.every(key => node.ownerOf(key) === first.node.ownerOf(key))));
 });
 
-test('a paused instance comes back and is not called gone for ever', () => {
-	// Nobody sees an error: work of the paused one goes to others while it sleeps. When it wakes it has heard nothing for
-	// long, yet must not call everybody gone; it learns that it was called gone, contradicts, and gets its share again.
+test('an instance that resumes after a pause is a live member again', () => {
+	// While an instance is paused, its shards move to others. When it resumes it has received nothing for a long time, but must
+	// not mark its neighbours as gone. It receives the update that it is gone itself, refutes it, and gets its shards back.
 	const network = new VirtualPeers(2);
 	const peers = network.startAll(names(30));
 	network.run(5000);
@@ -70,9 +70,9 @@
 	assert.ok(peers[7]!.events.every(({text}) => !text.endsWith('gone')));
 });
 
-test('a data centre that was cut off finds the others again', () => {
-	// Both sides call each other gone and go on by themselves; a change is accepted meanwhile on the larger side. After
-	// the cut one try at a gone member that the list still names is enough: all are live, and all have the change.
+test('a data centre reconnects to the others after a network partition', () => {
+	// Both sides mark each other as gone and go on separately; the larger side accepts a change meanwhile. After the partition
+	// one dial to a failed member that is still listed is enough: all members become live, and all get the change.
 	const network = new VirtualPeers(3);
 	const peers = network.startAll([...names(6), ...names(4, 'trogir'), ...names(4, 'makarska')]);
 	network.run(5000);
@@ -88,8 +88,8 @@
 	assert.notEqual(back, undefined);
 });
 
-test('a change reaches 96 instances within a second though messages are lost', () => {
-	// An announcement or an answer that is lost shows as a gap at the next heartbeat, and is asked for again.
+test('a change reaches 96 instances within 3 s although a tenth of the messages are lost', () => {
+	// A lost announcement or answer shows as a version gap in the next heartbeat, and the change is queried again.
 	const network = new VirtualPeers(4);
 	const peers = network.startAll(names(96));
 	network.run(5000);
@@ -104,7 +104,7 @@
 });
 
 test('a new instance gets the whole configuration from peers while the platform is down', () => {
-	// Nothing can be read from the table; the peers keep too few changes, so one of them gives a snapshot.
+	// The table cannot be read, and the peers retain too few changes, so one of them sends a snapshot.
 	const network = new VirtualPeers(5);
 	const peers = network.startAll(names(5));
 	network.run(3000);
@@ -122,9 +122,9 @@
 	assert.deepEqual(late.keeper.state.workspaces, peers[0]!.keeper.state.workspaces);
 });
 
-test('that an endpoint leaves is known everywhere within a second', () => {
-	// Its owner reads it in the endpoint's own report; nobody else asks that endpoint, and callers of all instances must
-	// stop sending to it, also those in other cells.
+test('the leaving of an endpoint is known at all instances within a second', () => {
+	// The owner of the endpoint gets its report with the state `leaving`. No other instance polls that endpoint, but all of them,
+	// also those in other cells, must stop sending requests to it.
 	const network = new VirtualPeers(6);
 	const listed = endpoints(400);
 	const peers = network.startAll(names(48), listed);
@@ -137,8 +137,9 @@
 	assert.ok(took !== undefined && took <= 1000, `known after ${took} ms`);
 });
 
-test('a change that one data centre read reaches all eight, over the gateways between them', () => {
-	// Only the first data centre reaches the platform. Its instances tell the gateways of the others, and those theirs.
+test('a change that one data centre read reaches all eight over the bridges between them', () => {
+	// Only the first data centre reaches the platform. Its bridges announce the change to the bridges of the other data centres,
+	// and these to their own data centres.
 	const network = new VirtualPeers(7);
 	const peers = network.startAll(Array.from({length: 8}, (_, index) => names(9, `centre-${index}`)).flat());
 	network.run(6000);
--- a/src/peer/node/peer-node.ts
+++ b/src/peer/node/peer-node.ts
@@ -1,6 +1,7 @@
 /**
- * One instance among its peers: membership, configuration fan-out and load knowledge put together. Pure: it takes
- * messages and the present time, and gives messages to send; a shell (`src/peer/link`) or a test carries them.
+ * One node of the gossip between peers, which combines membership, the fan-out of configuration changes and the exchange of
+ * loads. It does no input or output and has no clock: it takes messages and the present time and returns the messages to
+ * send, which `src/peer/link` or a test delivers.
  */
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type ConfigurationChange, type ListedInstance} from '../../shared/types.js';
@@ -19,7 +20,7 @@
 /** Time between two heartbeats. */
 export const heartbeatMilliseconds = 1000;
 
-/** How many instances of a data centre read the table for changes. */
+/** How many instances of a data centre poll the table for configuration changes. */
 export const readersPerDataCentre = 2;
 
 const heartbeatJitter = 0.1;
@@ -45,7 +46,7 @@
 		this.membership = new Membership(options.self, now);
 		this.fanout = new ConfigurationFanout(options.keeper, options.random, options.askBackoffMilliseconds);
 		this.knowledge = new LoadKnowledge(options.self.name);
-		// Instances that were started together would otherwise send in step for ever.
+		// Without a random first delay, instances that start at the same time would always send at the same time.
 		this.#nextHeartbeatAt = now + (options.random() * heartbeatMilliseconds);
 	}
 
@@ -59,45 +60,45 @@
 		return this.#overlay.overlay;
 	}
 
-	/** Whether this instance is one of those that read the table for changes. */
+	/** Whether this instance is one of those that poll the table for configuration changes. */
 	get isReader(): boolean {
 		return bestMembers(readerKey, this.membership.ownLive(), readersPerDataCentre)
 			.some(({name}) => name === this.#options.self.name);
 	}
 
 	/**
-	 * Whether this instance does the work of a key, among the live ones of its data centre: a shard of a directory, an
-	 * endpoint to reconcile. Two views may both say yes, or for some seconds none; what must not be done twice needs a
-	 * fencing number or a claim besides.
+	 * Whether this instance owns a key among the live instances of its data centre; a key is a shard of a directory or an
+	 * endpoint to reconcile. While views differ, two instances may own a key, or none for some seconds. Work that must not be
+	 * done twice needs a fencing number or a claim as well.
 	 */
 	owns(key: string): boolean {
 		return this.ownerOf(key) === this.#options.self.name;
 	}
 
-	/** The name of the instance that does the work of a key, among the live ones of the data centre. */
+	/** The name of the instance that owns a key, among the live ones of the data centre. */
 	ownerOf(key: string): string {
 		return ownerOf(hashOfText(key), this.membership.ownLive())?.name ?? this.#options.self.name;
 	}
 
-	/** The peers to have links to, with their addresses. */
+	/** The peers to which links are wanted, with their addresses. */
 	wantedLinks(): Array<{name: string; peerAddress: string}> {
 		const retried = this.membership.member(this.#goneRetry.name);
 		return [...this.overlay.neighbours.values(), ...(retried === undefined ? [] : [retried])];
 	}
 
-	/** When `tick` should be called next, at the latest. */
+	/** The latest time at which `tick` has to be called again. */
 	get dueAt(): number {
 		return Math.min(this.fanout.dueAt, this.#nextHeartbeatAt, this.#rumours.dueAt);
 	}
 
-	/** Takes the platform's list. */
+	/** Applies the platform's list of instances. */
 	takeList(instances: readonly ListedInstance[], now: number): void {
 		this.membership.takeList(instances, now);
 		this.knowledge.takeEndpoints(instances);
 		this.#sharedRevision = -1;
 	}
 
-	/** Notes that a link came up, whoever dialled; both sides tell each other what they have. */
+	/** Handles a new link, whichever side dialled; both sides send a heartbeat and publish full load summaries next. */
 	linkUp(peer: MemberRumour, now: number): Outgoing[] {
 		this.#takeRumours([peer], now);
 		this.membership.heard(peer.name, peer.incarnation, now);
@@ -107,14 +108,14 @@
 		return this.#outbox.take();
 	}
 
-	/** Notes that a link ended. */
+	/** Handles the end of a link. */
 	linkDown(peer: string): void {
 		this.#outbox.linkDown(peer);
 		this.fanout.forget(peer);
 		this.#viewPace.forget(peer);
 	}
 
-	/** Takes a message. */
+	/** Handles a message of a peer. */
 	takeMessage(from: string, message: PeerMessage, now: number): Outgoing[] {
 		switch (message.kind) {
 			case 'hello':
@@ -166,13 +167,13 @@
 		return this.#outbox.take();
 	}
 
-	/** Tells peers of a change that came into force here by the table or an operator. */
+	/** Announces a change to the peers that came into force here through the table or an operator. */
 	changeInForce(change: ConfigurationChange): Outgoing[] {
 		this.#announce([change], '');
 		return this.#outbox.take();
 	}
 
-	/** Takes a report that this instance asked an endpoint for. */
+	/** Handles a load report that this instance polled from an endpoint. */
 	takeReport(name: string, report: LoadReport, now: number): Outgoing[] {
 		const message = this.knowledge.takeReport(name, report, now);
 		if (message !== undefined) {
@@ -182,13 +183,13 @@
 		return this.#outbox.take();
 	}
 
-	/** Says good-bye: the shards go to others at once. */
+	/** Announces the departure of this instance, so that its shards move to others at once. */
 	leave(): Outgoing[] {
 		this.#outbox.sendAll({...this.#heartbeat(), rumours: [{...this.membership.self, status: 'left'}]});
 		return this.#outbox.take();
 	}
 
-	/** Lets time pass. */
+	/** Does what is due at a time. */
 	tick(now: number): Outgoing[] {
 		this.#spread(this.membership.tick(new Set(this.overlay.neighbours.keys()), now), now);
 		const rumours = this.#rumours.takeDue(now);
--- a/src/peer/node/peer-outbox.ts
+++ b/src/peer/node/peer-outbox.ts
@@ -1,35 +1,34 @@
-/** Messages that wait to be sent, and the peers with a link. */
+/** The messages that are queued for sending, and the peers with a link. */
 import {type PeerMessage} from '../message/peer-message.js';
 
-/** A message and whom it is for. */
+/** A message and its receiver. */
 export type Outgoing = {to: string; message: PeerMessage};
 
 export class PeerOutbox {
-	/** Peers with a link, whoever wanted it: each gets heartbeats, as its view may make it expect them. */
+	/** Peers with a link, whichever side opened it: each gets heartbeats, since it may expect them by its own view. */
 	readonly #linked = new Set<string>();
 	#outgoing: Outgoing[] = [];
 
-	/** The names of the peers with a link. */
 	get linked(): ReadonlySet<string> {
 		return this.#linked;
 	}
 
-	/** Notes that a link came up. */
+	/** Adds a peer whose link came up. */
 	linkUp(peer: string): void {
 		this.#linked.add(peer);
 	}
 
-	/** Notes that a link ended. */
+	/** Removes a peer whose link ended. */
 	linkDown(peer: string): void {
 		this.#linked.delete(peer);
 	}
 
-	/** Leaves a message for a peer. */
+	/** Queues a message for a peer. */
 	send(to: string, message: PeerMessage): void {
 		this.#outgoing.push({to, message});
 	}
 
-	/** Leaves a message for every linked peer but one. */
+	/** Queues a message for every linked peer except one. */
 	sendAll(message: PeerMessage, except = ''): void {
 		for (const name of this.#linked) {
 			if (name !== except) {
@@ -38,7 +37,7 @@
 		}
 	}
 
-	/** Gives what waits, and forgets it. */
+	/** Returns the queued messages and empties the queue. */
 	take(): Outgoing[] {
 		const outgoing = this.#outgoing;
 		this.#outgoing = [];
--- a/src/peer/node/rumour-batch.ts
+++ b/src/peer/node/rumour-batch.ts
@@ -1,4 +1,4 @@
-/** Rumours wait a moment, so that a rack that dies, or a data centre that starts, is one message and not dozens. */
+/** Collects gossip updates for a short time, so that a rack's failure or a data centre's start is one message and not dozens. */
 import {type MemberRumour} from '../message/peer-message.js';
 
 const delayMilliseconds = 25;
@@ -7,18 +7,18 @@
 	readonly #rumours = new Map<string, MemberRumour>();
 	#dueAt = Number.POSITIVE_INFINITY;
 
-	/** When the rumours are to be sent. */
+	/** When the batch is to be sent; infinite while it is empty. */
 	get dueAt(): number {
 		return this.#dueAt;
 	}
 
-	/** Adds a rumour; the newest one of a member counts. */
+	/** Adds an update, which replaces an earlier one about the same member. */
 	add(rumour: MemberRumour, now: number): void {
 		this.#rumours.set(rumour.name, rumour);
 		this.#dueAt = Math.min(this.#dueAt, now + delayMilliseconds);
 	}
 
-	/** Gives the rumours once they are due, and forgets them; none before. */
+	/** Returns the updates once they are due, and empties the batch; returns none before. */
 	takeDue(now: number): MemberRumour[] {
 		if (now < this.#dueAt) {
 			return [];
--- a/src/peer/node/view-pace.ts
+++ b/src/peer/node/view-pace.ts
@@ -1,4 +1,7 @@
-/** Whole views go to a peer that has another one, but not too often: rumours under way explain most differences. */
+/**
+ * Limits how often the whole view is sent to a peer with a different one: most differences are resolved by gossip updates
+ * in flight.
+ */
 
 const pauseMilliseconds = 2000;
 
@@ -6,12 +9,12 @@
 	readonly #random: () => number;
 	readonly #sentAt = new Map<string, number>();
 
-	/** @param random - Gives numbers from 0 up to 1, from a seeded generator. */
+	/** @param random - Returns numbers from 0 up to 1, from a seeded generator. */
 	constructor(random: () => number) {
 		this.#random = random;
 	}
 
-	/** Tells whether the view goes to a peer now; true counts as sent. The first difference only starts the pause. */
+	/** Returns whether to send the view to a peer now; `true` counts as sent. The first difference only starts the interval. */
 	takeTurn(peer: string, now: number): boolean {
 		const sentAt = this.#sentAt.get(peer);
 		if (sentAt === undefined) {
@@ -27,7 +30,7 @@
 		return isDue;
 	}
 
-	/** Forgets a peer whose link ended. */
+	/** Removes the state of a peer whose link ended. */
 	forget(peer: string): void {
 		this.#sentAt.delete(peer);
 	}
