--- a/src/peer/configuration/configuration-fanout.ts
+++ b/src/peer/configuration/configuration-fanout.ts
@@ -1,10 +1,10 @@
 /**
- * Spreads configuration changes among peers. Every heartbeat announces the newest version; whoever sees a gap asks one
- * peer that has it, after a short random wait in which other peers' changes may still arrive, and never has two asks
- * open. Changes prove themselves by their chain of digests, so a peer is never trusted. Pure: time is an argument.
+ * Spreads configuration changes among peers. Every heartbeat announces the newest version. An instance that lacks changes
+ * queries one peer that has them, after a short random delay in which they may still arrive from other peers, and never has
+ * two queries open. Changes are verified by their chain of digests, so a peer need not be trusted. Time is an argument.
  *
- * The announcing of the newest number in each message and the random wait before asking come from Sixrm (Ferreira,
- * Orvalho, Boavida); docs/MEMBERSHIP.md tells what was taken and what was not, with the measurement.
+ * The announcement of the newest version in each message and the random delay before a query come from Sixrm (Ferreira,
+ * Orvalho, Boavida); docs/MEMBERSHIP.md describes which parts were adopted and which were not, with the measurement.
  */
 import {type ApplyFailure} from '../../protocol/configuration/apply-change.js';
 import {type ConfigurationState} from '../../protocol/configuration/configuration-state.js';
@@ -12,35 +12,35 @@
 import {type PeerMessage} from '../message/peer-message.js';
 import {snapshotOf} from './configuration-snapshot.js';
 
-/** `announce` sends numbers and lets peers ask; `push` sends each change on to all neighbours at once. */
+/** `announce` sends version numbers, after which peers query; `push` forwards each change to all neighbours at once. */
 export type FanoutMode = 'announce' | 'push';
 
-/** What the fan-out needs of the configuration in force. */
+/** The configuration in force, as the fan-out reads and changes it. */
 export interface ConfigurationKeeper {
 	readonly state: ConfigurationState;
-	/** Gives the failure of a change that does not follow, or `undefined` once it is in force. */
+	/** Brings a change into force. Returns why the change does not follow the present state, or `undefined` on success. */
 	offerChange(change: ConfigurationChange): ApplyFailure | undefined;
 }
 
-/** Changes kept for peers: at 0.27 a second about an hour, and at 600 bytes each about 0.6 MB. */
+/** Changes retained for peers: about an hour at 0.27 changes a second, and about 0.6 MB at 600 bytes each. */
 export const keptChanges = 1024;
 
-/** Most changes in one message, so that one frame stays far under its limit. */
+/** Maximum number of changes in one message, which keeps a frame far under its limit. */
 export const changesPerMessage = 64;
 
-/** The longest random wait before an ask. */
+/** The maximum random delay before a query. */
 export const askBackoffMilliseconds = 20;
 
-/** How long an ask may stay unanswered until another peer is asked: many round trips of a data centre. */
+/** Time without an answer after which another peer is queried: many round trips within a data centre. */
 export const askTimeoutMilliseconds = 100;
 
-/** How long a peer that sent a damaged change is not asked. */
+/** How long a peer that sent a damaged change is not queried. */
 export const distrustMilliseconds = 30_000;
 
 export class ConfigurationFanout {
-	/** Counts for the measurements: asks sent, changes that were already here, changes that did not prove themselves. */
+	/** Counts for measurements: queries sent, changes that were already in force, changes whose digest was wrong. */
 	readonly counts = {asks: 0, duplicates: 0, damaged: 0};
-	/** When `tick` has something to do; infinite if nothing is missing. */
+	/** When `tick` has to be called; infinite if no change is missing. */
 	dueAt = Number.POSITIVE_INFINITY;
 	readonly #keeper: ConfigurationKeeper;
 	readonly #random: () => number;
@@ -52,8 +52,8 @@
 
 	/**
 	 * @param keeper - The configuration in force.
-	 * @param random - Gives numbers from 0 up to 1, from a seeded generator.
-	 * @param backoffMilliseconds - The longest random wait before an ask.
+	 * @param random - Returns numbers from 0 up to 1, from a seeded generator.
+	 * @param backoffMilliseconds - The maximum random delay before a query.
 	 */
 	constructor(keeper: ConfigurationKeeper, random: () => number, backoffMilliseconds = askBackoffMilliseconds) {
 		this.#keeper = keeper;
@@ -61,12 +61,12 @@
 		this.#backoffMilliseconds = backoffMilliseconds;
 	}
 
-	/** Keeps a change that came into force here, from wherever, for peers that ask. */
+	/** Retains a change that came into force here, from any source, for peers that query it. */
 	keep(change: ConfigurationChange): void {
 		this.#kept = [...this.#kept.slice(1 - keptChanges), change];
 	}
 
-	/** Forgets a peer whose link ended. */
+	/** Removes the state of a peer whose link ended. */
 	forget(peer: string): void {
 		this.#announced.delete(peer);
 	}
@@ -76,19 +76,19 @@
 		return this.#announced.get(peer) ?? 0;
 	}
 
-	/** Takes the version that a peer announces. */
+	/** Handles the version that a peer announces. */
 	takeAnnouncement(peer: string, version: number, now: number): void {
 		this.#announced.set(peer, Math.max(version, this.announcedBy(peer)));
-		// While an ask is open, another peer's announcement must not bring a second one for the same changes.
+		// While a query is open, another peer's announcement must not cause a second one for the same changes.
 		if (version > this.#keeper.state.version && !this.#isAskOpen) {
 			this.dueAt = Math.min(this.dueAt, now + (this.#random() * this.#backoffMilliseconds));
 		}
 	}
 
 	/**
-	 * Takes changes from a peer.
+	 * Applies changes from a peer.
 	 *
-	 * @returns Those that came into force, oldest first.
+	 * @returns The changes that came into force, oldest first.
 	 */
 	takeChanges(peer: string, changes: readonly ConfigurationChange[], now: number): ConfigurationChange[] {
 		const applied: ConfigurationChange[] = [];
@@ -115,7 +115,7 @@
 		return applied;
 	}
 
-	/** Answers an ask, by changes if they are still kept, else by a snapshot. */
+	/** Answers a query for the changes after a version: with changes if they are still retained, otherwise with a snapshot. */
 	answer(after: number): PeerMessage | undefined {
 		const {state} = this.#keeper;
 		if (after >= state.version) {
@@ -127,10 +127,10 @@
 	}
 
 	/**
-	 * Sends an ask if one is due.
+	 * Starts a query if one is due.
 	 *
 	 * @param now - Milliseconds since the epoch.
-	 * @returns Whom to ask; `undefined` if nothing is due.
+	 * @returns The peer to query and the version after which changes are missing; `undefined` if no query is due.
 	 */
 	tick(now: number): {peer: string; after: number} | undefined {
 		if (now < this.dueAt) {
--- a/src/peer/configuration/configuration-snapshot.test.ts
+++ b/src/peer/configuration/configuration-snapshot.test.ts
@@ -5,9 +5,9 @@
 import {type ConfigurationEdit} from '../../shared/types.js';
 import {snapshotOf, stateOfSnapshot} from './configuration-snapshot.js';
 
-// An operator drains an endpoint. Later an instance is replaced, and the new one takes its configuration as a snapshot
-// of a peer. If the snapshot left a kind of item out, the new instance would send work to the drained endpoint at the
-// same version and digest as the others, and nothing would ever correct it.
+// An operator drains an endpoint. Later an instance is replaced, and the new one gets its configuration as a snapshot of a
+// peer. If the snapshot omitted a kind of item, the new instance would send requests to the drained endpoint. Its version and
+// digest would be those of the others, so nothing would correct it.
 test('a snapshot carries every kind of item', () => {
 	const edits: ConfigurationEdit[] = [
 		{
--- a/src/peer/configuration/configuration-snapshot.ts
+++ b/src/peer/configuration/configuration-snapshot.ts
@@ -1,4 +1,4 @@
-/** A whole configuration as a message, for an instance whose missing changes nobody keeps any more. */
+/** Encodes a whole configuration for an instance whose missing changes its peers no longer retain. */
 import {
 	configurationKinds, type ConfigurationState, emptyConfiguration, itemsOfKind,
 } from '../../protocol/configuration/configuration-state.js';
@@ -9,7 +9,7 @@
 import {type ConfigurationSnapshot} from '../message/peer-message.js';
 
 /**
- * Writes a configuration as a snapshot.
+ * Encodes a configuration as a snapshot.
  *
  * @param state - The configuration in force.
  * @returns The snapshot.
@@ -23,10 +23,10 @@
 }
 
 /**
- * Reads a snapshot.
+ * Decodes a snapshot.
  *
- * @param snapshot - As it came from a peer.
- * @returns The configuration; `undefined` if it was damaged on its way.
+ * @param snapshot - The snapshot as a peer sent it.
+ * @returns The configuration; `undefined` if the snapshot is damaged.
  */
 export function stateOfSnapshot(snapshot: ConfigurationSnapshot): ConfigurationState | undefined {
 	const {version, digest, items, contentDigest} = snapshot;
--- a/src/peer/configuration/look-schedule.ts
+++ b/src/peer/configuration/look-schedule.ts
@@ -1,12 +1,13 @@
 /**
- * When an instance looks into the table for changes: a reader often, the others seldom, and nobody in step. While the
- * table is away looks become rarer, so that its return is not met by all at once. Pure: time is an argument.
+ * Schedules when an instance polls the table for configuration changes: often if it is a reader, rarely otherwise, and with
+ * jitter. While the table is unavailable the intervals grow, so that not all instances poll at its return. Time is an
+ * argument.
  */
 
-/** Time between two looks of an instance that is no reader: 744 of them are 74 reads a second of the table's 2,000. */
+/** Mean time between two polls of a non-reader: 744 such instances make 74 reads a second, of 2,000 that the table serves. */
 export const seldomMilliseconds = 10_000;
 
-/** The longest time between two looks of a reader while the table is away; a change then is still in force within 3 s. */
+/** Maximum time between two polls of a reader while the table is unavailable; after it a change is in force within 3 s. */
 export const longestReaderMilliseconds = 2000;
 
 const jitter = 0.2;
@@ -17,12 +18,12 @@
 	readonly #random: () => number;
 	#lookedAt = Number.NEGATIVE_INFINITY;
 	#failures = 0;
-	/** A draw for each look, so that asking twice whether it is due does not move it. */
+	/** One random number for each poll, so that repeated checks whether it is due agree. */
 	#draw: number;
 
 	/**
-	 * @param usualMilliseconds - Time between two looks of a reader.
-	 * @param random - Gives numbers from 0 up to 1, from a seeded generator.
+	 * @param usualMilliseconds - Time between two polls of a reader while the table is available.
+	 * @param random - Returns numbers from 0 up to 1, from a seeded generator.
 	 */
 	constructor(usualMilliseconds: number, random: () => number) {
 		this.#usualMilliseconds = usualMilliseconds;
@@ -30,12 +31,12 @@
 		this.#draw = random();
 	}
 
-	/** Whether a look is due. */
+	/** Whether a poll is due. */
 	isDue(isReader: boolean, now: number): boolean {
 		return now - this.#lookedAt >= this.#interval(isReader);
 	}
 
-	/** Notes a look. */
+	/** Notes a poll and whether the table answered. */
 	looked(isAnswered: boolean, now: number): void {
 		this.#lookedAt = now;
 		this.#failures = isAnswered ? 0 : this.#failures + 1;
