--- a/src/peer/link/peer-link.ts
+++ b/src/peer/link/peer-link.ts
@@ -1,6 +1,6 @@
 /**
- * One TCP connection to a peer: hello first, then the proof of the shared secret, then messages. What cannot be sent fast enough is dropped and counted, as
- * every message is either repeated by itself or asked for again.
+ * One TCP connection to a peer: each side sends a hello, the proof of the shared secret, and then messages. Messages that
+ * cannot be sent fast enough are dropped and counted, since each of them is either sent again periodically or queried again.
  */
 import {type Buffer} from 'node:buffer';
 import {createHmac, randomUUID} from 'node:crypto';
@@ -10,13 +10,13 @@
 	type Hello, type MemberRumour, negotiatedVersion, type PeerMessage, peerMessageKinds, type VersionRange,
 } from '../message/peer-message.js';
 
-/** Most bytes that wait in a connection. A peer that reads nothing costs no more memory than this. */
+/** Maximum number of bytes queued in a connection. A peer that reads nothing costs no more memory than this. */
 export const queueLimitBytes = 262_144;
 
-/** How long the other side may take to say hello. */
+/** How long the other side may take for its hello and its proof. */
 export const helloTimeoutMilliseconds = 3000;
 
-/** What passed over the links of one instance, for measurements and operators. */
+/** Counts of all links of one instance, for measurements and operators. */
 export type LinkCounts = {
 	bytesIn: number;
 	bytesOut: number;
@@ -26,10 +26,10 @@
 	unknownKinds: number;
 };
 
-/** What a link tells its owner. */
+/** The owner of links: provides what they need, and is notified of their events. */
 export interface LinkOwner {
 	readonly versions: VersionRange;
-	/** The same on all instances; whoever does not know it is no peer. */
+	/** The same on all instances; a process that does not know it is not accepted as a peer. */
 	readonly secret: string;
 	self(): MemberRumour;
 	linkReady(link: PeerLink): void;
@@ -38,12 +38,12 @@
 }
 
 export class PeerLink {
-	/** The peer as its hello gave it; undefined until it has proved that it is one. */
+	/** The peer as its hello describes it; undefined until it has proved that it knows the secret. */
 	peer: MemberRumour | undefined;
-	/** The protocol version that both speak; 0 until the hello. */
+	/** The negotiated protocol version; 0 until the hello. */
 	version = 0;
 	readonly dialled: boolean;
-	/** How many messages came in; a shell that sees it stand still closes the link. */
+	/** How many messages were received; the service closes a link on which this number does not grow. */
 	received = 0;
 	readonly #socket: Socket;
 	readonly #owner: LinkOwner;
@@ -57,8 +57,8 @@
 	/**
 	 * @param socket - A connection that is open or being opened.
 	 * @param dialled - Whether this side opened it.
-	 * @param owner - Who is told.
-	 * @param counts - Counted up in place.
+	 * @param owner - Is notified of the link's events.
+	 * @param counts - Incremented in place.
 	 */
 	constructor(socket: Socket, dialled: boolean, owner: LinkOwner, counts: LinkCounts) {
 		this.#socket = socket;
@@ -66,9 +66,9 @@
 		this.#owner = owner;
 		this.#counts = counts;
 		socket.setNoDelay(true);
-		// Not an idle timeout of the socket, which a peer could put off with a byte now and then.
+		// An idle timeout of the socket would not do, since a peer could extend it with a byte now and then.
 		this.#helloTimer = setTimeout(() => {
-			this.close('no hello in time');
+			this.close('timed out before the proof');
 		}, helloTimeoutMilliseconds);
 		socket.on('data', bytes => {
 			this.#take(bytes);
@@ -89,12 +89,12 @@
 		}
 	}
 
-	/** Sends a message, or drops it while too much is waiting. */
+	/** Sends a message, or drops it while the queue is full. */
 	send(message: PeerMessage): void {
 		this.sendFrame(encodeMessage(message));
 	}
 
-	/** Sends an encoded message, so that one for many peers is encoded once. */
+	/** Sends an encoded message, so that a message for many peers is encoded only once. */
 	sendFrame(frame: Buffer): void {
 		if (this.#socket.writableLength + frame.length > queueLimitBytes) {
 			this.#counts.dropped++;
@@ -106,13 +106,13 @@
 		this.#socket.write(frame);
 	}
 
-	/** Ends the connection. */
+	/** Closes the connection at once. */
 	close(reason: string): void {
 		this.#closeReason = reason;
 		this.#socket.destroy();
 	}
 
-	/** Ends the connection behind what was sent. */
+	/** Closes the connection after the queued messages. */
 	end(): void {
 		this.#closeReason = 'ended';
 		this.#socket.end();
@@ -142,8 +142,8 @@
 				this.#takeMessage(value);
 			}
 		} catch (error) {
-			// A message with members missing or of another type, from a faulty release, would otherwise end the process and
-			// with it the data path. The link is of no use, but nothing else is touched.
+			// A message of a faulty release, with missing members or members of another type, would otherwise crash the process
+			// and with it the data path. Only the link is closed.
 			this.close(`malformed message: ${String(error)}`);
 		}
 	}
@@ -153,7 +153,7 @@
 		this.received++;
 		const kind = typeof value === 'object' && value !== null && 'kind' in value ? String(value.kind) : '';
 		if (!peerMessageKinds.has(kind)) {
-			// A newer release may say more than this one understands; the negotiated version makes that harmless.
+			// A newer release may send kinds that this one does not know; the negotiated version makes this harmless.
 			this.#counts.unknownKinds++;
 			return;
 		}
@@ -164,7 +164,7 @@
 		} else if (message.kind === 'proof') {
 			this.#takeProof(message.digest);
 		} else if (this.peer === undefined) {
-			this.close('message before the proof');
+			this.close('message before the proof of the shared secret');
 		} else {
 			this.#owner.linkMessage(this, message);
 		}
@@ -183,13 +183,13 @@
 	}
 
 	/**
-	 * Configuration is taken from peers, so whoever can connect could otherwise bring a configuration of its own into
-	 * force. The proof covers this side's challenge, so that one overheard on another link is worth nothing.
+	 * Checks the peer's proof. Peers supply the configuration, so without it any process that can connect could bring its own
+	 * configuration into force. The proof covers this side's challenge, so that a proof recorded on another link is useless.
 	 */
 	#takeProof(digest: string): void {
 		const hello = this.#hello;
 		if (hello === undefined || digest !== this.#proofOf(hello.from.name, this.#challenge)) {
-			this.close('no proof of the shared secret');
+			this.close('wrong proof of the shared secret');
 			return;
 		}
 
--- a/src/peer/link/peer-service.test.ts
+++ b/src/peer/link/peer-service.test.ts
@@ -63,12 +63,12 @@
 async function until(holds: () => boolean): Promise<void> {
 	const end = Date.now() + limitMilliseconds;
 	while (!holds()) {
-		assert.ok(Date.now() < end, 'it did not come about in time');
+		assert.ok(Date.now() < end, 'timed out while waiting for a condition');
 		await systemClock.sleep(stepMilliseconds, new AbortController().signal);
 	}
 }
 
-/** Connects as the peer `b`, says hello and proves the secret; reads nothing after that. */
+/** Connects as the peer `b` and sends its hello and proof; reads nothing after that. */
 async function connectAsPeer(one: Running): Promise<Socket> {
 	const socket = connect({host: '127.0.0.1', port: Number(one.address.split(':')[1])});
 	socket.write(encodeMessage({
@@ -90,7 +90,7 @@
 	}
 }
 
-test('two releases side by side speak the older version, and a change passes between them', async () => {
+test('two releases side by side use the older protocol version and exchange a change', async () => {
 	const old = new Running('a', {least: 1, newest: 1});
 	const later = new Running('b', {least: 1, newest: 2});
 	await together([old, later]);
@@ -102,8 +102,8 @@
 	await Promise.all([old.stop(), later.stop()]);
 });
 
-test('releases without a common version stay apart', async () => {
-	// Neither may take the other's messages for something else. Each goes on by itself, from the table.
+test('releases without a common protocol version do not link', async () => {
+	// Neither may misinterpret the other's messages. Each goes on separately and reads changes from the table.
 	const old = new Running('a', {least: 1, newest: 1});
 	const later = new Running('b', {least: 2, newest: 3});
 	await together([old, later]);
@@ -112,7 +112,7 @@
 	await Promise.all([old.stop(), later.stop()]);
 });
 
-test('a peer that sends too long a frame, or speaks before its hello, is cut off and costs nothing else', async () => {
+test('a connection with a frame over the limit, or with a message before the hello, is closed, and the service goes on', async () => {
 	const one = await new Running('a').start();
 	const port = Number(one.address.split(':')[1]);
 	const head = Buffer.alloc(4);
@@ -132,13 +132,13 @@
 	await one.stop();
 });
 
-test('a peer that reads nothing holds a bounded queue, and the rest is dropped and counted', async () => {
+test('the queue for a peer that reads nothing is bounded, and further messages are dropped and counted', async () => {
 	const one = await new Running('a').start();
 	const socket = await connectAsPeer(one);
 	await until(() => one.service.linked.length === 1);
 	socket.pause();
 	for (let version = 1; one.service.counts.dropped === 0; version++) {
-		assert.ok(version < 200_000, 'nothing is dropped');
+		assert.ok(version < 200_000, 'no message was dropped');
 		one.service.leave();
 	}
 
@@ -146,8 +146,8 @@
 	await one.stop();
 });
 
-test('a peer that sends a message with members missing is cut off, and the process goes on', async () => {
-	// A faulty release sends a view without members. Reading it throws; that must end the link and not the data path.
+test('the link of a peer that sends a message with missing members is closed, and the process goes on', async () => {
+	// A faulty release sends a view without members. Handling it throws, which must close the link and not crash the process.
 	const one = await new Running('a').start();
 	const socket = await connectAsPeer(one);
 	await until(() => one.service.linked.length === 1);
@@ -159,8 +159,8 @@
 	await one.stop();
 });
 
-test('a peer that drips its hello is cut off in time', async () => {
-	// Guards against connections that are held for good by sending a byte before each idle timeout.
+test('a connection that sends its hello byte by byte is closed after the timeout', async () => {
+	// Guards against connections that are kept open without end by a byte before each idle timeout.
 	const one = await new Running('a').start();
 	const socket = connect({host: '127.0.0.1', port: Number(one.address.split(':')[1])});
 	const head = Buffer.alloc(4);
@@ -176,8 +176,8 @@
 	assert.equal(isClosed, true);
 });
 
-test('whoever does not know the shared secret is no peer', async () => {
-	// It could otherwise bring a configuration of its own into force everywhere.
+test('a process that does not know the shared secret gets no link', async () => {
+	// It could otherwise bring its own configuration into force at all instances.
 	const [first, stranger] = [new Running('a'), new Running('b', spokenVersions, [], 'another secret')];
 	await together([first, stranger]);
 	await until(() => first.service.counts.messagesIn > 1 && stranger.service.counts.messagesIn > 1);
@@ -185,7 +185,7 @@
 	await Promise.all([first.stop(), stranger.stop()]);
 });
 
-test('a peer that starts anew is linked again', async () => {
+test('a restarted peer is linked again', async () => {
 	const first = new Running('a');
 	const second = new Running('b');
 	await together([first, second]);
@@ -198,9 +198,9 @@
 	await Promise.all([first.stop(), again.stop()]);
 });
 
-test('an instance that starts without the platform\'s list finds its peers by its settings, and gets the changes', async () => {
-	// The platform is away altogether: no list, no table. The one address in its settings is enough; that peer tells it of
-	// the others, and it asks for what it lacks.
+test('an instance that starts without the platform\'s list finds its peers by the seeds in its settings, and gets the changes', async () => {
+	// The platform is unavailable: there is neither list nor table. One seed address is enough: that peer announces the others,
+	// and the instance queries the changes that it lacks.
 	const [first, second] = [new Running('a'), new Running('b')];
 	await together([first, second]);
 	const change = changeOf(first.keeper.state, 1);
--- a/src/peer/link/peer-service.ts
+++ b/src/peer/link/peer-service.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a `PeerNode` over TCP: listens, dials the peers that the node wants, carries its messages, and lets it feel time
- * pass. A child of the entry's supervisor; if it fails it starts anew, with its membership kept.
+ * Runs a `PeerNode` over TCP: listens, dials the peers to which the node wants links, sends its messages, and calls its
+ * `tick`. It is a child of the entry's supervisor; when it is restarted after a failure, it keeps its membership.
  */
 import {type Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -24,30 +24,30 @@
 const longestTickMilliseconds = 100;
 const shortestTickMilliseconds = 2;
 
-/** The larger name dials too when the smaller one has not done so for this long; it may not know of this instance. */
+/** The peer with the smaller name dials. If it has not done so after this time, it may not know the other, which dials too. */
 const dialAnywayMilliseconds = 1500;
 
-/** How long a link that this side dialled outlives the wish for it; views differ for a moment after each change. */
+/** How long this side keeps a dialled link that it no longer wants, because views differ for a while after each change. */
 const unwantedLinkMilliseconds = 10_000;
 
 /**
- * Silence after which a link is closed. After a cut TCP sends again at growing distances, up to minutes; without this a
- * link would stay silent for as long again as the cut had lasted.
+ * Idle timeout of a link. After a network partition TCP retransmits at growing intervals of up to minutes; without this
+ * timeout a link would stay unusable for another time as long as the partition.
  */
 const silentLinkMilliseconds = 8000;
 
-/** Most connections from outside; far over the links of any overlay. */
+/** Maximum number of incoming connections; far more than the links of any overlay. */
 const acceptedLimit = 256;
 
 export type PeerServiceOptions = Omit<PeerNodeOptions, 'self'> & {
 	instance: string;
 	dataCentre: string;
-	/** `IP:port`; port 0 takes a free one. */
+	/** `IP:port`; port 0 selects a free port. */
 	listenAddress: string;
 	/** The same on all instances. */
 	secret: string;
 	clock: Clock;
-	/** Addresses to dial while there is no link at all, for a start without the platform's list. */
+	/** Addresses to dial while there is no link, for a start without the platform's list. */
 	seeds?: readonly string[];
 	versions?: VersionRange;
 	onLinkClosed?(peer: string, reason: string): void;
@@ -83,7 +83,7 @@
 		this.#server.maxConnections = acceptedLimit;
 	}
 
-	/** The node; there is one once `listen` has resolved. */
+	/** The node; available once `listen` has resolved. */
 	get node(): PeerNode {
 		return this.#node!;
 	}
@@ -93,7 +93,7 @@
 		return [...this.#links.keys()];
 	}
 
-	/** Starts to listen. Resolves with `IP:port`. */
+	/** Starts to listen. Resolves with the address as `IP:port`. */
 	async listen(): Promise<string> {
 		const {listenAddress, instance, dataCentre, clock} = this.#options;
 		const separator = listenAddress.lastIndexOf(':');
@@ -130,22 +130,22 @@
 		this.#close();
 	}
 
-	/** Says good-bye to the peers, so that they take over at once. */
+	/** Announces the departure of this instance, so that the peers take over its shards at once. */
 	leave(): void {
 		this.#carry(this.node.leave());
 	}
 
-	/** Takes the platform's list. */
+	/** Applies the platform's list of instances. */
 	takeList(instances: readonly ListedInstance[]): void {
 		this.node.takeList(instances, this.#options.clock.now());
 	}
 
-	/** Takes a report that this instance asked an endpoint for. */
+	/** Handles a load report that this instance polled from an endpoint. */
 	takeReport(name: string, report: LoadReport): void {
 		this.#carry(this.node.takeReport(name, report, this.#options.clock.now()));
 	}
 
-	/** Tells peers of a change that came into force here by the table or an operator. */
+	/** Announces a change to the peers that came into force here through the table or an operator. */
 	changeInForce(change: ConfigurationChange): void {
 		this.#carry(this.node.changeInForce(change));
 	}
@@ -158,11 +158,11 @@
 		const peer = link.peer!;
 		const other = this.#links.get(peer.name);
 		if (other !== undefined && other !== link) {
-			// Both sides dialled, or the peer was replaced. The newest link is the one that surely has a living other end;
-			// when two live ones cross, both sides settle on the one that the smaller name dialled.
+			// Both sides dialled, or the peer was restarted. After a restart only the newest link is sure to be connected to a
+			// running process. Of two links that both sides dialled, both keep the one that the smaller name dialled.
 			const isCrossed = other.peer?.incarnation === peer.incarnation && other.dialled !== link.dialled;
 			const keepsNew = !isCrossed || link.dialled === (this.#options.instance < peer.name);
-			(keepsNew ? other : link).close('a second link');
+			(keepsNew ? other : link).close('duplicate link');
 			if (!keepsNew) {
 				return;
 			}
@@ -204,7 +204,7 @@
 		}
 	}
 
-	/** Without a link and without the platform's list nobody is known; the settings may name some who were there. */
+	/** Without a link and without the platform's list no peer is known, but the settings may name addresses of peers. */
 	#dialSeeds(now: number): void {
 		for (const seed of this.#links.size === 0 ? this.#options.seeds ?? [] : []) {
 			const dial = this.#seedDials.get(seed) ?? {
@@ -235,7 +235,7 @@
 				this.#unwantedSince.delete(name);
 			} else if (now - (this.#unwantedSince.get(name) ?? now) > unwantedLinkMilliseconds) {
 				this.#unwantedSince.delete(name);
-				link.close('not wanted any more');
+				link.close('no longer wanted by the overlay');
 			} else if (!this.#unwantedSince.has(name)) {
 				this.#unwantedSince.set(name, now);
 			}
--- a/src/peer/link/redial-delay.ts
+++ b/src/peer/link/redial-delay.ts
@@ -1,15 +1,15 @@
-/** How long to wait before a peer is dialled again. */
+/** The delay before a peer is dialled again: exponential backoff with jitter. */
 
 const firstDelayMilliseconds = 200;
 const longestDelayMilliseconds = 5000;
 
 /**
- * Gives the wait before the next try.
+ * Computes the delay before the next dial.
  *
- * The whole of the wait is random: after a rack comes back, or a cut ends, peers that all waited the same time would
- * dial at the same moment.
+ * Most of the delay is random: after a rack has recovered or a partition has ended, peers with the same delay would dial at
+ * the same time.
  *
- * @param failures - Tries that failed in a row, at least 1.
+ * @param failures - Dials that failed in a row, at least 1.
  * @param random - A number from 0 up to 1.
  * @returns Milliseconds.
  */
