--- a/src/peer/knowledge/load-knowledge.ts
+++ b/src/peer/knowledge/load-knowledge.ts
@@ -1,7 +1,7 @@
 /**
- * What this instance learns and passes on of the endpoints' load. It asks only the endpoints that it owns by rendezvous
- * hash and tells its cell; while instances are few the cell is everybody, so everybody knows every endpoint. That an
- * endpoint leaves is told to all neighbours and passed on, so it crosses the data centre. Pure: time is an argument.
+ * Exchanges the loads of endpoints among peers. An instance polls only the endpoints that it owns by rendezvous hashing, and
+ * publishes their loads to its cell; while instances are few the cell contains all of them, so each knows all loads. The
+ * leaving of an endpoint is sent to all neighbours and forwarded by them across the data centre. Time is an argument.
  */
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type ListedInstance} from '../../shared/types.js';
@@ -11,21 +11,21 @@
 import {hashOfText, ownerOf} from '../sharing/rendezvous.js';
 import {summaryOf} from './load-summary.js';
 
-/** The shortest time between two tellings. */
+/** The minimum time between two messages to the cell. */
 export const tellMilliseconds = 500;
 
-/** The bytes a second that tellings may take; with many owned endpoints or a large cell they come less often. */
+/** Bytes a second for messages to the cell. With many owned endpoints or a large cell, messages are less frequent. */
 export const tellBudgetBytes = 700;
 
-/** How often the whole summary goes out, for peers that missed it. */
+/** How often the full summary is sent, for peers that missed it. */
 export const wholeSummaryMilliseconds = 30_000;
 
-/** Age at which an instance asks an endpoint itself, because its owner seems to be gone: three of the fastest tellings. */
+/** Age of a load at which an instance polls an endpoint of another owner, which seems to have failed: three minimum intervals. */
 export const ownAskAfterMilliseconds = 1500;
 
 type Known = {summary: LoadSummary; heardAt: number; toldWholeAt: number; toldAt: number};
 
-/** An endpoint's summary as it came to be known, for the shell to hand to the directory. */
+/** An endpoint's summary as it was received, for the endpoint directory. */
 export type LearnedLoad = {name: string; summary: LoadSummary; measuredAt: number};
 
 export class LoadKnowledge {
@@ -44,16 +44,16 @@
 		return this.owned().length;
 	}
 
-	/** How many endpoints it has a summary of. */
+	/** How many endpoints this instance has a summary of. */
 	get knownCount(): number {
 		return this.#known.size;
 	}
 
 	/**
-	 * Whether this instance is to know an endpoint's load: its own, those of its cell, and any that is not shared out yet.
+	 * Whether this instance should know an endpoint's load: if the owner is itself or in its cell, or not assigned yet.
 	 *
 	 * @param name - The endpoint.
-	 * @param cell - The peers that tell this instance, by name.
+	 * @param cell - The peers that publish to this instance, by name.
 	 */
 	expects(name: string, cell: ReadonlyMap<string, Member>): boolean {
 		const owner = this.#endpoints.get(hashOfText(name))?.owner ?? '';
@@ -65,7 +65,7 @@
 		return [...this.#endpoints.values()].filter(({owner}) => owner === this.#self).map(({name}) => name);
 	}
 
-	/** Takes the endpoints of the list: model engines and plain services alike, since both report their load. */
+	/** Replaces the endpoints by those of the list: model engines and plain services, since both report their load. */
 	takeEndpoints(instances: readonly ListedInstance[]): void {
 		const listed = new Set<number>();
 		for (const {name, role, dataCentre} of instances) {
@@ -85,9 +85,9 @@
 	}
 
 	/**
-	 * Shares the endpoints out anew over the live members of their data centre, or over all when it has none.
+	 * Assigns each endpoint an owner among the live members of its data centre, or among all if that has none.
 	 *
-	 * @returns How many endpoints this instance took and released.
+	 * @returns How many endpoints this instance acquired and released.
 	 */
 	shareOut(all: readonly Member[]): {taken: number; released: number} {
 		const shared = {taken: 0, released: 0};
@@ -107,14 +107,14 @@
 	}
 
 	/**
-	 * Names the endpoints to ask now: the owned ones, and those of the cell that were not told of for too long, because
-	 * their owner seems to be gone.
+	 * Returns the endpoints to poll now: the owned ones, and those of the cell whose load was published too long ago, because
+	 * their owner seems to have failed.
 	 *
 	 * @param now - Milliseconds since the epoch.
-	 * @param cell - The peers that tell this instance, by name.
+	 * @param cell - The peers that publish to this instance, by name.
 	 */
 	toAsk(now: number, cell: ReadonlyMap<string, Member>): string[] {
-		// Where tellings are far apart because there is much to tell, the owner's are as rare as this instance's own.
+		// If the messages of this instance are rare because they are large, the owner's messages are as rare.
 		const ownAskAfter = Math.max(ownAskAfterMilliseconds, this.#tellInterval * 1.5);
 		return [...this.#endpoints]
 			.filter(([key, {owner}]) => owner === this.#self
@@ -123,9 +123,9 @@
 	}
 
 	/**
-	 * Takes a report that this instance asked for.
+	 * Handles a report that this instance polled.
 	 *
-	 * @returns A message for all neighbours when the endpoint began to leave.
+	 * @returns A message for all neighbours if the endpoint has begun to leave.
 	 */
 	takeReport(name: string, report: LoadReport, now: number): PeerMessage | undefined {
 		const summary = summaryOf(name, report);
@@ -133,9 +133,9 @@
 	}
 
 	/**
-	 * Takes summaries from a peer.
+	 * Handles summaries from a peer.
 	 *
-	 * @returns What was learned, and a message to pass on when an endpoint began to leave.
+	 * @returns The received loads, and a message to forward if an endpoint has begun to leave.
 	 */
 	takeLoads(message: Extract<PeerMessage, {kind: 'loads'}>, now: number): {learned: LearnedLoad[]; passOn?: PeerMessage} {
 		const measuredAt = now - message.age;
@@ -153,9 +153,9 @@
 	}
 
 	/**
-	 * Gives what to tell the cell now.
+	 * Returns the message to publish to the cell, if one is due.
 	 *
-	 * @param cellSize - How many peers it will be sent to.
+	 * @param cellSize - The number of peers that will receive it.
 	 * @param now - Milliseconds since the epoch.
 	 */
 	tell(cellSize: number, now: number): PeerMessage | undefined {
@@ -191,7 +191,7 @@
 			};
 	}
 
-	/** Has whole summaries told next time, because a peer is new. */
+	/** Makes the next message contain full summaries, for a new peer. */
 	tellWhole(): void {
 		for (const known of this.#known.values()) {
 			known.toldWholeAt = 0;
@@ -199,7 +199,7 @@
 		}
 	}
 
-	/** Notes a summary. Gives true when it says for the first time that its endpoint leaves. */
+	/** Stores a summary. Returns whether it is the first one with the state `leaving`. */
 	#learn(summary: LoadSummary, heardAt: number): boolean {
 		const known = this.#known.get(summary.endpoint);
 		if (known !== undefined && known.heardAt > heardAt) {
--- a/src/peer/knowledge/load-summary.ts
+++ b/src/peer/knowledge/load-summary.ts
@@ -1,4 +1,4 @@
-/** Turns an endpoint's load report into the summary that peers get, and back. */
+/** Converts an endpoint's load report to the summary that is sent to peers, and back. */
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type LoadSummary} from '../message/peer-message.js';
 import {hashOfText} from '../sharing/rendezvous.js';
@@ -6,11 +6,11 @@
 const keptDigits = 2;
 
 /**
- * Makes a summary.
+ * Creates the summary of a report.
  *
  * @param name - The endpoint's name.
- * @param report - Its report.
- * @returns The summary, with large numbers rounded to two digits: a routing choice needs no more.
+ * @param report - The endpoint's load report.
+ * @returns The summary, with token counts and rates rounded to two significant digits, which is enough for routing.
  */
 export function summaryOf(name: string, report: LoadReport): LoadSummary {
 	return {
@@ -30,9 +30,9 @@
 }
 
 /**
- * Makes a report of a summary.
+ * Creates a report from a summary.
  *
- * @param summary - As it came from a peer.
+ * @param summary - The summary as a peer sent it.
  * @param measuredAt - Time of measurement in milliseconds since the epoch, by this instance's clock.
  * @returns The report.
  */
