--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -174,7 +174,7 @@
 		this.#stop.abort();
 		this.#eventLoopLag.stop();
 		this.#exchanges.close();
-		// These two are not awaited: the load balancer and the metrics scraper simply send their next request elsewhere.
+		// These two are not awaited: the load balancer and the metrics scraper can send their next requests to other instances.
 		void this.#ready.drain();
 		void this.#metricsListener.drain();
 		log.record('stopped', {openRequests: this.#front.open, milliseconds: Math.round(clock.moment().steady - startedAt)});
--- a/src/gateway/observability/decision-log.ts
+++ b/src/gateway/observability/decision-log.ts
@@ -44,7 +44,7 @@
 /**
  * How long counts of lines that were left out wait for the next line of their kind. If no such line follows, a count of the
  * written lines would be taken for the number of all events, so a `left-out` line reports the counts after this time. Its
- * 150 bytes in 5 s are 1% of the byte rate, and a process that is killed loses the counts of no longer a time than this.
+ * 150 bytes in 5 s are 1% of the byte rate, and a process that is killed loses the counts of this time at most.
  */
 export const leftOutWaitMilliseconds = 5000;
 
--- a/src/gateway/observability/line-budget.ts
+++ b/src/gateway/observability/line-budget.ts
@@ -5,7 +5,7 @@
  * its lines about failures out of that window, so that an engineer who looks for a failure a minute later finds only
  * successes. Therefore all lines together have a rate in bytes, and each rank may use the allowance only down to a reserve
  * for the ranks above it. Lines of ordinary requests are left out first; however many there are, half of the burst stays
- * available to the other ranks. Failures have a reserve of their own besides, for the case that endpoints fail.
+ * available to the other ranks. In addition, failures have a reserve of their own, for the case that endpoints fail.
  */
 
 /**
@@ -34,8 +34,8 @@
 /**
  * Bytes that failures may write beyond the burst. With the rest of the burst they hold both lines, 860 bytes together, of
  * each of 80 requests that are aborted when two endpoints fail at once, after any number of other lines. Without this
- * reserve, 10 of the 80 had both lines. It is separate from the burst: with a burst of three times the size, the failures
- * would have to be refilled first, and the refusals that follow them and ordinary requests would have no line for some 15 s.
+ * reserve, 10 of the 80 had both lines. It is separate from the burst: with a burst of three times the size, the bytes of the
+ * failures would have to be refilled first, and later refusals and ordinary requests would have no line for some 15 s.
  * A collector that retains 142 KB still holds some 15 s of the lines before.
  */
 export const savedBytes = 65_536;
--- a/src/gateway/watchers/catalog.ts
+++ b/src/gateway/watchers/catalog.ts
@@ -1,4 +1,4 @@
-/** Decodes the store's rows into configurations, target weights and endpoints; one implementation per row format. */
+/** Decodes the store's rows into configurations, named weights and endpoints; one implementation per row format. */
 import {type Either} from 'purify-ts/Either';
 import {type JsonValue} from '../../shared/types.js';
 import {type RoutedConfiguration} from '../../shared/routed-configuration.js';
--- a/src/gateway/watchers/loading-engines.ts
+++ b/src/gateway/watchers/loading-engines.ts
@@ -18,7 +18,7 @@
 	#engines: ReadonlySet<string> = new Set();
 	#heardAt = Number.NEGATIVE_INFINITY;
 
-	/** @param now - Gives milliseconds of the steady clock. */
+	/** @param now - Returns milliseconds of the steady clock. */
 	constructor(now: () => number) {
 		this.#now = now;
 	}
--- a/src/peer/knowledge/load-knowledge.ts
+++ b/src/peer/knowledge/load-knowledge.ts
@@ -20,7 +20,7 @@
 /** How often the full summary is sent, for peers that missed it. */
 export const wholeSummaryMilliseconds = 30_000;
 
-/** Age of a load at which an instance polls an endpoint of another owner, which seems to have failed: three minimum intervals. */
+/** Age of a load at which its owner seems to have failed and this instance polls the endpoint: three minimum intervals. */
 export const ownAskAfterMilliseconds = 1500;
 
 type Known = {summary: LoadSummary; heardAt: number; toldWholeAt: number; toldAt: number};
--- a/src/peer/link/peer-service.ts
+++ b/src/peer/link/peer-service.ts
@@ -145,7 +145,7 @@
 		this.#carry(this.node.takeReport(name, report, this.#options.clock.now()));
 	}
 
-	/** Announces a change to the peers that came into force here through the table or an operator. */
+	/** Announces to the peers a change that came into force here through the table or an operator. */
 	changeInForce(change: ConfigurationChange): void {
 		this.#carry(this.node.changeInForce(change));
 	}
--- a/src/peer/node/peer-node.ts
+++ b/src/peer/node/peer-node.ts
@@ -167,7 +167,7 @@
 		return this.#outbox.take();
 	}
 
-	/** Announces a change to the peers that came into force here through the table or an operator. */
+	/** Announces to the peers a change that came into force here through the table or an operator. */
 	changeInForce(change: ConfigurationChange): Outgoing[] {
 		this.#announce([change], '');
 		return this.#outbox.take();
