--- a/src/gateway/configuration/configuration-view.ts
+++ b/src/gateway/configuration/configuration-view.ts
@@ -1,11 +1,11 @@
 /**
  * The configuration in force at this instance, and for how long it is valid.
  *
- * It guards against two failures. A late or duplicate read returns an older version: only a higher version is accepted. An
- * instance that is partitioned from the store goes on accepting a key that was revoked long ago: validity is a lease. The
- * lease counts from the sending of the last answered read, because the answer describes the table at that time or later; a
- * read that hangs does not extend it. A revocation that the answer misses was therefore acknowledged after the lease began,
- * so with a lease of the permitted length no key is accepted beyond its bound.
+ * It guards against two failures. A late or duplicate read could bring back an older version: only a higher version is
+ * accepted. An instance that is partitioned from the store could go on accepting a key that was revoked long ago: validity
+ * is a lease. The lease counts from the sending of the last answered read, because the answer describes the table at that
+ * time or later; a read that hangs does not extend it. A revocation that the answer misses was therefore acknowledged after
+ * the lease began, so with a lease of the permitted length no key is accepted beyond its bound.
  */
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
 import {type RoutedConfiguration} from '../../shared/routed-configuration.js';
--- a/src/gateway/watchers/feed-follower.test.ts
+++ b/src/gateway/watchers/feed-follower.test.ts
@@ -144,7 +144,7 @@
 });
 
 test('a failure at the reader is handled before the rows that disappear because of it', async () => {
-	// Guards against endpoints that are dropped because their rows expired while other instances could not reach the store.
+	// Guards against endpoints that are dropped because their rows expired in an outage of the store that only the reader saw.
 	const {follower, heard} = followerOf([found([], 5)]);
 	await follower.step();
 	follower.takeRelayed(newsOf({failedMilliseconds: 300}), at(600));
--- a/src/peer/message/peer-message.ts
+++ b/src/peer/message/peer-message.ts
@@ -73,7 +73,7 @@
 	contentDigest: string;
 };
 
-/** Any message. In `loads`, `age` is that of the oldest report; it is no time, because clocks of instances are never compared. */
+/** Any message. In `loads`, `age` is that of the oldest report; times are not sent, since clocks of instances may differ. */
 export type PeerMessage
 	= | Hello
 		| {kind: 'proof'; digest: string}
