--- a/src/adapters/answer-size.test.ts
+++ b/src/adapters/answer-size.test.ts
@@ -17,7 +17,7 @@
 
 const calls: Record<string, (address: string) => Promise<unknown>> = {
 	'a JSON exchange': async address => exchangeJson({method: 'GET', url: `http://${address}/`, timeoutMilliseconds: 1000}).catch(String),
-	'a cache store': async address => new HttpCacheStore().oldest(address, 1),
+	'a cache store': async address => new HttpCacheStore().leastRecentlyUsed(address, 1),
 	'an object store': async address => new HttpObjectStore(address).read('key'),
 	'a weight store': async address => new HttpWeightStore(address).versions('model'),
 	'a plain service': async address => new HttpPlainService().call(address, {
--- a/src/adapters/http-cache-store.test.ts
+++ b/src/adapters/http-cache-store.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
-import {sealOf} from '../protocol/cache/piece-seal.js';
+import {sealOf} from '../protocol/cache/block-seal.js';
 import {CacheStoreStandIn} from '../stand-in/cache-store-stand-in.js';
 import {startStandIn} from '../stand-in/stand-in-server.js';
 import {connectionEndings, startEndingServer} from '../test/ending-server.js';
@@ -63,7 +63,7 @@
 		const cutPiece = await startEndingServer(context, `${head}${sealHead}\r\n${content.toString().slice(0, 5)}`, ending);
 		for (let count = 0; count < 50; count++) {
 			for (const address of [half, nothing]) {
-				const asked = await Promise.all([store.findPieces(address, ['key']), store.oldest(address, 1)]
+				const asked = await Promise.all([store.findBlocks(address, ['key']), store.leastRecentlyUsed(address, 1)]
 					.map(async listed => listed.then(answer => (answer.extract() as {kind: string}).kind, (error: unknown) => `threw ${(error as Error).name}`)));
 				outcomes.add(asked.join(' '));
 			}
--- a/src/adapters/http-cache-store.ts
+++ b/src/adapters/http-cache-store.ts
@@ -3,9 +3,9 @@
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type Dispatcher} from 'undici';
 import {
-	type CacheStore, type CacheStoreFailure, type PieceName, type PieceSeal, type StoredPiece,
+	type CacheStore, type CacheStoreFailure, type BlockGeneration, type BlockSeal, type SealedBlock,
 } from '../ports/cache-store.js';
-import {checkPiece} from '../protocol/cache/piece-seal.js';
+import {verifyBlock} from '../protocol/cache/block-seal.js';
 import {connectionPool, describeError} from './http-client.js';
 import {readWholeJson} from './whole-body.js';
 
@@ -20,40 +20,40 @@
 type Judge<Value> = (answer: Answer) => Promise<Either<CacheStoreFailure, Value>>;
 
 export class HttpCacheStore implements CacheStore {
-	async write(address: string, piece: PieceName, content: Buffer): Promise<Either<CacheStoreFailure, void>> {
+	async write(address: string, piece: BlockGeneration, content: Buffer): Promise<Either<CacheStoreFailure, void>> {
 		return exchange(address, {method: 'PUT', path: pathOf(piece), body: content}, judgeWrite);
 	}
 
-	async seal(address: string, piece: PieceName, seal: PieceSeal): Promise<Either<CacheStoreFailure, void>> {
+	async seal(address: string, piece: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, void>> {
 		return exchange(address, {method: 'POST', path: `${pathOf(piece)}/seal`, body: JSON.stringify(seal)}, judgeWrite);
 	}
 
-	async read(address: string, piece: PieceName, seal: PieceSeal): Promise<Either<CacheStoreFailure, Buffer>> {
+	async read(address: string, piece: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, Buffer>> {
 		return exchange(address, {method: 'GET', path: pathOf(piece)}, async ({statusCode, headers, body}) => {
 			// The seal is older than this reading, so it also proves that the whole piece came.
 			const content = Buffer.from(await body.arrayBuffer());
 			return statusCode === 200
-				? checkPiece(seal, {length: Number(headers['x-length']), digest: String(headers['x-digest'])}, content)
+				? verifyBlock(seal, {length: Number(headers['x-length']), digest: String(headers['x-digest'])}, content)
 				: Left(failureOf(statusCode));
 		});
 	}
 
-	async findPieces(address: string, pieceKeys: readonly string[]): Promise<Either<CacheStoreFailure, StoredPiece[]>> {
+	async findBlocks(address: string, pieceKeys: readonly string[]): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 		return exchange(address, {
 			method: 'POST', path: '/find', body: JSON.stringify({pieceKeys}), timeoutMilliseconds: findTimeoutMilliseconds,
 		}, judgeList);
 	}
 
-	async oldest(address: string, count: number): Promise<Either<CacheStoreFailure, StoredPiece[]>> {
+	async leastRecentlyUsed(address: string, count: number): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 		return exchange(address, {method: 'GET', path: `/oldest?count=${count}`}, judgeList);
 	}
 
-	async free(address: string, piece: PieceName): Promise<Either<CacheStoreFailure, void>> {
+	async free(address: string, piece: BlockGeneration): Promise<Either<CacheStoreFailure, void>> {
 		return exchange(address, {method: 'DELETE', path: pathOf(piece)}, judgeWrite);
 	}
 }
 
-function pathOf({pieceKey, generation}: PieceName): string {
+function pathOf({pieceKey, generation}: BlockGeneration): string {
 	return `/pieces/${encodeURIComponent(pieceKey)}/${encodeURIComponent(generation)}`;
 }
 
@@ -72,12 +72,12 @@
 	}
 }
 
-async function judgeList(answer: Answer): Promise<Either<CacheStoreFailure, StoredPiece[]>> {
+async function judgeList(answer: Answer): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 	if (answer.statusCode !== 200) {
 		return judgeRefusal(answer);
 	}
 
-	const {pieces} = await readWholeJson('GET', answer) as unknown as {pieces: StoredPiece[]};
+	const {pieces} = await readWholeJson('GET', answer) as unknown as {pieces: SealedBlock[]};
 	return Right(pieces);
 }
 
--- a/src/adapters/http-model-engine.test.ts
+++ b/src/adapters/http-model-engine.test.ts
@@ -112,7 +112,7 @@
 	for (const ending of connectionEndings) {
 		const address = await startEndingServer(t, 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf of a piece', ending);
 		for (let count = 0; count < 100; count++) {
-			const exported = await engine.exportPiece(address, 'key');
+			const exported = await engine.exportBlock(address, 'key');
 			outcomes.add(`${ending}: ${exported.caseOf({Left: ({kind}) => kind, Right: String})}`);
 		}
 	}
--- a/src/adapters/http-model-engine.ts
+++ b/src/adapters/http-model-engine.ts
@@ -96,7 +96,7 @@
 		}
 	}
 
-	async exportPiece(address: string, pieceKey: string): Promise<Either<EngineFailure, Buffer | undefined>> {
+	async exportBlock(address: string, pieceKey: string): Promise<Either<EngineFailure, Buffer | undefined>> {
 		try {
 			const answer = await connectionPool.request({
 				origin: `http://${address}`, path: `/kv/${pieceKey}`, method: 'GET', signal: AbortSignal.timeout(controlTimeoutMilliseconds),
@@ -109,7 +109,7 @@
 		}
 	}
 
-	async importPiece(address: string, {pieceKey, weightVersion}: {pieceKey: string; weightVersion: string}, content: Buffer): Promise<Either<EngineFailure, void>> {
+	async importBlock(address: string, {pieceKey, weightVersion}: {pieceKey: string; weightVersion: string}, content: Buffer): Promise<Either<EngineFailure, void>> {
 		try {
 			const answer = await connectionPool.request({
 				origin: `http://${address}`, path: `/kv/${pieceKey}`, method: 'PUT', headers: {'x-weight-version': weightVersion}, body: content, signal: AbortSignal.timeout(controlTimeoutMilliseconds),
--- a/src/cache/piece-keys.test.ts
+++ b/src/cache/block-keys.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {cacheSaltOf, pieceCharacters, pieceKeysOf} from './piece-keys.js';
+import {cacheSaltOf, blockCharacters, promptBlockKeysOf} from './block-keys.js';
 
-const prompt = 'rulebook '.repeat(pieceCharacters);
+const prompt = 'rulebook '.repeat(blockCharacters);
 const keysOf = (workspace: string, weightVersion: string): string[] =>
-	pieceKeysOf({salt: cacheSaltOf('a secret of all instances', workspace), model: 'permit-1', weightVersion}, prompt);
+	promptBlockKeysOf({salt: cacheSaltOf('a secret of all instances', workspace), model: 'permit-1', weightVersion}, prompt);
 
 test('two workspaces with the same prompt share no cache key', () => {
 	// One workspace sends the same prompt as another. With equal keys it would get the other's cached blocks, and could infer
--- a/src/cache/piece-keys.ts
+++ b/src/cache/block-keys.ts
@@ -6,13 +6,13 @@
 import {createHmac} from 'node:crypto';
 
 /** Characters of a prompt per block: about 2,048 tokens at 4 characters per token. */
-export const pieceCharacters = 8192;
+export const blockCharacters = 8192;
 
 /** Estimated characters per token; only the engine knows the exact number. */
 export const charactersPerToken = 4;
 
 /** What the keys of a prompt's blocks depend on, besides the prompt. */
-export type PieceOwner = {
+export type BlockScope = {
 	/** The workspace's salt; see `cacheSaltOf`. */
 	salt: string;
 	model: string;
@@ -37,13 +37,13 @@
  * @param prompt - The whole prompt as one text.
  * @returns A key per complete block, which depends on all blocks before it. An incomplete last block has no key.
  */
-export function pieceKeysOf(owner: PieceOwner, prompt: string): string[] {
-	const pieces = Math.floor(prompt.length / pieceCharacters);
+export function promptBlockKeysOf(scope: BlockScope, prompt: string): string[] {
+	const blockCount = Math.floor(prompt.length / blockCharacters);
 	const keys: string[] = [];
-	let previous = `${owner.model}|${owner.weightVersion}`;
-	for (let index = 0; index < pieces; index++) {
-		const text = prompt.slice(index * pieceCharacters, (index + 1) * pieceCharacters);
-		previous = createHmac('sha256', owner.salt).update(previous).update('|').update(text).digest('hex');
+	let previous = `${scope.model}|${scope.weightVersion}`;
+	for (let index = 0; index < blockCount; index++) {
+		const text = prompt.slice(index * blockCharacters, (index + 1) * blockCharacters);
+		previous = createHmac('sha256', scope.salt).update(previous).update('|').update(text).digest('hex');
 		keys.push(previous);
 	}
 
--- a/src/check/order-scenario.ts
+++ b/src/check/order-scenario.ts
@@ -3,7 +3,7 @@
  * they stand still or their orders come late. The endpoint that checks numbers never goes back to an older holder's
  * order, and no two holders have one number.
  */
-import {takeFencingNumber} from '../protocol/order/fencing-number.js';
+import {allocateFencingNumber} from '../protocol/order/fencing-number.js';
 import {FaultyTable, TableRows} from './faulty-table.js';
 import {type Scenario} from './scenario.js';
 import {virtualProcess, type VirtualWorld} from './virtual-world.js';
@@ -30,7 +30,7 @@
 
 	async #order(world: VirtualWorld, name: string): Promise<void> {
 		const process = virtualProcess(name);
-		const taken = await takeFencingNumber(new FaultyTable(world, this.#rows, process), {endpoint: 'engine-1', holder: name}, world.now);
+		const taken = await allocateFencingNumber(new FaultyTable(world, this.#rows, process), {endpoint: 'engine-1', holder: name}, world.now);
 		if (taken.isLeft()) {
 			return;
 		}
--- a/src/check/returning-over-processes.ts
+++ b/src/check/returning-over-processes.ts
@@ -4,7 +4,7 @@
  * of the prompts.
  */
 import {setTimeout as delay} from 'node:timers/promises';
-import {pieceCharacters} from '../cache/piece-keys.js';
+import {blockCharacters} from '../cache/block-keys.js';
 import {sendPrompt} from '../demo/demo-client.js';
 import {quantileOf} from '../demo/demo-report.js';
 import {demoDeclarationPath, permitsModelService} from '../demo/demo-declaration.js';
@@ -16,7 +16,7 @@
 const answerTokens = 6;
 /** Blocks of 512 tokens that an engine holds: 40,000 characters are 19. */
 const cacheBlocks = '40';
-const wholePiecesOfPrompt = Math.floor(promptCharacters / pieceCharacters);
+const wholePiecesOfPrompt = Math.floor(promptCharacters / blockCharacters);
 const settleMilliseconds = 20;
 /** Ten seconds: saves are tried for 1.4 s, one prompt behind the other. */
 const settleTries = 500;
--- a/src/check/stream-scenario.ts
+++ b/src/check/stream-scenario.ts
@@ -37,7 +37,7 @@
 
 	#attempt(world: VirtualWorld): void {
 		const {choices} = world;
-		if (this.#relay.attempt >= attemptLimit || this.#relay.whole) {
+		if (this.#relay.attempt >= attemptLimit || this.#relay.isComplete) {
 			return;
 		}
 
--- a/src/decision/parts/plan-parts.test.ts
+++ b/src/decision/parts/plan-parts.test.ts
@@ -5,7 +5,7 @@
 const store = (name: string, capacityTokens: number): NamedStore => ({
 	name,
 	store: {
-		address: `${name}:1`, dataCentre: 'split', capacityTokens, linkMegabitsPerSecond: 65_000, firstMilliseconds: 1, isManaged: true,
+		address: `${name}:1`, dataCentre: 'split', capacityTokens, linkMegabitsPerSecond: 65_000, transferLatencyMilliseconds: 1, isManaged: true,
 	},
 });
 const stores = [store('small', 100_000), store('large', 500_000)];
--- a/src/decision/parts/plan-parts.ts
+++ b/src/decision/parts/plan-parts.ts
@@ -16,8 +16,8 @@
  * arrives some hundred milliseconds later.
  */
 import {type StoreTraits} from '../../shared/routed-configuration.js';
-import {type PromptPart} from '../../shared/prompt-shape.js';
-import {partKey} from '../../protocol/parts/part-key.js';
+import {type PromptBlock} from '../../shared/prompt-shape.js';
+import {blockKey} from '../../protocol/blocks/block-key.js';
 import {hashOf} from '../../shared/hash-of.js';
 
 /** Where blocks are stored and cached, as far as known now. Keys are `salt|id`. */
@@ -64,12 +64,12 @@
 	 * @param known - What they and the engines hold.
 	 * @param now - Milliseconds of the steady clock.
 	 */
-	plan(parts: readonly PromptPart[], salt: string, {stores, known}: {stores: readonly NamedStore[]; known: PartKnowledge}, now: number): PartPlan {
+	plan(parts: readonly PromptBlock[], salt: string, {stores, known}: {stores: readonly NamedStore[]; known: PartKnowledge}, now: number): PartPlan {
 		const plan: PartPlan = {
 			fetchFrom: [], saveTo: [], used: [],
 		};
 		for (const {id, tokens} of parts) {
-			const key = partKey({salt, id});
+			const key = blockKey({salt, id});
 			const holder = stores.find(({name}) => known.holds(name, key));
 			const source = holder?.store.address ?? known.engineSource(key);
 			plan.fetchFrom.push(source);
@@ -104,7 +104,7 @@
  * The store that a new block is saved to: the first in its order with room; if none has room, the first one, which then
  * evicts other blocks.
  */
-function storeWithRoom({id, tokens}: PromptPart, stores: readonly NamedStore[], known: PartKnowledge): NamedStore | undefined {
+function storeWithRoom({id, tokens}: PromptBlock, stores: readonly NamedStore[], known: PartKnowledge): NamedStore | undefined {
 	const order = storesInOrder(id, stores.filter(({name}) => known.isOpen(name)));
 	return order.find(({name, store}) => known.heldTokens(name) + tokens <= roomShare * store.capacityTokens) ?? order[0];
 }
--- a/src/decision/placement/candidate-estimates.ts
+++ b/src/decision/placement/candidate-estimates.ts
@@ -178,7 +178,7 @@
 
 	/** The work that a prompt would cause at an engine. */
 	#workAt(request: PlacementRequest, endpoint: EndpointRecord, isHome: boolean, now: number): PromptWork {
-		const {parts} = request.prompt!;
+		const {blocks: parts} = request.prompt!;
 		const version = endpoint.weightVersions.get(request.prompt!.model);
 		const fetchable = version === undefined ? [] : request.fetchableUnder(version);
 		const kept = request.keptAt(endpoint);
@@ -200,12 +200,12 @@
 
 /** Tokens of shared blocks that an engine would have to prefill. */
 function unreadSharedTokens({prompt}: PlacementRequest, {readTokens}: PromptWork): number {
-	return Math.max(0, readTokens - (prompt?.parts.at(-1)?.tokens ?? 0));
+	return Math.max(0, readTokens - (prompt?.blocks.at(-1)?.tokens ?? 0));
 }
 
 /** KV memory that a prompt needs from start to end, in tokens. */
 export function heldTokensOf({prompt}: PlacementRequest): number {
-	return prompt === undefined ? 0 : prompt.promptTokens + prompt.mostOutputTokens;
+	return prompt === undefined ? 0 : prompt.promptTokens + prompt.maxOutputTokens;
 }
 
 /** The scope of cached blocks at an engine. It includes the weight version, since blocks from other weights do not match. */
--- a/src/decision/placement/cost-placement.test.ts
+++ b/src/decision/placement/cost-placement.test.ts
@@ -17,7 +17,7 @@
 		rank: 2,
 		objectiveMilliseconds: 1000,
 		prompt: {
-			model: 'permit', promptTokens: 11_000, mostOutputTokens: 60, parts: [{id: 'all', tokens: 500}, {id: subject, tokens: 8000}, {id, tokens: 2500}],
+			model: 'permit', promptTokens: 11_000, maxOutputTokens: 60, blocks: [{id: 'all', tokens: 500}, {id: subject, tokens: 8000}, {id, tokens: 2500}],
 		},
 		cacheScope: 'shared',
 		engine: {
--- a/src/decision/placement/cost-placement.ts
+++ b/src/decision/placement/cost-placement.ts
@@ -90,7 +90,7 @@
 					rank: request.rank, heldTokens: heldTokensOf(request), unreadTokens: this.#estimates.unreadTokensOf(request, endpoint, event.basis), basis: event.basis,
 				}, now);
 				if (request.prompt !== undefined) {
-					this.#memories.partsOf(endpoint, request.engine?.capacityTokens ?? 0).learn(scopeAt(request, endpoint), request.prompt.parts, now);
+					this.#memories.partsOf(endpoint, request.engine?.capacityTokens ?? 0).learn(scopeAt(request, endpoint), request.prompt.blocks, now);
 				}
 
 				break;
--- a/src/decision/placement/fetch-speed.test.ts
+++ b/src/decision/placement/fetch-speed.test.ts
@@ -27,7 +27,7 @@
 	const requestOf = (id: string, parts: Array<{id: string; tokens: number}>): PlacementRequest => testPromptRequest({
 		id,
 		prompt: {
-			model: 'lease', promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0), mostOutputTokens: 20, parts,
+			model: 'lease', promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0), maxOutputTokens: 20, blocks: parts,
 		},
 		engine: traits,
 		fetchableUnder: () => parts.map(({tokens}) => tokens > 10_000),
--- a/src/decision/placement/fresh-news.test.ts
+++ b/src/decision/placement/fresh-news.test.ts
@@ -32,7 +32,7 @@
 		rank: 1,
 		objectiveMilliseconds,
 		prompt: {
-			model: 'permit', promptTokens: readTokens, mostOutputTokens: 40, parts: [{id, tokens: readTokens}],
+			model: 'permit', promptTokens: readTokens, maxOutputTokens: 40, blocks: [{id, tokens: readTokens}],
 		},
 		cacheScope: 'shared',
 		engine: {
--- a/src/decision/placement/home-of.ts
+++ b/src/decision/placement/home-of.ts
@@ -15,7 +15,7 @@
  * @param count - Maximum number of engines to return.
  * @returns The owner first; empty without engines or blocks.
  */
-export function homesOf({parts}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
+export function homesOf({blocks: parts}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
 	const part = parts.at(-2) ?? parts.at(-1);
 	if (part === undefined) {
 		return [];
--- a/src/decision/placement/long-among-short.test.ts
+++ b/src/decision/placement/long-among-short.test.ts
@@ -28,7 +28,7 @@
 		rank,
 		objectiveMilliseconds,
 		prompt: {
-			model: 'lease', promptTokens, mostOutputTokens: 20, parts: [{id, tokens: promptTokens}],
+			model: 'lease', promptTokens, maxOutputTokens: 20, blocks: [{id, tokens: promptTokens}],
 		},
 	});
 }
--- a/src/decision/placement/near-source.test.ts
+++ b/src/decision/placement/near-source.test.ts
@@ -23,7 +23,7 @@
 		id,
 		objectiveMilliseconds,
 		prompt: {
-			model: 'lease', promptTokens: sharedTokens + ownTokens, mostOutputTokens: 20, parts: [{id: `s-${id}`, tokens: sharedTokens}, {id, tokens: ownTokens}],
+			model: 'lease', promptTokens: sharedTokens + ownTokens, maxOutputTokens: 20, blocks: [{id: `s-${id}`, tokens: sharedTokens}, {id, tokens: ownTokens}],
 		},
 		fetchableUnder: () => [true, false],
 		isSourceNear,
--- a/src/decision/placement/prompt-work.test.ts
+++ b/src/decision/placement/prompt-work.test.ts
@@ -3,7 +3,7 @@
 import {promptWork} from './prompt-work.js';
 
 const prompt = {
-	model: 'permit', promptTokens: 1600, mostOutputTokens: 10, parts: [{id: 'all', tokens: 100}, {id: 'subject', tokens: 1000}, {id: 'own', tokens: 500}],
+	model: 'permit', promptTokens: 1600, maxOutputTokens: 10, blocks: [{id: 'all', tokens: 100}, {id: 'subject', tokens: 1000}, {id: 'own', tokens: 500}],
 };
 const sources = (kept: number[], fetchable: boolean[]) => ({
 	keptTokens: (index: number) => kept[index] ?? 0, isFetchable: (index: number) => fetchable[index] ?? false,
--- a/src/decision/placement/prompt-work.ts
+++ b/src/decision/placement/prompt-work.ts
@@ -28,7 +28,7 @@
  * @param prompt - Its last block is its own and is never fetched.
  * @param sources - Where its blocks are cached.
  */
-export function promptWork({parts, promptTokens}: PromptShape, sources: PartSources): PromptWork {
+export function promptWork({blocks: parts, promptTokens}: PromptShape, sources: PartSources): PromptWork {
 	let keptTokens = 0;
 	let fetchTokens = 0;
 	for (const [index, {tokens}] of parts.entries()) {
--- a/src/decision/placement/shortlist.test.ts
+++ b/src/decision/placement/shortlist.test.ts
@@ -15,7 +15,7 @@
 	rank: 0,
 	objectiveMilliseconds: 500,
 	prompt: {
-		model: 'm', promptTokens: 1000, mostOutputTokens: 10, parts: [{id: `shared-${id}`, tokens: 800}, {id, tokens: 200}],
+		model: 'm', promptTokens: 1000, maxOutputTokens: 10, blocks: [{id: `shared-${id}`, tokens: 800}, {id, tokens: 200}],
 	},
 	cacheScope: 'shared',
 	engine: undefined,
--- a/src/decision/testing/test-prompt-request.ts
+++ b/src/decision/testing/test-prompt-request.ts
@@ -8,7 +8,7 @@
 		rank: 1,
 		objectiveMilliseconds: 600,
 		prompt: {
-			model: 'lease', promptTokens: 640, mostOutputTokens: 20, parts: [{id: 'own', tokens: 640}],
+			model: 'lease', promptTokens: 640, maxOutputTokens: 20, blocks: [{id: 'own', tokens: 640}],
 		},
 		cacheScope: 'shared',
 		engine: {
--- a/src/entry/callers/caller-routes.ts
+++ b/src/entry/callers/caller-routes.ts
@@ -2,7 +2,7 @@
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type EventHandler, H3, type HTTPError} from 'h3';
 import {type Either, Left, Right} from 'purify-ts/Either';
-import {charactersPerToken} from '../../cache/piece-keys.js';
+import {charactersPerToken} from '../../cache/block-keys.js';
 import {nodeRoute, type NodeExchange} from '../../shared/node-route.js';
 import {promptTextOf} from '../../shared/prompt-text-of.js';
 import {type Refusal, type ServiceItem, type WorkspaceItem} from '../../shared/types.js';
--- a/src/entry/callers/completion-runner.ts
+++ b/src/entry/callers/completion-runner.ts
@@ -2,11 +2,11 @@
  * Serves one admitted prompt: chooses an endpoint, relays its stream, and goes on at another endpoint from the token
  * that is due when a stream breaks. Prompts are idempotent, so an attempt may be repeated; the caller sees one answer.
  */
-import {cacheSaltOf, pieceKeysOf} from '../../cache/piece-keys.js';
+import {cacheSaltOf, promptBlockKeysOf} from '../../cache/block-keys.js';
 import {RetryBudget} from '../../decision/limits/retry-budget.js';
 import {type EndpointView, type RouteRequest, type RoutingPolicy} from '../../decision/routing/routing-policy.js';
 import {
-	beginAttempt, emptyAnswer, forgetTokens, type RelayState,
+	beginAttempt, emptyAnswer, discardTokens, type RelayState,
 } from '../../protocol/stream/stream-relay.js';
 import {type Refusal} from '../../shared/types.js';
 import {type KeptContext} from '../kept/kept-context.js';
@@ -63,7 +63,7 @@
 			const choice = this.#policy.choose(route, this.#endpointsFor(job, progress), this.#context.clock.now());
 			if (choice.kind === 'none') {
 				if (progress.relay.tokensPassedOn > 0 && sink.takeBack()) {
-					progress = {...progress, relay: forgetTokens(progress.relay)};
+					progress = {...progress, relay: discardTokens(progress.relay)};
 					continue;
 				}
 
@@ -148,7 +148,7 @@
 
 	#pieceKeys(job: CompletionJob): RouteRequest['pieceKeys'] {
 		const {workspace, weightVersion} = job.route;
-		return pieceKeysOf({salt: this.#saltOf(workspace), model: job.request.model, weightVersion}, job.prompt);
+		return promptBlockKeysOf({salt: this.#saltOf(workspace), model: job.request.model, weightVersion}, job.prompt);
 	}
 
 	/** A salt does not change while a process lives; there are as many as workspaces. */
--- a/src/entry/callers/never-twice-runner.ts
+++ b/src/entry/callers/never-twice-runner.ts
@@ -12,7 +12,7 @@
 	type ClaimDecision, type ClaimEvent, type ClaimOutcome, type ClaimStep, type FoundClaim,
 } from '../../protocol/claim/claim-steps.js';
 import {
-	type ClaimRow, claimTable, recordAnswer, replayAnswer,
+	type ClaimRow, claimTable, toRecordedAnswer, toPlainAnswer,
 } from '../../protocol/claim/claim-row.js';
 import {changeKeyOf, configurationTable, readChangesAfter} from '../../protocol/configuration/configuration-table.js';
 import {type Refusal} from '../../shared/types.js';
@@ -54,14 +54,14 @@
 	async run(call: NeverTwiceCall): Promise<Either<Refusal, PlainAnswer>> {
 		const {clock, endpoints, configuration} = this.#context;
 		const claimsPerSecond = configuration.state.limits.get('claims-per-second')?.value ?? defaultClaimsPerSecond;
-		const refusal = this.#budget.enter({instances: endpoints.entryCount, claimsPerSecond}, clock.now());
+		const refusal = this.#budget.acquire({instances: endpoints.entryCount, claimsPerSecond}, clock.now());
 		if (refusal !== undefined) {
 			return Left(refusal);
 		}
 
 		return new Promise(resolve => {
 			const driven = this.#drive(call, resolve).finally(() => {
-				this.#budget.leave();
+				this.#budget.release();
 				this.#open.delete(driven);
 			});
 			this.#open.add(driven);
@@ -89,7 +89,7 @@
 				return;
 			}
 
-			decision = machine.take(await this.#carryOut(call, decision.next), clock.now());
+			decision = machine.handle(await this.#carryOut(call, decision.next), clock.now());
 		}
 	}
 
@@ -111,7 +111,7 @@
 				const sent = await call.send();
 				return sent.caseOf<ClaimEvent>({
 					Left: failure => failure.kind === 'not-sent' ? {kind: 'not-sent', detail: failure.detail} : {kind: 'send-lost'},
-					Right: answer => ({kind: 'answered', answer: recordAnswer(answer)}),
+					Right: answer => ({kind: 'answered', answer: toRecordedAnswer(answer)}),
 				});
 			}
 
@@ -172,7 +172,7 @@
 	}
 
 	#observe(answered: boolean): void {
-		this.#budget.observe(answered, this.#context.clock.now());
+		this.#budget.recordTableAnswer(answered, this.#context.clock.now());
 	}
 }
 
@@ -181,5 +181,5 @@
 }
 
 function resultOf(outcome: ClaimOutcome): Either<Refusal, PlainAnswer> {
-	return outcome.kind === 'answer' ? Right(replayAnswer(outcome.answer)) : Left(outcome.refusal);
+	return outcome.kind === 'answer' ? Right(toPlainAnswer(outcome.answer)) : Left(outcome.refusal);
 }
--- a/src/entry/kept/cache-event-reader.ts
+++ b/src/entry/kept/cache-event-reader.ts
@@ -2,13 +2,13 @@
  * Reads engines' cache events into this instance's beliefs of who keeps which prefix: all engines in turn, and those that
  * a prompt is about to rely on at once. Events that come late or not at all make a belief wrong; the answers correct it.
  */
-import {pieceCharacters, charactersPerToken} from '../../cache/piece-keys.js';
+import {blockCharacters, charactersPerToken} from '../../cache/block-keys.js';
 import {type KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
 import {type EndpointView} from '../../decision/routing/routing-policy.js';
 import {type EntryContext} from '../entry-context.js';
 
 /** Tokens of one piece, as keys are made. */
-export const pieceTokens = pieceCharacters / charactersPerToken;
+export const pieceTokens = blockCharacters / charactersPerToken;
 /** Events read so recently are not read again for the next prompt, which bounds what hot prefixes cost an engine. */
 const freshMilliseconds = 100;
 /** A prompt waits no longer than this for an engine's events, and then relies on what was believed before. */
--- a/src/entry/kept/kept-context.test.ts
+++ b/src/entry/kept/kept-context.test.ts
@@ -5,7 +5,7 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {HttpCacheStore} from '../../adapters/http-cache-store.js';
 import {HttpModelEngine} from '../../adapters/http-model-engine.js';
-import {pieceKeysOf} from '../../cache/piece-keys.js';
+import {promptBlockKeysOf} from '../../cache/block-keys.js';
 import {KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
 import {type LinkEstimate} from '../../decision/routing/link-estimate.js';
 import {LeastLoadedPolicy} from '../../decision/routing/least-loaded-policy.js';
@@ -60,7 +60,7 @@
 		service: 'permits',
 		weightVersion: 'w1',
 		priority: 'urgent',
-		promptTokens: prompt.length / 4, pieceKeys: pieceKeysOf(owner, prompt), avoid: [], deadline: 0,
+		promptTokens: prompt.length / 4, pieceKeys: promptBlockKeysOf(owner, prompt), avoid: [], deadline: 0,
 	};
 	entry.context.endpoints.takeList([first!, second!].map(({name, address, dataCentre, service}) => ({
 		name, role: 'model-engine', dataCentre, service, address, peerAddress: '', state: 'live',
@@ -177,7 +177,7 @@
 	assert.equal(await saver.save({
 		store: 'store-1', storeAddress: scene.storeStandIn.address, endpointAddress: scene.first.address, pieceKeys: scene.route.pieceKeys.slice(2),
 	}, unending), 1);
-	const found = await stores.findPieces(scene.storeStandIn.address, scene.route.pieceKeys.slice(2));
+	const found = await stores.findBlocks(scene.storeStandIn.address, scene.route.pieceKeys.slice(2));
 	assert.equal(found.orDefault([]).length, 1);
 });
 
@@ -192,7 +192,7 @@
 	});
 	const {kept} = scene.instance();
 	const found = await kept.find(scene.route.pieceKeys);
-	const imported = await engine.importPiece(scene.second.address, {pieceKey: scene.route.pieceKeys[0]!, weightVersion: 'w1'}, Buffer.from('{"blocks":[]}'));
+	const imported = await engine.importBlock(scene.second.address, {pieceKey: scene.route.pieceKeys[0]!, weightVersion: 'w1'}, Buffer.from('{"blocks":[]}'));
 	assert.deepEqual(imported.extract(), {kind: 'version-swapped', weightVersion: 'w2'});
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
 	await kept.bring({
--- a/src/entry/kept/kept-context.ts
+++ b/src/entry/kept/kept-context.ts
@@ -14,7 +14,7 @@
 import {
 	type EndpointView, type FetchPlan, type RouteRequest, type RoutingPolicy,
 } from '../../decision/routing/routing-policy.js';
-import {type CacheStore, type StoredPiece} from '../../ports/cache-store.js';
+import {type CacheStore, type SealedBlock} from '../../ports/cache-store.js';
 import {type ListedInstance} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
 import {type CacheEventReader} from './cache-event-reader.js';
@@ -28,7 +28,7 @@
 /** What a store has of a prompt. */
 export type FoundPieces = {
 	store: string;
-	pieces: readonly StoredPiece[];
+	pieces: readonly SealedBlock[];
 };
 
 /** Where pieces are brought to, and for whom. */
@@ -111,7 +111,7 @@
 			return undefined;
 		}
 
-		const found = await stores.findPieces(this.#addresses.get(store)!, pieceKeys);
+		const found = await stores.findBlocks(this.#addresses.get(store)!, pieceKeys);
 		return found.caseOf({
 			Left: () => {
 				this.#suspicion.late(store, clock.now());
@@ -192,7 +192,7 @@
 		return brought;
 	}
 
-	async #bringOne({piece, seal}: StoredPiece, {store, address}: {store: string; address: string}, endpoint: EndpointView): Promise<boolean> {
+	async #bringOne({piece, seal}: SealedBlock, {store, address}: {store: string; address: string}, endpoint: EndpointView): Promise<boolean> {
 		const read = await this.#parts.stores.read(address, piece, seal);
 		if (read.isLeft()) {
 			const {kind} = read.extract() as {kind: string};
@@ -203,7 +203,7 @@
 			return false;
 		}
 
-		const imported = await this.#context.engine.importPiece(endpoint.address, {pieceKey: piece.pieceKey, weightVersion: endpoint.weightVersion}, read.unsafeCoerce());
+		const imported = await this.#context.engine.importBlock(endpoint.address, {pieceKey: piece.pieceKey, weightVersion: endpoint.weightVersion}, read.unsafeCoerce());
 		return imported.isRight();
 	}
 
--- a/src/entry/kept/piece-saver.test.ts
+++ b/src/entry/kept/piece-saver.test.ts
@@ -5,7 +5,7 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
-import {type CacheStore, type CacheStoreFailure, type StoredPiece} from '../../ports/cache-store.js';
+import {type CacheStore, type CacheStoreFailure, type SealedBlock} from '../../ports/cache-store.js';
 import {type ManualClock} from '../../test/manual-clock.js';
 import {MemoryModelEngine} from '../../test/memory-model-engine.js';
 import {TestEntry} from '../../test/test-entry.js';
@@ -16,7 +16,7 @@
 
 /** An engine that has every piece. */
 class KeepingEngine extends MemoryModelEngine {
-	override async exportPiece(): Promise<Either<never, Buffer>> {
+	override async exportBlock(): Promise<Either<never, Buffer>> {
 		return Right(Buffer.from('content'));
 	}
 }
@@ -27,7 +27,7 @@
 	readonly questions = new Map<string, number>();
 	readonly sealed: string[] = [];
 
-	async findPieces(address: string): Promise<Either<CacheStoreFailure, StoredPiece[]>> {
+	async findBlocks(address: string): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 		this.questions.set(address, (this.questions.get(address) ?? 0) + 1);
 		const left = this.lateAnswers.get(address) ?? 0;
 		this.lateAnswers.set(address, left - 1);
@@ -47,7 +47,7 @@
 		return late;
 	}
 
-	async oldest(): Promise<Either<CacheStoreFailure, StoredPiece[]>> {
+	async leastRecentlyUsed(): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 		return Right([]);
 	}
 
--- a/src/entry/kept/piece-saver.ts
+++ b/src/entry/kept/piece-saver.ts
@@ -8,7 +8,7 @@
 import {type Buffer} from 'node:buffer';
 import {type KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
 import {type CacheStore, type CacheStoreFailure} from '../../ports/cache-store.js';
-import {sealOf} from '../../protocol/cache/piece-seal.js';
+import {sealOf} from '../../protocol/cache/block-seal.js';
 import {type Child} from '../../supervisor/supervisor.js';
 import {type EntryContext} from '../entry-context.js';
 
@@ -127,7 +127,7 @@
 	}
 
 	async #saveOne(pieceKey: string, {storeAddress, endpointAddress}: SaveOrder): Promise<PieceOutcome> {
-		const found = await this.#stores.findPieces(storeAddress, [pieceKey]);
+		const found = await this.#stores.findBlocks(storeAddress, [pieceKey]);
 		if (found.isLeft()) {
 			return 'store-late';
 		}
@@ -136,7 +136,7 @@
 			return 'already-there';
 		}
 
-		const exported = await this.#context.engine.exportPiece(endpointAddress, pieceKey);
+		const exported = await this.#context.engine.exportBlock(endpointAddress, pieceKey);
 		if (exported.isLeft()) {
 			return 'engine-late';
 		}
@@ -179,7 +179,7 @@
 	 * none at all, and recomputes.
 	 */
 	async #makeRoom(storeAddress: string): Promise<void> {
-		const oldest = await this.#stores.oldest(storeAddress, freedAtOnce);
+		const oldest = await this.#stores.leastRecentlyUsed(storeAddress, freedAtOnce);
 		for (const {piece} of oldest.orDefault([])) {
 			await this.#stores.free(storeAddress, piece);
 		}
--- a/src/entry/watchers/configuration-watcher.ts
+++ b/src/entry/watchers/configuration-watcher.ts
@@ -4,7 +4,7 @@
  * all they hear from their peers is old.
  */
 import {LookSchedule} from '../../peer/configuration/look-schedule.js';
-import {readChangesAfter, readLimitChanges} from '../../protocol/configuration/configuration-table.js';
+import {readChangesAfter, maxChangesPerRead} from '../../protocol/configuration/configuration-table.js';
 import {type ConfigurationChange} from '../../shared/types.js';
 import {type Child} from '../../supervisor/supervisor.js';
 import {type EntryContext} from '../entry-context.js';
@@ -61,7 +61,7 @@
 
 			const found = changes.orDefault([]);
 			this.#offer(found);
-			if (found.length < readLimitChanges) {
+			if (found.length < maxChangesPerRead) {
 				configuration.startGate.tableRead();
 				return true;
 			}
--- a/src/gateway/data-path/caller-left.test.ts
+++ b/src/gateway/data-path/caller-left.test.ts
@@ -85,7 +85,7 @@
 	for (const [stage, {play, leavesWithinAnswer}] of Object.entries(stages)) {
 		test(`an endpoint's connection is released when the caller disconnects ${stage} (${kind})`, async () => {
 			// Guards against endpoints that run out of connections because each disconnected caller leaks one.
-			const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds, mostAttempts: 1})]})).start();
+			const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds, maxAttempts: 1})]})).start();
 			const departure = new AbortController();
 			const left = once(departure.signal, 'abort');
 			let arrive!: (socket: Socket) => void;
@@ -115,7 +115,7 @@
 
 test('a non-idempotent call is left to finish after its caller has disconnected', async () => {
 	// Guards against bookings that stay half done because their callers closed their connections.
-	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'non-idempotent', timeoutMilliseconds, mostAttempts: 1})]})).start();
+	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'non-idempotent', timeoutMilliseconds, maxAttempts: 1})]})).start();
 	let arrive!: (response: ServerResponse) => void;
 	const arrival = new Promise<ServerResponse>(resolve => {
 		arrive = resolve;
--- a/src/gateway/data-path/dark-endpoint.test.ts
+++ b/src/gateway/data-path/dark-endpoint.test.ts
@@ -36,7 +36,7 @@
 		test(`a prompt whose only engine becomes unresponsive ${stage} is ended soon (${mostAttempts} attempts)`, async () => {
 			// Guards against callers that wait until their timeout although nothing can serve them any more.
 			const route = testRoute({
-				kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds, mostAttempts,
+				kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds, maxAttempts: mostAttempts,
 			});
 			const gateway = await new TestGateway(testConfiguration({routes: [route]})).start();
 			await gateway.addEndpoint(play);
--- a/src/gateway/data-path/endpoint-headers.test.ts
+++ b/src/gateway/data-path/endpoint-headers.test.ts
@@ -10,7 +10,7 @@
 		head: {
 			method: 'POST', target: '/x', host: 'quay.example', rawHeaders, connection: undefined, attemptId: 'a1', deadlineMilliseconds: 1000,
 			key: 'k', lastEventId: undefined, prompt: {
-				model: 'permit', promptTokens: 10, mostOutputTokens: 5, parts: [],
+				model: 'permit', promptTokens: 10, maxOutputTokens: 5, blocks: [],
 			},
 		},
 		permitted: {
@@ -46,7 +46,7 @@
 	const plan = planWith([]);
 	const parts = [{id: 'p1', tokens: 5}, {id: 'p2', tokens: 3}, {id: 'own', tokens: 2}];
 	const headers = endpointHeaders({
-		...plan, head: {...plan.head, prompt: {...plan.head.prompt!, parts}}, parts: {fetchFrom: ['10.0.0.1:1', undefined], saveTo: [undefined, '10.0.0.2:1'], fetchUntil: 5000.7},
+		...plan, head: {...plan.head, prompt: {...plan.head.prompt!, blocks: parts}}, parts: {fetchFrom: ['10.0.0.1:1', undefined], saveTo: [undefined, '10.0.0.2:1'], fetchUntil: 5000.7},
 	}, names);
 	assert.deepEqual(valuesOf(headers, names.fetchFrom), ['10.0.0.1:1,-,-']);
 	assert.deepEqual(valuesOf(headers, names.saveTo), ['-,10.0.0.2:1,-']);
--- a/src/gateway/data-path/endpoint-headers.ts
+++ b/src/gateway/data-path/endpoint-headers.ts
@@ -1,5 +1,5 @@
 /** Builds the headers of a request to an endpoint: the client's, without those that only the system may set, and the system's. */
-import {cacheSalt} from '../../protocol/parts/cache-salt.js';
+import {cacheSalt} from '../../protocol/blocks/cache-salt.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type PermittedRequest} from './judge-request.js';
 import {withoutHopByHop} from './hop-by-hop.js';
@@ -88,12 +88,12 @@
 	add(names.cacheSalt, version === undefined ? `once-${head.attemptId}` : cacheSalt(cacheScopeOf(permitted), version));
 	add(names.engineRank, String(Math.min(lastEngineRank, permitted.rank)));
 	if (parts?.fetchFrom.some(address => address !== undefined)) {
-		add(names.fetchFrom, partList(parts.fetchFrom, head.prompt.parts.length));
+		add(names.fetchFrom, partList(parts.fetchFrom, head.prompt.blocks.length));
 		add(names.fetchUntil, String(Math.floor(parts.fetchUntil)));
 	}
 
 	if (parts?.saveTo.some(address => address !== undefined)) {
-		add(names.saveTo, partList(parts.saveTo, head.prompt.parts.length));
+		add(names.saveTo, partList(parts.saveTo, head.prompt.blocks.length));
 	}
 }
 
--- a/src/gateway/data-path/judge-request.test.ts
+++ b/src/gateway/data-path/judge-request.test.ts
@@ -28,7 +28,7 @@
 function viewAt(confirmedAt: number): ConfigurationView {
 	const view = new ConfigurationView(bounds);
 	view.offer(testConfiguration({
-		routes: [testRoute({pathPrefix: '/keyed/', needsKey: true}), testRoute({name: 'open', pathPrefix: '/open/'})],
+		routes: [testRoute({pathPrefix: '/keyed/', requiresKey: true}), testRoute({name: 'open', pathPrefix: '/open/'})],
 		grants: new Map([['good', {name: 'split', isIsolated: false}]]),
 	}));
 	view.confirm(at(confirmedAt));
--- a/src/gateway/data-path/judge-request.ts
+++ b/src/gateway/data-path/judge-request.ts
@@ -63,7 +63,7 @@
 type Knowledge = {current: ConfigurationInForce; view: ConfigurationView; now: Moment};
 
 function judgeKey(route: Route, head: RequestHead, {current, view, now}: Knowledge): Either<Refusal, WorkspaceGrant | undefined> {
-	if (!route.needsKey || current.grants === undefined) {
+	if (!route.requiresKey || current.grants === undefined) {
 		return Right(undefined);
 	}
 
--- a/src/gateway/data-path/order-parts.ts
+++ b/src/gateway/data-path/order-parts.ts
@@ -1,5 +1,5 @@
 /** Plans which blocks an engine fetches from cache stores and other engines, and which it saves to cache stores. */
-import {fetchMilliseconds} from '../../protocol/parts/part-times.js';
+import {fetchTimeoutMilliseconds} from '../../protocol/blocks/block-times.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {type PartOrders} from './endpoint-headers.js';
@@ -30,5 +30,5 @@
 		context.hubView.noteUse(key);
 	}
 
-	return {fetchFrom: plan.fetchFrom, saveTo: plan.saveTo, fetchUntil: engineClock + fetchMilliseconds};
+	return {fetchFrom: plan.fetchFrom, saveTo: plan.saveTo, fetchUntil: engineClock + fetchTimeoutMilliseconds};
 }
--- a/src/gateway/data-path/prompt-sources.ts
+++ b/src/gateway/data-path/prompt-sources.ts
@@ -1,11 +1,11 @@
 /** Finds the cache stores and engines that hold the blocks of one request's prompt, by what this instance knows. */
 import {type NamedStore, type PartKnowledge} from '../../decision/parts/plan-parts.js';
 import {type Moment} from '../../ports/moment-clock.js';
-import {cacheSalt} from '../../protocol/parts/cache-salt.js';
-import {partKey} from '../../protocol/parts/part-key.js';
+import {cacheSalt} from '../../protocol/blocks/cache-salt.js';
+import {blockKey} from '../../protocol/blocks/block-key.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {hashOf} from '../../shared/hash-of.js';
-import {type PromptPart} from '../../shared/prompt-shape.js';
+import {type PromptBlock} from '../../shared/prompt-shape.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {type PlaceQuestion} from '../hub/hub-messages.js';
 import {cacheScopeOf} from './endpoint-headers.js';
@@ -19,7 +19,7 @@
 
 export class PromptSources {
 	readonly #context: SourceContext;
-	readonly #parts: readonly PromptPart[];
+	readonly #parts: readonly PromptBlock[];
 	readonly #model: string;
 	readonly #service: string;
 	readonly #scope: string;
@@ -29,7 +29,7 @@
 	/** Answers for the moment of its construction; a request that is placed again needs a new instance. */
 	constructor(context: SourceContext, head: RequestHead, permitted: PermittedRequest) {
 		this.#context = context;
-		this.#parts = head.prompt?.parts ?? [];
+		this.#parts = head.prompt?.blocks ?? [];
 		this.#model = head.prompt?.model ?? '';
 		this.#service = permitted.service;
 		this.#scope = cacheScopeOf(permitted);
@@ -37,7 +37,7 @@
 	}
 
 	/** All blocks but the last, which belongs to this request alone. */
-	get sharedParts(): readonly PromptPart[] {
+	get sharedParts(): readonly PromptBlock[] {
 		return this.#parts.slice(0, -1);
 	}
 
@@ -60,7 +60,7 @@
 
 		const {stores} = this;
 		const fetchable = this.sharedParts.map(({id}) => {
-			const key = partKey({salt: this.saltUnder(version), id});
+			const key = blockKey({salt: this.saltUnder(version), id});
 			return stores.some(({name}) => this.#context.hubView.holds(name, key, this.#now)) || this.#enginesWith(key).length > 0;
 		});
 		this.#fetchable.set(version, fetchable);
@@ -75,7 +75,7 @@
 			return false;
 		}
 
-		const key = partKey({salt: this.saltUnder(version), id: part.id});
+		const key = blockKey({salt: this.saltUnder(version), id: part.id});
 		const holder = this.stores.find(({name}) => this.#context.hubView.holds(name, key, this.#now));
 		return holder === undefined
 			? this.#enginesWith(key).some(engine => engine.dataCentre === dataCentre)
@@ -140,6 +140,6 @@
 
 	/** Keys of all blocks under a weight version, in the order of the prompt. */
 	#keysUnder(version: number): string[] {
-		return this.#parts.map(({id}) => partKey({salt: this.saltUnder(version), id}));
+		return this.#parts.map(({id}) => blockKey({salt: this.saltUnder(version), id}));
 	}
 }
--- a/src/gateway/data-path/request-head.ts
+++ b/src/gateway/data-path/request-head.ts
@@ -1,6 +1,6 @@
 /** Decodes the head of a client's request. */
 import {type IncomingMessage} from 'node:http';
-import {type PromptPart, type PromptShape} from '../../shared/prompt-shape.js';
+import {type PromptBlock, type PromptShape} from '../../shared/prompt-shape.js';
 import {type WireNames} from './wire-names.js';
 
 /** A client's request without its body. */
@@ -58,12 +58,12 @@
 	}
 
 	return {
-		model, promptTokens, mostOutputTokens, parts: readParts(promptParts ?? ''),
+		model, promptTokens, maxOutputTokens: mostOutputTokens, blocks: readParts(promptParts ?? ''),
 	};
 }
 
-function readParts(text: string): PromptPart[] {
-	const parts: PromptPart[] = [];
+function readParts(text: string): PromptBlock[] {
+	const parts: PromptBlock[] = [];
 	for (const entry of text.split(',')) {
 		const [id = '', count = ''] = entry.split(':');
 		const tokens = Number(count);
--- a/src/gateway/data-path/routed-request.ts
+++ b/src/gateway/data-path/routed-request.ts
@@ -158,7 +158,7 @@
 		return decideNextStep(outcome, {
 			kind: route.kind,
 			sends: this.#sends,
-			mostSends: route.mostAttempts,
+			mostSends: route.maxAttempts,
 			mayHaveRun: this.#mayHaveRun,
 			leftMilliseconds: this.#deadline - this.#now(),
 		}, () => this.#context.budget.takeRepeat(service, this.#now()));
@@ -206,7 +206,7 @@
 			endpoint,
 			request,
 			basis,
-			hasNext: this.#sends + 1 < permitted.route.mostAttempts,
+			hasNext: this.#sends + 1 < permitted.route.maxAttempts,
 			onFirstBytes: () => {
 				this.#firstByteAt ??= this.#now();
 			},
--- a/src/gateway/data-path/stalled-failure.test.ts
+++ b/src/gateway/data-path/stalled-failure.test.ts
@@ -19,7 +19,7 @@
 
 /** Sends a request to an endpoint that answers with half of a failure's body and then nothing. */
 async function openStalled(context: TestContext, timeoutMilliseconds: number): Promise<{gateway: TestGateway; caller: Socket; endpointClosed: Promise<boolean>}> {
-	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'idempotent', mostAttempts: 1, timeoutMilliseconds})]})).start();
+	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'idempotent', maxAttempts: 1, timeoutMilliseconds})]})).start();
 	context.after(async () => gateway.close());
 	const caller = await openSocket(gateway.address);
 	const endpointSocket = new Promise<Socket>(resolve => {
--- a/src/gateway/duty/duty-seat.ts
+++ b/src/gateway/duty/duty-seat.ts
@@ -4,8 +4,8 @@
 import {type Moment, type MomentClock} from '../../ports/moment-clock.js';
 import {type TableFailure, type TableService} from '../../ports/table-service.js';
 import {
-	decideDuty, type DutyGrant, type DutyRow, isUncontested, leftOfGrant, mostActingMilliseconds, releasedRow,
-} from '../../protocol/duty/duty-lease.js';
+	decideLease, type LeaseGrant, type LeaseRow, isUncontested, remainingGrantMilliseconds, maxGrantMilliseconds, releasedRow,
+} from '../../protocol/lease/leader-lease.js';
 import {type DecisionLog} from '../observability/decision-log.js';
 
 /** Which lease, and for whom. */
@@ -39,11 +39,11 @@
 export class DutySeat {
 	readonly #plan: DutyPlan;
 	readonly #tools: DutyTools;
-	#grant: DutyGrant | undefined;
+	#grant: LeaseGrant | undefined;
 	#notBefore = 0;
 	#seekMilliseconds = 0;
 	/** The row as it was last read or written, whichever instance holds it. */
-	#seen: DutyRow | undefined;
+	#seen: LeaseRow | undefined;
 	#inherited: Readonly<Record<string, number>> = {};
 	/** The state of the row that was read last, and since when it has been the same, on the steady clock. */
 	#unchanged: {era: number; revision: number; since: number} | undefined;
@@ -54,7 +54,7 @@
 	}
 
 	/** The grant, as long as this instance holds the lease. */
-	get grant(): DutyGrant | undefined {
+	get grant(): LeaseGrant | undefined {
 		return this.left() > 0 ? this.#grant : undefined;
 	}
 
@@ -64,7 +64,7 @@
 	}
 
 	/** The row as it was last read or written. */
-	get seen(): DutyRow | undefined {
+	get seen(): LeaseRow | undefined {
 		return this.#seen;
 	}
 
@@ -75,7 +75,7 @@
 
 	get #actingMilliseconds(): number {
 		const {actingMilliseconds, leaseMilliseconds} = this.#plan;
-		return Math.max(actingMilliseconds, Math.min(mostActingMilliseconds(leaseMilliseconds), renewalsInGrant * this.#seekMilliseconds));
+		return Math.max(actingMilliseconds, Math.min(maxGrantMilliseconds(leaseMilliseconds), renewalsInGrant * this.#seekMilliseconds));
 	}
 
 	/** A grant with less than this left is to be renewed: the time of two renewals as slow as the last one. */
@@ -85,7 +85,7 @@
 
 	/** Milliseconds for which this instance still holds the lease; 0 if it does not. */
 	left(): number {
-		const left = this.#grant === undefined ? 0 : leftOfGrant(this.#grant, this.#tools.clock.moment());
+		const left = this.#grant === undefined ? 0 : remainingGrantMilliseconds(this.#grant, this.#tools.clock.moment());
 		return Math.max(0, left);
 	}
 
@@ -110,9 +110,9 @@
 		}
 
 		const {row, storeMilliseconds, era} = read.unsafeCoerce();
-		this.#seen = row?.value as DutyRow | undefined;
+		this.#seen = row?.value as LeaseRow | undefined;
 		const reading = {storeMilliseconds, era, unchangedMilliseconds: this.#unchangedFor(era, row?.revision ?? 0, since)};
-		const decided = decideDuty(this.#seen, this.#plan.instance, reading, {
+		const decided = decideLease(this.#seen, this.#plan.instance, reading, {
 			leaseMilliseconds: this.#plan.leaseMilliseconds, actingMilliseconds: this.#actingMilliseconds,
 		});
 		if (decided.kind === 'wait') {
@@ -121,7 +121,7 @@
 			return;
 		}
 
-		const granted: DutyRow = {
+		const granted: LeaseRow = {
 			...decided.row, address: this.#plan.address, engines, ...(legacy === undefined ? {} : {legacy}),
 		};
 		const written = await store.commit({conditions: [{...name, revision: row?.revision ?? 0}], writes: [{...name, value: granted}]});
@@ -137,7 +137,7 @@
 		}
 
 		this.#seekMilliseconds = clock.moment().steady - since.steady;
-		this.#inherited = row?.value === undefined ? {} : (row.value as DutyRow).legacy ?? {};
+		this.#inherited = row?.value === undefined ? {} : (row.value as LeaseRow).legacy ?? {};
 		this.#seen = granted;
 		this.#grant = {row: granted, since};
 	}
@@ -151,7 +151,7 @@
 
 		const read = await store.readClocked({table: this.#plan.table, key: this.#plan.duty});
 		read.ifRight(({row}) => {
-			this.#seen = row?.value as DutyRow | undefined;
+			this.#seen = row?.value as LeaseRow | undefined;
 		});
 		this.#lookAgainIn(retryMilliseconds);
 	}
@@ -179,7 +179,7 @@
 		this.lose('given back');
 		const read = await store.readClocked(name);
 		const {row} = read.orDefault({row: undefined, storeMilliseconds: 0, era: 0});
-		const value = row?.value as DutyRow | undefined;
+		const value = row?.value as LeaseRow | undefined;
 		if (row !== undefined && value?.holder === this.#plan.instance) {
 			await store.commit({conditions: [{...name, revision: row.revision}], writes: [{...name, value: releasedRow(value)}]});
 		}
@@ -189,7 +189,7 @@
 	#noteConflict(written: Either<TableFailure, void>): void {
 		written.ifLeft(failure => {
 			if (failure.kind === 'conflict') {
-				this.#seen = failure.current.find(({key}) => key === this.#plan.duty)?.value as DutyRow | undefined ?? this.#seen;
+				this.#seen = failure.current.find(({key}) => key === this.#plan.duty)?.value as LeaseRow | undefined ?? this.#seen;
 			}
 		});
 	}
--- a/src/gateway/endpoints/endpoint-registry.test.ts
+++ b/src/gateway/endpoints/endpoint-registry.test.ts
@@ -38,18 +38,18 @@
 	// The endpoint restarts within one heartbeat: its row never vanished, but its caches are empty and its order count starts
 	// again.
 	const registry = new EndpointRegistry();
-	registry.put(testEndpoint({name: 'one', bornAt: 1000}));
-	const change = registry.put(testEndpoint({name: 'one', bornAt: 2000}));
-	assert.deepEqual(change.vanished.map(({bornAt}) => bornAt), [1000]);
-	assert.deepEqual(change.appeared.map(({bornAt}) => bornAt), [2000]);
+	registry.put(testEndpoint({name: 'one', startedAt: 1000}));
+	const change = registry.put(testEndpoint({name: 'one', startedAt: 2000}));
+	assert.deepEqual(change.vanished.map(({startedAt: bornAt}) => bornAt), [1000]);
+	assert.deepEqual(change.appeared.map(({startedAt: bornAt}) => bornAt), [2000]);
 });
 
 test('a younger endpoint at the same address replaces the one that crashed there', () => {
 	// The row of the crashed endpoint expires some heartbeats later; until then requests to it would reach its successor at the
 	// address.
 	const registry = new EndpointRegistry();
-	registry.put(testEndpoint({name: 'old', bornAt: 1000}));
-	registry.put(testEndpoint({name: 'new', bornAt: 2000}));
+	registry.put(testEndpoint({name: 'old', startedAt: 1000}));
+	registry.put(testEndpoint({name: 'new', startedAt: 2000}));
 	assert.deepEqual(namesOf(registry.usable('desk', 0)), ['new']);
 });
 
--- a/src/gateway/endpoints/endpoint-registry.ts
+++ b/src/gateway/endpoints/endpoint-registry.ts
@@ -165,7 +165,7 @@
 		}
 
 		this.#supersedeAt(record);
-		if (known?.bornAt === record.bornAt) {
+		if (known?.startedAt === record.startedAt) {
 			return;
 		}
 
@@ -181,9 +181,9 @@
 	 * sent by that row is rejected by the new incarnation and costs a caller one of its attempts. One address has one endpoint,
 	 * and the younger row is the valid one.
 	 */
-	#supersedeAt({name, address, bornAt}: EndpointRecord): void {
+	#supersedeAt({name, address, startedAt: bornAt}: EndpointRecord): void {
 		for (const other of this.#records.values()) {
-			if (other.address === address && other.name !== name && other.bornAt < bornAt) {
+			if (other.address === address && other.name !== name && other.startedAt < bornAt) {
 				this.#records.set(other.name, {...other, state: 'leaving'});
 			}
 		}
--- a/src/gateway/gateway-daemon.test.ts
+++ b/src/gateway/gateway-daemon.test.ts
@@ -26,7 +26,7 @@
 
 /** A store whose feeds return one configuration and one endpoint, and no changes afterwards. */
 class QuietStore extends MemoryTable {
-	async readWhole(table: string) {
+	async readSnapshot(table: string) {
 		return Right({
 			rows: [{
 				key: table, content: null, isDeleted: false, revision: 1,
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -241,7 +241,7 @@
 		const {current} = this.#context.configuration;
 		if (current !== undefined && current.version !== this.#limitsVersion) {
 			this.#limitsVersion = current.version;
-			const {headerMilliseconds, idleMilliseconds} = current.limits;
+			const {headerTimeoutMilliseconds: headerMilliseconds, idleTimeoutMilliseconds: idleMilliseconds} = current.limits;
 			this.#callers.applyLimits({headersTimeoutMilliseconds: headerMilliseconds, idleTimeoutMilliseconds: idleMilliseconds});
 		}
 	}
--- a/src/gateway/hub/engine-watch.ts
+++ b/src/gateway/hub/engine-watch.ts
@@ -8,8 +8,8 @@
 import {type CacheStoreControl, type StoreEvents} from '../../ports/cache-store-control.js';
 import {type MomentClock} from '../../ports/moment-clock.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
-import {partKey} from '../../protocol/parts/part-key.js';
-import {type PartsChange} from '../../protocol/parts/store-ledger.js';
+import {blockKey} from '../../protocol/blocks/block-key.js';
+import {type BlockChanges} from '../../protocol/blocks/store-inventory.js';
 import {EngineClock} from './engine-clock.js';
 
 /** How long a call for events may wait; events are returned at once. */
@@ -25,7 +25,7 @@
 	clock: MomentClock;
 	/** Minimum pause after events, in milliseconds; the usual pause applies where it is longer. */
 	pauseMilliseconds?: () => number;
-	tell(engine: string, change: PartsChange): void;
+	tell(engine: string, change: BlockChanges): void;
 };
 
 export class EngineWatch {
@@ -92,9 +92,9 @@
 
 		this.#epoch = events.epoch;
 		this.#since = events.next;
-		const change: PartsChange = {
-			added: events.added.map(part => [partKey(part), part.tokens]),
-			removed: events.removed.map(part => partKey(part)),
+		const change: BlockChanges = {
+			added: events.added.map(part => [blockKey(part), part.tokens]),
+			removed: events.removed.map(part => blockKey(part)),
 		};
 		for (const key of change.removed) {
 			this.#parts.delete(key);
--- a/src/gateway/hub/engine-watches.ts
+++ b/src/gateway/hub/engine-watches.ts
@@ -22,7 +22,7 @@
 	keep(engines: readonly EndpointRecord[]): void {
 		const wanted = new Map(engines.map(engine => [engine.name, engine]));
 		for (const [name, {engine}] of this.#watched) {
-			if (wanted.get(name)?.bornAt !== engine.bornAt) {
+			if (wanted.get(name)?.startedAt !== engine.startedAt) {
 				this.#end(name);
 			}
 		}
--- a/src/gateway/hub/hub-client.ts
+++ b/src/gateway/hub/hub-client.ts
@@ -6,7 +6,7 @@
 import {connect, type Socket} from 'node:net';
 import {encodeFrame, FrameReader} from '../../peer/framing/frame-codec.js';
 import {type Moment, type MomentClock} from '../../ports/moment-clock.js';
-import {freshMilliseconds} from '../../protocol/parts/part-times.js';
+import {reportValidityMilliseconds} from '../../protocol/blocks/block-times.js';
 import {afterNextPoll} from '../../serving/after-next-poll.js';
 import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
 import {
@@ -15,7 +15,7 @@
 import {type HubView} from './hub-view.js';
 
 /** Queries at this interval keep the view fresh also when one answer is late. */
-export const askMilliseconds = 0.375 * freshMilliseconds;
+export const askMilliseconds = 0.375 * reportValidityMilliseconds;
 /** A query about a prompt that was sent less than this before replaces a regular one. */
 const recentMilliseconds = askMilliseconds / 2;
 /**
--- a/src/gateway/hub/hub-pair.test.ts
+++ b/src/gateway/hub/hub-pair.test.ts
@@ -27,7 +27,7 @@
 		this.rows.push({...row, revision: this.position});
 	}
 
-	async readWhole() {
+	async readSnapshot() {
 		return Right({rows: [...this.rows], position: this.position, era: 0});
 	}
 
@@ -89,7 +89,7 @@
 		},
 	});
 	const follower = new FeedFollower({
-		readWhole: async () => store.readWhole(),
+		readSnapshot: async () => store.readSnapshot(),
 		async follow(query) {
 			store.callers.add(name);
 			return store.follow(query);
--- a/src/gateway/hub/hub-services.ts
+++ b/src/gateway/hub/hub-services.ts
@@ -1,5 +1,5 @@
 /** Which stores and engines the coordinator follows, by the configuration and the list of endpoints. */
-import {versionOfSalt} from '../../protocol/parts/cache-salt.js';
+import {versionOfSalt} from '../../protocol/blocks/cache-salt.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type RoutedConfiguration, type StoreTraits} from '../../shared/routed-configuration.js';
 
--- a/src/gateway/hub/hub-view.test.ts
+++ b/src/gateway/hub/hub-view.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type Moment} from '../../ports/moment-clock.js';
-import {freshMilliseconds} from '../../protocol/parts/part-times.js';
+import {reportValidityMilliseconds} from '../../protocol/blocks/block-times.js';
 import {type HubFrame, type PlaceQuestion} from './hub-messages.js';
 import {HubView} from './hub-view.js';
 
@@ -34,8 +34,8 @@
 	// The coordinator is cut off. Meanwhile it withdraws a block, waits until no instance can still use it, and frees it. An
 	// instance that counted from the late answer would have an engine read the freed memory.
 	const view = heardAt(1000, 1600);
-	const last = at(1000 + freshMilliseconds - 1);
-	const late = at(1000 + freshMilliseconds);
+	const last = at(1000 + reportValidityMilliseconds - 1);
+	const late = at(1000 + reportValidityMilliseconds);
 	assert.equal(view.holds('cache', 's|p', last), true);
 	assert.equal(view.tokensAt('e1', 's|p', last), 800);
 	assert.equal(view.holds('cache', 's|p', late), false);
@@ -53,7 +53,7 @@
 		...answer, number: 2, loads: {}, parts: {kept: [], engines: [], unknown: []},
 	};
 	view.takeAnswer(laterAnswer, {endpoints: [], keys: ['s|q'], partCount: 1}, at(1700), at(1710));
-	const later = at(1000 + freshMilliseconds);
+	const later = at(1000 + reportValidityMilliseconds);
 	assert.equal(view.isOpen('cache', later), true);
 	assert.equal(view.holds('cache', 's|p', later), false);
 	assert.equal(view.othersAt('e1', later), undefined);
--- a/src/gateway/hub/hub-view.ts
+++ b/src/gateway/hub/hub-view.ts
@@ -4,7 +4,7 @@
  */
 import {type EndpointLoad} from '../../decision/placement/endpoint-load.js';
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
-import {freshMilliseconds} from '../../protocol/parts/part-times.js';
+import {reportValidityMilliseconds} from '../../protocol/blocks/block-times.js';
 import {EngineClock} from './engine-clock.js';
 import {
 	engineHolder, type HubFrame, type PackedLoad, type PlaceQuestion, unpackLoad,
@@ -149,7 +149,7 @@
 }
 
 function isFreshAt(askedAt: Moment | undefined, now: Moment): boolean {
-	return askedAt !== undefined && longestElapsed(askedAt, now) < freshMilliseconds;
+	return askedAt !== undefined && longestElapsed(askedAt, now) < reportValidityMilliseconds;
 }
 
 /** Keeps the map in the order of its updates, so that the entry updated longest ago is dropped first. */
--- a/src/gateway/hub/hub.test.ts
+++ b/src/gateway/hub/hub.test.ts
@@ -3,7 +3,7 @@
 import {Left, Right} from 'purify-ts/Either';
 import {systemMomentClock} from '../../adapters/system-moment-clock.js';
 import {type CacheStoreControl} from '../../ports/cache-store-control.js';
-import {withdrawalMilliseconds} from '../../protocol/parts/part-times.js';
+import {withdrawalMilliseconds} from '../../protocol/blocks/block-times.js';
 import {MemoryTable} from '../../test/memory-table.js';
 import {EndpointRegistry} from '../endpoints/endpoint-registry.js';
 import {ConfigurationView} from '../configuration/configuration-view.js';
@@ -84,7 +84,7 @@
 			name: 'cache',
 			connectionLimit: 0,
 			store: {
-				address: '127.0.0.1:1', dataCentre: 'split', capacityTokens: 10_000, linkMegabitsPerSecond: 1, firstMilliseconds: 1, isManaged: true,
+				address: '127.0.0.1:1', dataCentre: 'split', capacityTokens: 10_000, linkMegabitsPerSecond: 1, transferLatencyMilliseconds: 1, isManaged: true,
 			},
 		}]]),
 	}));
--- a/src/gateway/hub/hub.ts
+++ b/src/gateway/hub/hub.ts
@@ -9,7 +9,7 @@
  */
 import {type CacheStoreControl} from '../../ports/cache-store-control.js';
 import {hashOf} from '../../shared/hash-of.js';
-import {type PartsChange} from '../../protocol/parts/store-ledger.js';
+import {type BlockChanges} from '../../protocol/blocks/store-inventory.js';
 import {type Child} from '../../supervisor/supervisor.js';
 import {type DutySeat} from '../duty/duty-seat.js';
 import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
@@ -102,7 +102,7 @@
 		this.server = new HubServer(parts.address, this, context.clock);
 		const {control} = parts;
 		const {clock, log} = context;
-		const tell = (holder: string, change: PartsChange): void => {
+		const tell = (holder: string, change: BlockChanges): void => {
 			this.#directory.take(holder, change);
 		};
 
--- a/src/gateway/hub/part-directory.ts
+++ b/src/gateway/hub/part-directory.ts
@@ -6,7 +6,7 @@
  * links of the instances have. An answer to a query is bounded: by the blocks of one prompt, the queried engines, and a few
  * more that hold its deepest blocks.
  */
-import {type PartsChange} from '../../protocol/parts/store-ledger.js';
+import {type BlockChanges} from '../../protocol/blocks/store-inventory.js';
 import {
 	engineHolder, type KeptParts, type PartsAnswer, type PlaceQuestion,
 } from './hub-messages.js';
@@ -32,7 +32,7 @@
 	readonly #holders = new Map<string, Map<string, number>>();
 
 	/** Applies the changes of what a holder has cached. */
-	take(holder: string, {added, removed}: PartsChange): void {
+	take(holder: string, {added, removed}: BlockChanges): void {
 		for (const key of removed) {
 			const holders = this.#holders.get(key);
 			if (holders?.delete(holder) && holders.size === 0) {
--- a/src/gateway/hub/store-keeper.ts
+++ b/src/gateway/hub/store-keeper.ts
@@ -4,7 +4,7 @@
  */
 import {type CacheStoreControl, type StoreEvents} from '../../ports/cache-store-control.js';
 import {type MomentClock} from '../../ports/moment-clock.js';
-import {type PartsChange, StoreLedger} from '../../protocol/parts/store-ledger.js';
+import {type BlockChanges, StoreInventory} from '../../protocol/blocks/store-inventory.js';
 import {type DecisionLog} from '../observability/decision-log.js';
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {EngineClock} from './engine-clock.js';
@@ -31,11 +31,11 @@
 	mayAct(): boolean;
 	/** Whether no engine can use the blocks under a salt. */
 	isDead(salt: string): boolean;
-	tell(store: string, change: PartsChange): void;
+	tell(store: string, change: BlockChanges): void;
 };
 
 export class StoreKeeper {
-	readonly ledger: StoreLedger;
+	readonly ledger: StoreInventory;
 	readonly #service: string;
 	readonly #store: StoreTraits;
 	readonly #tools: KeeperTools;
@@ -53,7 +53,7 @@
 	 * again.
 	 */
 	constructor(service: string, store: StoreTraits, tools: KeeperTools, {believedUntil, inheritedEpoch}: {believedUntil: number; inheritedEpoch: number | undefined}) {
-		this.ledger = new StoreLedger(store.capacityTokens);
+		this.ledger = new StoreInventory(store.capacityTokens);
 		this.#service = service;
 		this.#store = store;
 		this.#tools = tools;
@@ -81,7 +81,7 @@
 	/** Makes the next call; returns the pause after it in milliseconds. */
 	async step(): Promise<number> {
 		if (this.ledger.epoch === undefined) {
-			return this.#inheritedEpoch !== undefined || this.ledger.mayOpen(this.#now()) ? this.#open() : retryMilliseconds;
+			return this.#inheritedEpoch !== undefined || this.ledger.canOpen(this.#now()) ? this.#open() : retryMilliseconds;
 		}
 
 		const answer = await this.#tools.control.events(this.#store.address, this.#since, eventWaitMilliseconds);
@@ -98,7 +98,7 @@
 			Right: found => {
 				const isUnchanged = found.epoch === this.#inheritedEpoch;
 				this.#inheritedEpoch = undefined;
-				if (!isUnchanged && !this.ledger.mayOpen(this.#now())) {
+				if (!isUnchanged && !this.ledger.canOpen(this.#now())) {
 					return retryMilliseconds;
 				}
 
@@ -107,7 +107,7 @@
 				}
 
 				this.#since = found.next;
-				this.#tools.tell(this.#service, this.ledger.takeListing(found, this.#now()));
+				this.#tools.tell(this.#service, this.ledger.applyListing(found, this.#now()));
 				this.#tools.log.record('store-parts', {
 					store: this.#service, state: 'open', parts: found.parts.length, partial: found.partial.length, heldTokens: this.ledger.heldTokens,
 				});
@@ -124,7 +124,7 @@
 		}
 
 		this.#since = events.next;
-		this.#tools.tell(this.#service, this.ledger.takeEvents(events, now));
+		this.#tools.tell(this.#service, this.ledger.applyEvents(events, now));
 		const isDeadDue = now - this.#deadCheckedAt >= deadCheckMilliseconds;
 		this.#deadCheckedAt = isDeadDue ? now : this.#deadCheckedAt;
 		this.#tools.tell(this.#service, this.ledger.withdraw(now, isDeadDue ? this.#tools.isDead : undefined));
@@ -148,7 +148,7 @@
 				});
 			},
 			Right: () => {
-				this.ledger.freed(parts);
+				this.ledger.markFreed(parts);
 				this.#tools.log.record('store-parts', {
 					store: this.#service, state: 'freed', parts: parts.length, heldTokens: this.ledger.heldTokens,
 				});
--- a/src/gateway/hub/store-keepers.test.ts
+++ b/src/gateway/hub/store-keepers.test.ts
@@ -3,13 +3,13 @@
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type CacheStoreControl, type StoreListing} from '../../ports/cache-store-control.js';
 import {type MomentClock} from '../../ports/moment-clock.js';
-import {withdrawalMilliseconds} from '../../protocol/parts/part-times.js';
+import {withdrawalMilliseconds} from '../../protocol/blocks/block-times.js';
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {DecisionLog} from '../observability/decision-log.js';
 import {StoreKeepers} from './store-keepers.js';
 
 const stores: Array<[string, StoreTraits]> = [['cache', {
-	address: '127.0.0.1:1', dataCentre: 'split', capacityTokens: 10_000, linkMegabitsPerSecond: 1, firstMilliseconds: 1, isManaged: true,
+	address: '127.0.0.1:1', dataCentre: 'split', capacityTokens: 10_000, linkMegabitsPerSecond: 1, transferLatencyMilliseconds: 1, isManaged: true,
 }]];
 
 /** Managers whose clock the test sets; pauses pass at once. */
--- a/src/gateway/hub/store-keepers.ts
+++ b/src/gateway/hub/store-keepers.ts
@@ -1,5 +1,5 @@
 /** The coordinator's managers of all cache stores, for as long as it holds the lease. */
-import {type PartsChange} from '../../protocol/parts/store-ledger.js';
+import {type BlockChanges} from '../../protocol/blocks/store-inventory.js';
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {StoreKeeper, type KeeperTools} from './store-keeper.js';
 
@@ -80,7 +80,7 @@
 		const now = this.#tools.clock.moment().steady;
 		for (const {ledger} of this.#keepers.values()) {
 			for (const key of keys) {
-				ledger.use(key, now);
+				ledger.markUsed(key, now);
 			}
 		}
 	}
--- a/src/gateway/testing/test-configuration.ts
+++ b/src/gateway/testing/test-configuration.ts
@@ -11,10 +11,10 @@
 		targets: [{service: 'desk', weight: 1}],
 		timeoutMilliseconds: 2000,
 		objectiveMilliseconds: 300,
-		longestPauseMilliseconds: 0,
-		mostAttempts: 2,
+		maxEventGapMilliseconds: 0,
+		maxAttempts: 2,
 		rank: 1,
-		needsKey: false,
+		requiresKey: false,
 		carriesPrompt: false,
 		...changes,
 	};
@@ -27,7 +27,7 @@
 		routes: [testRoute()],
 		services: new Map<string, RoutedService>([['desk', {name: 'desk', connectionLimit: 100}]]),
 		limits: {
-			headerBytes: 16_384, bodyBytes: 1_000_000, headerMilliseconds: 3000, idleMilliseconds: 15_000,
+			headerBytes: 16_384, bodyBytes: 1_000_000, headerTimeoutMilliseconds: 3000, idleTimeoutMilliseconds: 15_000,
 		},
 		...changes,
 	};
--- a/src/gateway/testing/test-endpoint.ts
+++ b/src/gateway/testing/test-endpoint.ts
@@ -9,7 +9,7 @@
 		dataCentre: 'split',
 		slots: 6,
 		state: 'ready',
-		bornAt: 1,
+		startedAt: 1,
 		weightVersions: new Map(),
 		...changes,
 	};
--- a/src/gateway/watchers/feed-follower.test.ts
+++ b/src/gateway/watchers/feed-follower.test.ts
@@ -23,7 +23,7 @@
 
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, () => 0);
 	const follower = new FeedFollower({
-		async readWhole(table) {
+		async readSnapshot(table) {
 			asked.push(`whole ${table}`);
 			return next();
 		},
@@ -162,7 +162,7 @@
 	const clock = systemMomentClock;
 	const start = (who: 'reader' | 'follower'): FeedFollower => {
 		const follower = new FeedFollower({
-			readWhole: async () => found([], 5),
+			readSnapshot: async () => found([], 5),
 			async follow({waitMilliseconds}) {
 				calls[who]++;
 				await clock.sleep(waitMilliseconds, stop.signal);
--- a/src/gateway/watchers/feed-follower.ts
+++ b/src/gateway/watchers/feed-follower.ts
@@ -125,7 +125,7 @@
 		const place = this.#place;
 		this.#mustRead = false;
 		const answer = place === undefined
-			? await this.#feed.readWhole(table)
+			? await this.#feed.readSnapshot(table)
 			: await this.#feed.follow({table, after: place.position, waitMilliseconds: this.#nextWait()});
 		answer.caseOf({
 			Left: failure => {
--- a/src/gateway/watchers/loading-engines.ts
+++ b/src/gateway/watchers/loading-engines.ts
@@ -4,7 +4,7 @@
  */
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type Moment} from '../../ports/moment-clock.js';
-import {type DutyRow} from '../../protocol/duty/duty-lease.js';
+import {type LeaseRow} from '../../protocol/lease/leader-lease.js';
 import {weightsDuty} from '../duty/weights-duty.js';
 import {type FeedReader} from './feed-news.js';
 
@@ -40,7 +40,7 @@
 	takeChanges(rows: readonly FeedRow[], _sentAt: Moment, now: Moment): void {
 		for (const {key, content, isDeleted} of rows) {
 			if (key === weightsDuty && !isDeleted && content !== undefined) {
-				this.#engines = new Set((content as DutyRow).engines);
+				this.#engines = new Set((content as LeaseRow).engines);
 				this.#heardAt = now.steady;
 			}
 		}
--- a/src/gateway/weights/weight-coordinator.ts
+++ b/src/gateway/weights/weight-coordinator.ts
@@ -175,7 +175,7 @@
 		const {fencingNumber} = grant.row;
 		this.#noteLoading(engine);
 		const answer = await control.orderWeights(engine, {
-			model: goal.model, version: goal.version, treatment: 'finish', holder: instance, fencingNumber, ordersTaken,
+			model: goal.model, version: goal.version, inFlightPolicy: 'finish', holder: instance, fencingNumber, ordersTaken,
 		});
 		this.#ordered(engine, goal, {
 			answer, fencingNumber, ordersTaken, left,
--- a/src/platform/platform-cache-store.ts
+++ b/src/platform/platform-cache-store.ts
@@ -3,7 +3,7 @@
 import * as zod from 'zod';
 import {describeError, exchangeJson} from '../adapters/http-client.js';
 import {
-	type CacheStoreControl, type FreeOrder, type StoredPart, type StoreEvents, type StoreListing,
+	type CacheStoreControl, type FreeOrder, type StoredBlock, type StoreEvents, type StoreListing,
 } from '../ports/cache-store-control.js';
 
 /** A store answers within some milliseconds; beyond this the call is taken to be lost. */
@@ -74,8 +74,8 @@
 }
 
 /** The last word on each part decides: a part that came and went in one answer is gone. */
-function partsOf(events: zod.infer<typeof eventsSchema>['events'], sign: '+' | '-'): StoredPart[] {
-	const last = new Map<string, {sign: '+' | '-'; part: StoredPart}>();
+function partsOf(events: zod.infer<typeof eventsSchema>['events'], sign: '+' | '-'): StoredBlock[] {
+	const last = new Map<string, {sign: '+' | '-'; part: StoredBlock}>();
 	for (const [, kind, salt, id, tokens] of events) {
 		last.set(`${salt}|${id}`, {sign: kind, part: {salt, id, tokens}});
 	}
--- a/src/platform/platform-catalog.ts
+++ b/src/platform/platform-catalog.ts
@@ -101,7 +101,7 @@
 			dataCentre: row.zone,
 			slots: row.slots,
 			state: row.state === 'ready' ? 'ready' : 'leaving',
-			bornAt: row.born,
+			startedAt: row.born,
 			weightVersions: new Map(row.models.map(({name, version}) => [name, version])),
 		}));
 	},
@@ -123,8 +123,8 @@
 		limits: {
 			headerBytes: limits.max_header_bytes,
 			bodyBytes: limits.max_body_bytes,
-			headerMilliseconds: limits.header_timeout_ms,
-			idleMilliseconds: limits.idle_timeout_ms,
+			headerTimeoutMilliseconds: limits.header_timeout_ms,
+			idleTimeoutMilliseconds: limits.idle_timeout_ms,
 		},
 		...(tenants === undefined ? {} : {grants: grantsOf(tenants)}),
 	};
@@ -140,10 +140,10 @@
 		targets: route.traffic_split ?? [{service: route.service ?? '', weight: 1}],
 		timeoutMilliseconds: route.timeout_ms,
 		objectiveMilliseconds: route.target_latency_ms,
-		longestPauseMilliseconds: route.gap_aim_ms,
-		mostAttempts: route.max_attempts,
+		maxEventGapMilliseconds: route.gap_aim_ms,
+		maxAttempts: route.max_attempts,
 		rank: route.priority,
-		needsKey: hasTenants && !route.no_auth,
+		requiresKey: hasTenants && !route.no_auth,
 		// The name speaks of routing to the same server; the platform sets it where requests carry a prompt in parts.
 		carriesPrompt: route.sticky,
 	};
@@ -173,7 +173,7 @@
 					dataCentre: service.zone,
 					capacityTokens: service.kv_capacity_tokens,
 					linkMegabitsPerSecond: service.link_mbps,
-					firstMilliseconds: service.first_ms,
+					transferLatencyMilliseconds: service.first_ms,
 					isManaged: service.managed,
 				},
 			}),
--- a/src/platform/platform-engine-control.ts
+++ b/src/platform/platform-engine-control.ts
@@ -4,7 +4,7 @@
 import {describeError, exchangeJson} from '../adapters/http-client.js';
 import {type EndpointRecord} from '../shared/endpoint-record.js';
 import {
-	type EngineControl, type EngineReport, type OrderAnswer, type RunTreatment, type WeightOrder,
+	type EngineControl, type EngineReport, type OrderAnswer, type InFlightPolicy, type WeightOrder,
 } from '../ports/engine-control.js';
 import {platformWireNames} from './wire-names.js';
 
@@ -19,7 +19,7 @@
 	models: zod.array(zod.object({name: zod.string(), version: zod.number()})),
 });
 
-const wireTreatments: Record<RunTreatment, string> = {finish: 'wait', cut: 'truncate', keep: 'retain'};
+const wireTreatments: Record<InFlightPolicy, string> = {finish: 'wait', cut: 'truncate', keep: 'retain'};
 
 export class PlatformEngineControl implements EngineControl {
 	async report({address, name}: EndpointRecord): Promise<Either<string, EngineReport>> {
@@ -51,7 +51,7 @@
 					op: 'version',
 					model: order.model,
 					version: order.version,
-					manner: wireTreatments[order.treatment],
+					manner: wireTreatments[order.inFlightPolicy],
 					holder: order.holder,
 					fence: order.fencingNumber,
 					expected_rev: order.ordersTaken,
--- a/src/platform/platform-store.ts
+++ b/src/platform/platform-store.ts
@@ -97,7 +97,7 @@
 		}
 	}
 
-	async readWhole(table: string): Promise<Either<TableFailure, FeedAnswer>> {
+	async readSnapshot(table: string): Promise<Either<TableFailure, FeedAnswer>> {
 		let rows: FeedRow[] = [];
 		let first: RowsRead | undefined;
 		let from = '';
--- a/src/ports/cache-store-control.ts
+++ b/src/ports/cache-store-control.ts
@@ -2,7 +2,7 @@
 import {type Either} from 'purify-ts/Either';
 
 /** A cached block: its salt and id, and its length in tokens. */
-export type StoredPart = {
+export type StoredBlock = {
 	salt: string;
 	id: string;
 	tokens: number;
@@ -13,9 +13,9 @@
 	epoch: number;
 	/** The position of the first event after this listing. */
 	next: number;
-	parts: StoredPart[];
+	parts: StoredBlock[];
 	/** Blocks that are being written, or whose write was interrupted; they occupy the tokens reserved for them. */
-	partial: StoredPart[];
+	partial: StoredBlock[];
 };
 
 /** The changes in a store since a position. */
@@ -25,8 +25,8 @@
 	next: number;
 	/** Some events were lost: the store must be listed again. */
 	isIncomplete: boolean;
-	added: StoredPart[];
-	removed: StoredPart[];
+	added: StoredBlock[];
+	removed: StoredBlock[];
 	/** The engines' clock, in milliseconds, when the store answered. */
 	clockMilliseconds: number | undefined;
 };
--- a/src/ports/cache-store.ts
+++ b/src/ports/cache-store.ts
@@ -6,21 +6,21 @@
 import {type Either} from 'purify-ts/Either';
 
 /** Identifies one write of a block. A block that is freed and rewritten has a new generation. */
-export type PieceName = {
+export type BlockGeneration = {
 	pieceKey: string;
 	generation: string;
 };
 
 /** The length in bytes and the digest with which a block is sealed. */
-export type PieceSeal = {
+export type BlockSeal = {
 	length: number;
 	digest: string;
 };
 
 /** A sealed block as listed by a store. It is a hint: the block may be freed before it is read. */
-export type StoredPiece = {
-	piece: PieceName;
-	seal: PieceSeal;
+export type SealedBlock = {
+	piece: BlockGeneration;
+	seal: BlockSeal;
 };
 
 /** Why a call to a store failed. `absent`: the block was freed, was not written, or is not sealed. */
@@ -32,12 +32,12 @@
 
 /** The cache store's interface. */
 export interface CacheStore {
-	write(address: string, piece: PieceName, content: Buffer): Promise<Either<CacheStoreFailure, void>>;
-	seal(address: string, piece: PieceName, seal: PieceSeal): Promise<Either<CacheStoreFailure, void>>;
-	read(address: string, piece: PieceName, seal: PieceSeal): Promise<Either<CacheStoreFailure, Buffer>>;
+	write(address: string, block: BlockGeneration, content: Buffer): Promise<Either<CacheStoreFailure, void>>;
+	seal(address: string, block: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, void>>;
+	read(address: string, block: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, Buffer>>;
 	/** Returns the sealed blocks of a prompt's prefix, up to the first block that the store does not have. */
-	findPieces(address: string, pieceKeys: readonly string[]): Promise<Either<CacheStoreFailure, StoredPiece[]>>;
+	findBlocks(address: string, blockKeys: readonly string[]): Promise<Either<CacheStoreFailure, SealedBlock[]>>;
 	/** Returns the sealed blocks that were least recently read or found, least recent first. */
-	oldest(address: string, count: number): Promise<Either<CacheStoreFailure, StoredPiece[]>>;
-	free(address: string, piece: PieceName): Promise<Either<CacheStoreFailure, void>>;
+	leastRecentlyUsed(address: string, count: number): Promise<Either<CacheStoreFailure, SealedBlock[]>>;
+	free(address: string, block: BlockGeneration): Promise<Either<CacheStoreFailure, void>>;
 }
--- a/src/ports/engine-control.ts
+++ b/src/ports/engine-control.ts
@@ -16,13 +16,13 @@
  * How requests in flight are treated when weights change: `finish` completes them first, `cut` resets their streams, `keep`
  * continues them with the new weights.
  */
-export type RunTreatment = 'finish' | 'cut' | 'keep';
+export type InFlightPolicy = 'finish' | 'cut' | 'keep';
 
 /** An order to load weights. */
 export type WeightOrder = {
 	model: string;
 	version: number;
-	treatment: RunTreatment;
+	inFlightPolicy: InFlightPolicy;
 	/** The instance that gives the order, and the fencing number of its leader lease. */
 	holder: string;
 	fencingNumber: number;
--- a/src/ports/model-engine.ts
+++ b/src/ports/model-engine.ts
@@ -96,7 +96,7 @@
 	loadReport(address: string): Promise<Either<EngineFailure, LoadReport>>;
 	cacheEvents(address: string, after: number): Promise<Either<EngineFailure, CacheEvent[]>>;
 	order(address: string, order: EngineOrder): Promise<Either<OrderFailure, void>>;
-	exportPiece(address: string, pieceKey: string): Promise<Either<EngineFailure, Buffer | undefined>>;
+	exportBlock(address: string, blockKey: string): Promise<Either<EngineFailure, Buffer | undefined>>;
 	/** Sends a block to an engine, which refuses it if it does not serve the weight version that computed the block. */
-	importPiece(address: string, piece: {pieceKey: string; weightVersion: string}, content: Buffer): Promise<Either<EngineFailure, void>>;
+	importBlock(address: string, block: {pieceKey: string; weightVersion: string}, content: Buffer): Promise<Either<EngineFailure, void>>;
 }
--- a/src/ports/table-feed.ts
+++ b/src/ports/table-feed.ts
@@ -36,7 +36,7 @@
 /** The change feed of a table service. */
 export interface TableFeed {
 	/** Reads the whole table. */
-	readWhole(table: string): Promise<Either<TableFailure, FeedAnswer>>;
+	readSnapshot(table: string): Promise<Either<TableFailure, FeedAnswer>>;
 	/** Waits for changes after a position. */
 	follow(query: FollowQuery): Promise<Either<FeedFailure, FeedAnswer>>;
 }
--- a/src/protocol/parts/store-ledger.ts
+++ b/src/protocol/blocks/store-inventory.ts
@@ -6,32 +6,32 @@
  * `block-times.ts`. A restarted store is empty, and a request from before the restart may rewrite a block that other
  * instances still consider complete: so the store is closed for reads and writes for the same time before it offers blocks.
  */
-import {type StoredPart, type StoreEvents, type StoreListing} from '../../ports/cache-store-control.js';
-import {partKey, partNamedBy} from './part-key.js';
-import {withdrawalMilliseconds} from './part-times.js';
+import {type StoredBlock, type StoreEvents, type StoreListing} from '../../ports/cache-store-control.js';
+import {blockKey, parseBlockKey} from './block-key.js';
+import {withdrawalMilliseconds} from './block-times.js';
 
 /** The blocks that a store or an engine has gained and lost, as published to followers. Keys are `salt|id`. */
-export type PartsChange = {
+export type BlockChanges = {
 	added: Array<[key: string, tokens: number]>;
 	removed: string[];
 };
 
 /** Blocks are withdrawn when more than this share of the store's capacity is in use. */
-const highShare = 0.94;
+const highWatermarkShare = 0.94;
 /**
  * Blocks are withdrawn until no more than this share is in use. The rest is for blocks that are being written, which events do
  * not report. A block that finds no room is only not saved, and a later request tries again. Unused room, where the blocks in
  * use fill the stores, costs repeated prefills.
  */
-const lowShare = 0.88;
+const lowWatermarkShare = 0.88;
 /** Engines and stores allocate memory in units of this many tokens. */
-const blockTokens = 16;
+const allocationUnitTokens = 16;
 
 type Entry = {tokens: number; usedAt: number};
 
-export class StoreLedger {
+export class StoreInventory {
 	readonly #capacityTokens: number;
-	readonly #parts = new Map<string, Entry>();
+	readonly #offeredBlocks = new Map<string, Entry>();
 	/** Withdrawn blocks, and the time at which each may be freed. */
 	readonly #withdrawn = new Map<string, {tokens: number; freeAt: number}>();
 	#epoch: number | undefined;
@@ -62,7 +62,7 @@
 	}
 
 	/** Whether the store may be listed now; an earlier listing could offer a block that is being rewritten. */
-	mayOpen(now: number): boolean {
+	canOpen(now: number): boolean {
 		return now >= this.#closedUntil;
 	}
 
@@ -73,49 +73,49 @@
 
 	/** Returns all offered blocks. */
 	offered(): Array<[key: string, tokens: number]> {
-		return [...this.#parts].map(([key, {tokens}]) => [key, tokens]);
+		return [...this.#offeredBlocks].map(([key, {tokens}]) => [key, tokens]);
 	}
 
 	/** Applies a listing of the whole store. */
-	takeListing({epoch, parts, partial}: StoreListing, now: number): PartsChange {
-		const change: PartsChange = {added: [], removed: []};
+	applyListing({epoch, parts: blocks, partial}: StoreListing, now: number): BlockChanges {
+		const change: BlockChanges = {added: [], removed: []};
 		this.#epoch = epoch;
-		const listed = new Set(parts.map(part => partKey(part)));
-		for (const key of this.#parts.keys()) {
+		const listed = new Set(blocks.map(part => blockKey(part)));
+		for (const key of this.#offeredBlocks.keys()) {
 			if (!listed.has(key)) {
-				this.#drop(key, change);
+				this.#removeOffered(key, change);
 			}
 		}
 
-		for (const part of parts) {
-			this.#add(part, now, change);
+		for (const part of blocks) {
+			this.#offer(part, now, change);
 		}
 
-		this.#heldTokens = [...parts, ...partial].reduce((sum, {tokens}) => sum + inBlocks(tokens), 0);
+		this.#heldTokens = [...blocks, ...partial].reduce((sum, {tokens}) => sum + roundUpToAllocationUnit(tokens), 0);
 		return change;
 	}
 
 	/** Applies events of the same epoch. */
-	takeEvents({added, removed}: StoreEvents, now: number): PartsChange {
-		const change: PartsChange = {added: [], removed: []};
+	applyEvents({added, removed}: StoreEvents, now: number): BlockChanges {
+		const change: BlockChanges = {added: [], removed: []};
 		for (const part of added) {
-			this.#heldTokens += this.#knows(part) ? 0 : inBlocks(part.tokens);
-			this.#add(part, now, change);
+			this.#heldTokens += this.#isKnown(part) ? 0 : roundUpToAllocationUnit(part.tokens);
+			this.#offer(part, now, change);
 		}
 
 		for (const part of removed) {
-			this.#heldTokens -= this.#knows(part) ? inBlocks(this.#tokensOf(part)) : 0;
-			this.#drop(partKey(part), change);
-			this.#withdrawn.delete(partKey(part));
+			this.#heldTokens -= this.#isKnown(part) ? roundUpToAllocationUnit(this.#tokensOf(part)) : 0;
+			this.#removeOffered(blockKey(part), change);
+			this.#withdrawn.delete(blockKey(part));
 		}
 
 		return change;
 	}
 
 	/** Closes a store that cannot be reached or has restarted: it offers nothing until all earlier reports have expired. */
-	close(now: number): PartsChange {
-		const change: PartsChange = {added: [], removed: [...this.#parts.keys()]};
-		this.#parts.clear();
+	close(now: number): BlockChanges {
+		const change: BlockChanges = {added: [], removed: [...this.#offeredBlocks.keys()]};
+		this.#offeredBlocks.clear();
 		this.#withdrawn.clear();
 		this.#offeredTokens = 0;
 		this.#heldTokens = 0;
@@ -125,12 +125,12 @@
 	}
 
 	/** Marks a block as used now. */
-	use(key: string, now: number): void {
-		const entry = this.#parts.get(key);
+	markUsed(key: string, now: number): void {
+		const entry = this.#offeredBlocks.get(key);
 		if (entry !== undefined) {
 			// The map is in order of last use.
-			this.#parts.delete(key);
-			this.#parts.set(key, {...entry, usedAt: now});
+			this.#offeredBlocks.delete(key);
+			this.#offeredBlocks.set(key, {...entry, usedAt: now});
 		}
 	}
 
@@ -141,25 +141,25 @@
 	 * @param isExpired - Whether no engine can use the blocks of a salt, because none serves its weight version any more. New
 	 * weights fill the stores with new blocks within seconds, faster than eviction of a few percent at a time makes room.
 	 */
-	withdraw(now: number, isDead: (salt: string) => boolean = () => false): PartsChange {
-		const change: PartsChange = {added: [], removed: []};
-		for (const [key, {tokens}] of this.#parts) {
-			if (isDead(partNamedBy(key).salt)) {
+	withdraw(now: number, isExpired: (salt: string) => boolean = () => false): BlockChanges {
+		const change: BlockChanges = {added: [], removed: []};
+		for (const [key, {tokens}] of this.#offeredBlocks) {
+			if (isExpired(parseBlockKey(key).salt)) {
 				this.#withdraw(key, tokens, now, change);
 			}
 		}
 
-		let willHold = this.#heldTokens - [...this.#withdrawn.values()].reduce((sum, {tokens}) => sum + inBlocks(tokens), 0);
-		if (willHold <= highShare * this.#capacityTokens) {
+		let willHold = this.#heldTokens - [...this.#withdrawn.values()].reduce((sum, {tokens}) => sum + roundUpToAllocationUnit(tokens), 0);
+		if (willHold <= highWatermarkShare * this.#capacityTokens) {
 			return change;
 		}
 
-		for (const [key, {tokens}] of this.#parts) {
-			if (willHold <= lowShare * this.#capacityTokens) {
+		for (const [key, {tokens}] of this.#offeredBlocks) {
+			if (willHold <= lowWatermarkShare * this.#capacityTokens) {
 				break;
 			}
 
-			willHold -= inBlocks(tokens);
+			willHold -= roundUpToAllocationUnit(tokens);
 			this.#withdraw(key, tokens, now, change);
 		}
 
@@ -170,55 +170,55 @@
 	dueToFree(now: number): Array<{salt: string; id: string}> {
 		return [...this.#withdrawn]
 			.filter(([, {freeAt}]) => freeAt <= now)
-			.map(([key]) => partNamedBy(key));
+			.map(([key]) => parseBlockKey(key));
 	}
 
 	/** Removes blocks that the store has freed. */
-	freed(parts: ReadonlyArray<{salt: string; id: string}>): void {
-		for (const part of parts) {
-			const withdrawn = this.#withdrawn.get(partKey(part));
-			this.#heldTokens -= withdrawn === undefined ? 0 : inBlocks(withdrawn.tokens);
-			this.#withdrawn.delete(partKey(part));
+	markFreed(blocks: ReadonlyArray<{salt: string; id: string}>): void {
+		for (const block of blocks) {
+			const withdrawn = this.#withdrawn.get(blockKey(block));
+			this.#heldTokens -= withdrawn === undefined ? 0 : roundUpToAllocationUnit(withdrawn.tokens);
+			this.#withdrawn.delete(blockKey(block));
 		}
 	}
 
-	#withdraw(key: string, tokens: number, now: number, change: PartsChange): void {
-		this.#parts.delete(key);
+	#withdraw(key: string, tokens: number, now: number, change: BlockChanges): void {
+		this.#offeredBlocks.delete(key);
 		this.#offeredTokens -= tokens;
 		this.#withdrawn.set(key, {tokens, freeAt: now + withdrawalMilliseconds});
 		change.removed.push(key);
 	}
 
-	#add(part: StoredPart, now: number, change: PartsChange): void {
-		const key = partKey(part);
+	#offer(block: StoredBlock, now: number, change: BlockChanges): void {
+		const key = blockKey(block);
 		// A withdrawn block stays withdrawn and will be freed, even if a late event reports it as added.
-		if (this.#withdrawn.has(key) || this.#parts.has(key)) {
+		if (this.#withdrawn.has(key) || this.#offeredBlocks.has(key)) {
 			return;
 		}
 
-		this.#parts.set(key, {tokens: part.tokens, usedAt: now});
-		this.#offeredTokens += part.tokens;
-		change.added.push([key, part.tokens]);
+		this.#offeredBlocks.set(key, {tokens: block.tokens, usedAt: now});
+		this.#offeredTokens += block.tokens;
+		change.added.push([key, block.tokens]);
 	}
 
-	#drop(key: string, change: PartsChange): void {
-		const entry = this.#parts.get(key);
+	#removeOffered(key: string, change: BlockChanges): void {
+		const entry = this.#offeredBlocks.get(key);
 		if (entry !== undefined) {
-			this.#parts.delete(key);
+			this.#offeredBlocks.delete(key);
 			this.#offeredTokens -= entry.tokens;
 			change.removed.push(key);
 		}
 	}
 
-	#knows(part: StoredPart): boolean {
-		return this.#parts.has(partKey(part)) || this.#withdrawn.has(partKey(part));
+	#isKnown(block: StoredBlock): boolean {
+		return this.#offeredBlocks.has(blockKey(block)) || this.#withdrawn.has(blockKey(block));
 	}
 
-	#tokensOf(part: StoredPart): number {
-		return this.#parts.get(partKey(part))?.tokens ?? this.#withdrawn.get(partKey(part))?.tokens ?? 0;
+	#tokensOf(block: StoredBlock): number {
+		return this.#offeredBlocks.get(blockKey(block))?.tokens ?? this.#withdrawn.get(blockKey(block))?.tokens ?? 0;
 	}
 }
 
-function inBlocks(tokens: number): number {
-	return Math.ceil(tokens / blockTokens) * blockTokens;
+function roundUpToAllocationUnit(tokens: number): number {
+	return Math.ceil(tokens / allocationUnitTokens) * allocationUnitTokens;
 }
--- a/src/protocol/cache/piece-seal.ts
+++ b/src/protocol/cache/block-seal.ts
@@ -6,7 +6,7 @@
 import {type Buffer} from 'node:buffer';
 import {createHash} from 'node:crypto';
 import {type Either, Left, Right} from 'purify-ts/Either';
-import {type CacheStoreFailure, type PieceSeal} from '../../ports/cache-store.js';
+import {type CacheStoreFailure, type BlockSeal} from '../../ports/cache-store.js';
 
 /**
  * Returns the seal of a block.
@@ -14,7 +14,7 @@
  * @param content - The whole block.
  * @returns Its length in bytes and its SHA-256 digest.
  */
-export function sealOf(content: Buffer): PieceSeal {
+export function sealOf(content: Buffer): BlockSeal {
 	return {length: content.length, digest: createHash('sha256').update(content).digest('hex')};
 }
 
@@ -30,13 +30,13 @@
  * @param content - The received bytes.
  * @returns The bytes, or the reason why they must not be used.
  */
-export function checkPiece(expected: PieceSeal, stored: PieceSeal, content: Buffer): Either<CacheStoreFailure, Buffer> {
+export function verifyBlock(expected: BlockSeal, stored: BlockSeal, content: Buffer): Either<CacheStoreFailure, Buffer> {
 	if (stored.length !== expected.length || stored.digest !== expected.digest) {
 		return Left({kind: 'absent'});
 	}
 
-	const came = sealOf(content);
-	return came.length === expected.length && came.digest === expected.digest
+	const received = sealOf(content);
+	return received.length === expected.length && received.digest === expected.digest
 		? Right(content)
-		: Left({kind: 'damaged', detail: `the ${came.length} bytes received do not match the sealed length and digest`});
+		: Left({kind: 'damaged', detail: `the ${received.length} bytes received do not match the sealed length and digest`});
 }
--- a/src/protocol/claim/claim-budget.ts
+++ b/src/protocol/claim/claim-budget.ts
@@ -12,18 +12,18 @@
 /** Claims per second that all instances together may start, unless the limit `claims-per-second` is declared. */
 export const defaultClaimsPerSecond = 100;
 const burstSeconds = 2;
-const leastBurstClaims = 4;
-const openLimit = 64;
-const suspectMilliseconds = 1000;
+const minBurstClaims = 4;
+const maxOpenClaims = 64;
+const tableRetryMilliseconds = 1000;
 
 /** A refusal by the budget. */
 export type BudgetRefusal = Refusal & {reason: 'claim-rate' | 'platform-unavailable'};
 
 export class ClaimBudget {
-	#tokens = leastBurstClaims;
+	#tokens = minBurstClaims;
 	#refilledAt = 0;
-	#open = 0;
-	#suspectUntil = 0;
+	#openClaims = 0;
+	#tableDownUntil = 0;
 
 	/**
 	 * Admits a claim or refuses it.
@@ -34,28 +34,28 @@
 	 * @returns `undefined` if the claim is admitted, in which case `release` must be called at its end; otherwise the refusal
 	 * of the call, which was not sent.
 	 */
-	enter(share: {instances: number; claimsPerSecond: number}, now: number): BudgetRefusal | undefined {
+	acquire(share: {instances: number; claimsPerSecond: number}, now: number): BudgetRefusal | undefined {
 		// While the table does not answer, each call would wait for its timeout and calls would queue up. One call per second
 		// is admitted as a probe; all others are refused at once.
-		if (now < this.#suspectUntil) {
-			return refusalOf('platform-unavailable', 'the platform\'s table does not answer; the call was not sent', this.#suspectUntil - now);
+		if (now < this.#tableDownUntil) {
+			return refusalOf('platform-unavailable', 'the platform\'s table does not answer; the call was not sent', this.#tableDownUntil - now);
 		}
 
 		const perSecond = share.claimsPerSecond / Math.max(1, share.instances);
 		this.#refill(perSecond, now);
-		if (this.#open >= openLimit || this.#tokens < 1) {
+		if (this.#openClaims >= maxOpenClaims || this.#tokens < 1) {
 			return refusalOf('claim-rate', 'too many non-idempotent calls; the call was not sent', 1000 / perSecond);
 		}
 
 		this.#tokens--;
-		this.#open++;
-		this.#suspectUntil = this.#suspectUntil === 0 ? 0 : now + suspectMilliseconds;
+		this.#openClaims++;
+		this.#tableDownUntil = this.#tableDownUntil === 0 ? 0 : now + tableRetryMilliseconds;
 		return undefined;
 	}
 
 	/** Ends an admitted claim. */
-	leave(): void {
-		this.#open--;
+	release(): void {
+		this.#openClaims--;
 	}
 
 	/**
@@ -64,14 +64,14 @@
 	 * @param answered - Whether the table answered.
 	 * @param now - Milliseconds since the epoch.
 	 */
-	observe(answered: boolean, now: number): void {
-		this.#suspectUntil = answered ? 0 : now + suspectMilliseconds;
+	recordTableAnswer(answered: boolean, now: number): void {
+		this.#tableDownUntil = answered ? 0 : now + tableRetryMilliseconds;
 	}
 
 	#refill(perSecond: number, now: number): void {
-		const most = Math.max(leastBurstClaims, perSecond * burstSeconds);
-		const gained = this.#refilledAt === 0 ? most : (now - this.#refilledAt) * perSecond / 1000;
-		this.#tokens = Math.min(most, this.#tokens + gained);
+		const burst = Math.max(minBurstClaims, perSecond * burstSeconds);
+		const refilled = this.#refilledAt === 0 ? burst : (now - this.#refilledAt) * perSecond / 1000;
+		this.#tokens = Math.min(burst, this.#tokens + refilled);
 		this.#refilledAt = now;
 	}
 }
--- a/src/protocol/claim/claim-closing.ts
+++ b/src/protocol/claim/claim-closing.ts
@@ -7,7 +7,7 @@
 	type ClaimDecision, type ClaimEvent, type ClaimOutcome, type ClaimStep,
 } from './claim-steps.js';
 
-const tryLimit = 6;
+const maxWriteAttempts = 6;
 const retryMilliseconds = 1000;
 
 /** The final row to write, the revision that it replaces, and the caller's outcome after the first write. */
@@ -15,7 +15,7 @@
 
 export class ClaimClosing {
 	readonly #end: ClaimEnd;
-	#tries = 0;
+	#writeAttempts = 0;
 	#isOver = false;
 
 	constructor(end: ClaimEnd) {
@@ -38,17 +38,17 @@
 	 * @param event - The result.
 	 * @returns The caller's outcome, after the first write, and the next step, if any.
 	 */
-	take(event: ClaimEvent): ClaimDecision {
+	handle(event: ClaimEvent): ClaimDecision {
 		if (event.kind === 'woken') {
 			return {next: this.#write()};
 		}
 
 		const {outcome} = this.#end;
-		const told: ClaimDecision = this.#tries > 0 || outcome === undefined ? {} : {outcome};
-		this.#tries++;
+		const decision: ClaimDecision = this.#writeAttempts > 0 || outcome === undefined ? {} : {outcome};
+		this.#writeAttempts++;
 		// A conflict means that an earlier attempt of this write was applied: no other instance writes the row after `sending`.
-		this.#isOver = event.kind === 'written' || event.kind === 'write-conflict' || this.#tries >= tryLimit;
-		return this.#isOver ? told : {...told, next: {kind: 'wait', milliseconds: retryMilliseconds}};
+		this.#isOver = event.kind === 'written' || event.kind === 'write-conflict' || this.#writeAttempts >= maxWriteAttempts;
+		return this.#isOver ? decision : {...decision, next: {kind: 'wait', milliseconds: retryMilliseconds}};
 	}
 
 	#write(): ClaimStep {
--- a/src/protocol/claim/claim-machine.ts
+++ b/src/protocol/claim/claim-machine.ts
@@ -13,29 +13,29 @@
 	type ClaimDecision, type ClaimedCall, type ClaimEvent, type ClaimOutcome, type FoundClaim,
 } from './claim-steps.js';
 import {OwnClaim} from './own-claim.js';
-import {RepeatPatience} from './repeat-patience.js';
+import {DuplicatePolling} from './duplicate-polling.js';
 import {unsentOutcome} from './unsent-outcome.js';
 
-const tryLimit = 3;
+const maxAttempts = 3;
 
 type Phase = 'claiming' | 'confirming' | 'sending' | 'closing' | 'repeating' | 'done';
 
 export class ClaimMachine {
 	readonly #call: ClaimedCall;
-	readonly #own: OwnClaim;
-	readonly #patience = new RepeatPatience();
+	readonly #ownClaim: OwnClaim;
+	readonly #duplicatePolling = new DuplicatePolling();
 	#phase: Phase = 'claiming';
 	/** The revision that the claim's row must have for the next write. */
 	#revision = 0;
-	#tries = 0;
-	#catchUps = 0;
+	#writeAttempts = 0;
+	#catchUpCount = 0;
 	#isCatchingUp = false;
-	#hasSeenOther = false;
+	#hasSeenOtherClaim = false;
 	#closing: ClaimClosing | undefined;
 
 	constructor(call: ClaimedCall) {
 		this.#call = call;
-		this.#own = new OwnClaim(call);
+		this.#ownClaim = new OwnClaim(call);
 	}
 
 	/** True once no step follows. */
@@ -60,30 +60,30 @@
 	 * @param now - Milliseconds since the epoch.
 	 * @returns The caller's outcome, once it is known, and the next step, if any.
 	 */
-	take(event: ClaimEvent, now: number): ClaimDecision {
+	handle(event: ClaimEvent, now: number): ClaimDecision {
 		if (this.#isCatchingUp) {
-			return this.#takeCatchUp(event, now);
+			return this.#handleCatchUp(event, now);
 		}
 
 		switch (this.#phase) {
 			case 'claiming': {
-				return this.#takeClaiming(event, now);
+				return this.#handleClaiming(event, now);
 			}
 
 			case 'confirming': {
-				return this.#takeConfirming(event, now);
+				return this.#handleConfirming(event, now);
 			}
 
 			case 'sending': {
-				return this.#takeSending(event, now);
+				return this.#handleSending(event, now);
 			}
 
 			case 'closing': {
-				return this.#takeClosing(event);
+				return this.#handleClosing(event);
 			}
 
 			case 'repeating': {
-				return this.#takeRepeating(event, now);
+				return this.#handlePolling(event, now);
 			}
 
 			case 'done': {
@@ -95,10 +95,10 @@
 	#claim(revision: number, now: number): ClaimDecision {
 		this.#phase = 'claiming';
 		this.#revision = revision;
-		return {next: this.#own.claimStep(revision, now)};
+		return {next: this.#ownClaim.claimStep(revision, now)};
 	}
 
-	#takeClaiming(event: ClaimEvent, now: number): ClaimDecision {
+	#handleClaiming(event: ClaimEvent, now: number): ClaimDecision {
 		if (event.kind === 'written') {
 			return this.#confirm(this.#revision + 1, now);
 		}
@@ -108,7 +108,7 @@
 		}
 
 		if (event.kind === 'write-conflict' || event.kind === 'read') {
-			return isOnlyNewerConfiguration(event) ? this.#catchUp() : this.#judgeClaim(event.found, now);
+			return failedByNewerConfigurationOnly(event) ? this.#catchUp() : this.#decideAfterClaim(event.found, now);
 		}
 
 		// The claim is not confirmed, so the call was not sent. It will not be sent even if the lost write still reaches the
@@ -117,19 +117,19 @@
 	}
 
 	/** Decides by the row as it stands after a claim that failed or whose answer was lost. */
-	#judgeClaim(found: FoundClaim | undefined, now: number): ClaimDecision {
-		if (found !== undefined && this.#own.isOwn(found)) {
+	#decideAfterClaim(found: FoundClaim | undefined, now: number): ClaimDecision {
+		if (found !== undefined && this.#ownClaim.isOwn(found)) {
 			return this.#confirm(found.revision, now);
 		}
 
 		const isUnchanged = (found?.revision ?? 0) === this.#revision;
 		if (!isUnchanged && found !== undefined) {
-			return this.#judgeOther(found, now);
+			return this.#decideByOtherClaim(found, now);
 		}
 
 		// The lost write was not applied so far. Writing it again is safe: only one of the two can be applied.
-		this.#tries++;
-		return this.#tries < tryLimit ? this.#claim(this.#revision, now) : this.#refuseUnsent('the claim could not be written');
+		this.#writeAttempts++;
+		return this.#writeAttempts < maxAttempts ? this.#claim(this.#revision, now) : this.#refuseUnsent('the claim could not be written');
 	}
 
 	#confirm(revision: number, now: number): ClaimDecision {
@@ -137,10 +137,10 @@
 		this.#revision = revision;
 		// The lease may have expired while this process was paused, and another instance may have taken the claim over and
 		// sent the call; sending it now would run it twice. The takeover changed the revision, so this write fails.
-		return {next: this.#own.confirmStep(revision, now)};
+		return {next: this.#ownClaim.confirmStep(revision, now)};
 	}
 
-	#takeConfirming(event: ClaimEvent, now: number): ClaimDecision {
+	#handleConfirming(event: ClaimEvent, now: number): ClaimDecision {
 		if (event.kind === 'written') {
 			return this.#send(this.#revision + 1);
 		}
@@ -150,7 +150,7 @@
 		}
 
 		if (event.kind === 'write-conflict' || event.kind === 'read') {
-			return isOnlyNewerConfiguration(event) ? this.#catchUp() : this.#judgeConfirm(event.found, now);
+			return failedByNewerConfigurationOnly(event) ? this.#catchUp() : this.#decideAfterConfirm(event.found, now);
 		}
 
 		// If the answer to the confirming write is lost and the row cannot be read, the call must not be sent: another
@@ -158,17 +158,17 @@
 		return this.#refuseUnsent('the claim could not be confirmed');
 	}
 
-	#judgeConfirm(found: FoundClaim | undefined, now: number): ClaimDecision {
-		if (found !== undefined && this.#own.isOwn(found) && found.row.stage === 'sending') {
+	#decideAfterConfirm(found: FoundClaim | undefined, now: number): ClaimDecision {
+		if (found !== undefined && this.#ownClaim.isOwn(found) && found.row.stage === 'sending') {
 			return this.#send(found.revision);
 		}
 
-		if (found !== undefined && !this.#own.isOwn(found)) {
-			return this.#judgeOther(found, now);
+		if (found !== undefined && !this.#ownClaim.isOwn(found)) {
+			return this.#decideByOtherClaim(found, now);
 		}
 
-		this.#tries++;
-		return this.#tries < tryLimit ? this.#confirm(this.#revision, now) : this.#refuseUnsent('the claim could not be confirmed');
+		this.#writeAttempts++;
+		return this.#writeAttempts < maxAttempts ? this.#confirm(this.#revision, now) : this.#refuseUnsent('the claim could not be confirmed');
 	}
 
 	#send(revision: number): ClaimDecision {
@@ -177,18 +177,18 @@
 		return {next: {kind: 'send'}};
 	}
 
-	#takeSending(event: ClaimEvent, now: number): ClaimDecision {
+	#handleSending(event: ClaimEvent, now: number): ClaimDecision {
 		if (event.kind === 'answered') {
 			const {answer} = event;
-			return this.#close({...this.#own.row('recorded', now), answer}, {kind: 'answer', answer});
+			return this.#close({...this.#ownClaim.row('recorded', now), answer}, {kind: 'answer', answer});
 		}
 
 		if (event.kind === 'not-sent') {
-			return this.#close(this.#own.row('abandoned', now), unsentOutcome('no-endpoint', `the call was not sent: ${event.detail}`, 'not-run'));
+			return this.#close(this.#ownClaim.row('abandoned', now), unsentOutcome('no-endpoint', `the call was not sent: ${event.detail}`, 'not-run'));
 		}
 
-		const decision = this.#close(this.#own.row('unknown', now), undefined);
-		return {...decision, outcome: this.#unknown('outcome-unknown', 'the call may have run; it will not be sent again')};
+		const decision = this.#close(this.#ownClaim.row('unknown', now), undefined);
+		return {...decision, outcome: this.#unknownOutcome('outcome-unknown', 'the call may have run; it will not be sent again')};
 	}
 
 	#close(row: ClaimRow, outcome: ClaimOutcome | undefined): ClaimDecision {
@@ -197,16 +197,16 @@
 		return this.#closing.start();
 	}
 
-	#takeClosing(event: ClaimEvent): ClaimDecision {
+	#handleClosing(event: ClaimEvent): ClaimDecision {
 		const closing = this.#closing!;
-		const decision = closing.take(event);
+		const decision = closing.handle(event);
 		this.#phase = closing.isOver ? 'done' : 'closing';
 		return decision;
 	}
 
 	#catchUp(): ClaimDecision {
-		this.#catchUps++;
-		if (this.#catchUps > tryLimit) {
+		this.#catchUpCount++;
+		if (this.#catchUpCount > maxAttempts) {
 			return this.#refuseUnsent('the configuration changed too often during the claim', 'stale-configuration');
 		}
 
@@ -214,26 +214,26 @@
 		return {next: {kind: 'catch-up'}};
 	}
 
-	#takeCatchUp(event: ClaimEvent, now: number): ClaimDecision {
+	#handleCatchUp(event: ClaimEvent, now: number): ClaimDecision {
 		this.#isCatchingUp = false;
-		if (event.kind !== 'caught-up' || event.version <= this.#own.version) {
+		if (event.kind !== 'caught-up' || event.version <= this.#ownClaim.version) {
 			return this.#refuseUnsent('this instance does not have the newest configuration', 'stale-configuration');
 		}
 
-		this.#own.version = event.version;
+		this.#ownClaim.version = event.version;
 		const isClaimed = this.#phase === 'confirming';
 		if (event.refusal === undefined) {
 			return isClaimed ? this.#confirm(this.#revision, now) : this.#claim(this.#revision, now);
 		}
 
 		const outcome: ClaimOutcome = {kind: 'refusal', refusal: event.refusal};
-		return isClaimed ? this.#close(this.#own.row('abandoned', now), outcome) : this.#end(outcome);
+		return isClaimed ? this.#close(this.#ownClaim.row('abandoned', now), outcome) : this.#end(outcome);
 	}
 
 	/** Decides by a claim of another call with the same key: answer from it, wait for it, or take it over. */
-	#judgeOther(found: FoundClaim, now: number): ClaimDecision {
+	#decideByOtherClaim(found: FoundClaim, now: number): ClaimDecision {
 		const {row, revision} = found;
-		this.#hasSeenOther = true;
+		this.#hasSeenOtherClaim = true;
 		this.#phase = 'repeating';
 		if (row.bodyDigest !== this.#call.bodyDigest) {
 			return this.#end(unsentOutcome('key-reused', 'this key was used for another call', 'not-run'));
@@ -244,41 +244,41 @@
 		}
 
 		if (row.stage === 'abandoned' || (row.stage === 'claimed' && row.leaseUntil < now)) {
-			this.#own.beginAgain();
-			this.#tries = 0;
+			this.#ownClaim.startNextRound();
+			this.#writeAttempts = 0;
 			return this.#claim(revision, now);
 		}
 
 		if (row.stage === 'unknown' || (row.stage === 'sending' && row.leaseUntil < now)) {
-			return this.#end(this.#unknown('outcome-unknown', 'the call may have run; it will not be sent again'));
+			return this.#end(this.#unknownOutcome('outcome-unknown', 'the call may have run; it will not be sent again'));
 		}
 
-		return this.#waitFor(now);
+		return this.#waitForFirstCall(now);
 	}
 
-	#waitFor(now: number): ClaimDecision {
-		const milliseconds = this.#patience.nextPause(now);
+	#waitForFirstCall(now: number): ClaimDecision {
+		const milliseconds = this.#duplicatePolling.nextDelay(now);
 		return milliseconds === undefined
-			? this.#end(this.#unknown('in-progress', 'another call with this key is in flight'))
+			? this.#end(this.#unknownOutcome('in-progress', 'another call with this key is in flight'))
 			: {next: {kind: 'wait', milliseconds}};
 	}
 
-	#takeRepeating(event: ClaimEvent, now: number): ClaimDecision {
+	#handlePolling(event: ClaimEvent, now: number): ClaimDecision {
 		if (event.kind === 'woken') {
 			return {next: {kind: 'read'}};
 		}
 
 		return event.kind === 'read' && event.found !== undefined
-			? this.#judgeOther(event.found, now)
-			: this.#end(this.#unknown('platform-unavailable', 'the state of the first call with this key cannot be read'));
+			? this.#decideByOtherClaim(event.found, now)
+			: this.#end(this.#unknownOutcome('platform-unavailable', 'the state of the first call with this key cannot be read'));
 	}
 
 	/** Refuses a call that this machine did not send. If a claim of another call was seen, that call may have been sent. */
 	#refuseUnsent(message: string, reason: 'platform-unavailable' | 'stale-configuration' = 'platform-unavailable'): ClaimDecision {
-		return this.#end(this.#hasSeenOther ? this.#unknown(reason, message) : unsentOutcome(reason, `${message}; the call was not sent`, 'not-run'));
+		return this.#end(this.#hasSeenOtherClaim ? this.#unknownOutcome(reason, message) : unsentOutcome(reason, `${message}; the call was not sent`, 'not-run'));
 	}
 
-	#unknown(reason: Refusal['reason'], message: string): ClaimOutcome {
+	#unknownOutcome(reason: Refusal['reason'], message: string): ClaimOutcome {
 		const {kind, refusal} = unsentOutcome(reason, message, 'unknown');
 		return {kind, refusal: {...refusal, askAt: this.#call.askAt}};
 	}
@@ -289,6 +289,6 @@
 	}
 }
 
-function isOnlyNewerConfiguration(event: ClaimEvent): boolean {
+function failedByNewerConfigurationOnly(event: ClaimEvent): boolean {
 	return event.kind === 'write-conflict' && event.found === undefined && event.newerConfiguration;
 }
--- a/src/protocol/claim/claim-row.ts
+++ b/src/protocol/claim/claim-row.ts
@@ -52,11 +52,11 @@
 }
 
 /** Converts an answer to its stored form. */
-export function recordAnswer(answer: PlainAnswer): RecordedAnswer {
+export function toRecordedAnswer(answer: PlainAnswer): RecordedAnswer {
 	return {status: answer.status, headers: answer.headers, bodyBase64: answer.body.toString('base64')};
 }
 
 /** Converts a stored answer back to an answer. */
-export function replayAnswer(recorded: RecordedAnswer): PlainAnswer {
+export function toPlainAnswer(recorded: RecordedAnswer): PlainAnswer {
 	return {status: recorded.status, headers: recorded.headers, body: Buffer.from(recorded.bodyBase64, 'base64')};
 }
--- a/src/protocol/claim/repeat-patience.ts
+++ b/src/protocol/claim/duplicate-polling.ts
@@ -1,10 +1,10 @@
 /** The schedule by which a duplicate call polls whether the first call with its key has ended. */
 
-const patienceMilliseconds = 3000;
+const timeoutMilliseconds = 3000;
 const firstPollMilliseconds = 25;
-const longestPollMilliseconds = 400;
+const maxPollMilliseconds = 400;
 
-export class RepeatPatience {
+export class DuplicatePolling {
 	#until: number | undefined;
 	#pollMilliseconds = firstPollMilliseconds;
 
@@ -14,14 +14,14 @@
 	 * @param now - Milliseconds since the epoch.
 	 * @returns Milliseconds, or `undefined` once the timeout, counted from the first call of this method, is over.
 	 */
-	nextPause(now: number): number | undefined {
-		this.#until ??= now + patienceMilliseconds;
+	nextDelay(now: number): number | undefined {
+		this.#until ??= now + timeoutMilliseconds;
 		if (now >= this.#until) {
 			return undefined;
 		}
 
 		const milliseconds = this.#pollMilliseconds;
-		this.#pollMilliseconds = Math.min(milliseconds * 2, longestPollMilliseconds);
+		this.#pollMilliseconds = Math.min(milliseconds * 2, maxPollMilliseconds);
 		return milliseconds;
 	}
 }
--- a/src/protocol/claim/own-claim.ts
+++ b/src/protocol/claim/own-claim.ts
@@ -23,7 +23,7 @@
 	}
 
 	/** Starts another claim with a new nonce: rows of the previous one no longer count as its own. */
-	beginAgain(): void {
+	startNextRound(): void {
 		this.#round++;
 	}
 
--- a/src/protocol/claim/unsent-outcome.ts
+++ b/src/protocol/claim/unsent-outcome.ts
@@ -2,7 +2,7 @@
 import {type ClaimOutcome} from './claim-steps.js';
 
 /** The delay after which the caller may retry. */
-const comeBackMilliseconds = 2000;
+const retryDelayMilliseconds = 2000;
 
 /**
  * Creates the refusal of a call that was not sent.
@@ -13,10 +13,10 @@
  * @returns The outcome, with a retry delay unless a retry cannot succeed.
  */
 export function unsentOutcome(reason: Refusal['reason'], message: string, ran: RunState): ClaimOutcome & {kind: 'refusal'} {
-	const canReturn = reason !== 'key-reused';
+	const isRetryable = reason !== 'key-reused';
 	return {
 		kind: 'refusal', refusal: {
-			reason, ran, message, ...(canReturn ? {retryAfterMilliseconds: comeBackMilliseconds} : {}),
+			reason, ran, message, ...(isRetryable ? {retryAfterMilliseconds: retryDelayMilliseconds} : {}),
 		},
 	};
 }
--- a/src/protocol/configuration/configuration-table.ts
+++ b/src/protocol/configuration/configuration-table.ts
@@ -16,7 +16,7 @@
 const changePrefix = 'change/';
 const versionDigits = 12;
 /** The maximum number of changes per read. */
-export const readLimitChanges = 1000;
+export const maxChangesPerRead = 1000;
 
 /** The row `head`. `revision` is 0 while there is no change. */
 export type ConfigurationHead = {
@@ -65,7 +65,7 @@
  */
 export async function readChangesAfter(table: TableService, version: number): Promise<Either<TableFailure, ConfigurationChange[]>> {
 	const rows = await table.scan({
-		table: configurationTable, prefix: changePrefix, after: changeKeyOf(version), limit: readLimitChanges,
+		table: configurationTable, prefix: changePrefix, after: changeKeyOf(version), limit: maxChangesPerRead,
 	});
 	return rows.map(found => found.map(row => row.value as unknown as ConfigurationChange));
 }
--- a/src/protocol/configuration/start-gate.ts
+++ b/src/protocol/configuration/start-gate.ts
@@ -8,11 +8,11 @@
  */
 
 /** How long the process waits for its peers' newest version: the time limit within which a change is in force everywhere. */
-export const peerPatienceMilliseconds = 3000;
+export const peerCatchUpDelayMilliseconds = 3000;
 
 export class StartGate {
 	#isOpen = false;
-	#heardAt: number | undefined;
+	#firstVersionAt: number | undefined;
 
 	/** True once the process may serve; it does not become false again. */
 	get isOpen(): boolean {
@@ -33,7 +33,7 @@
 	tableFailed(version: number, now: number): void {
 		// The delay starts at the first change received. Otherwise an instance that was partitioned for longer than the delay
 		// would start to serve while it catches up, with the first old change that reaches it.
-		this.#heardAt ??= version > 0 ? now : undefined;
-		this.#isOpen ||= this.#heardAt !== undefined && now - this.#heardAt >= peerPatienceMilliseconds;
+		this.#firstVersionAt ??= version > 0 ? now : undefined;
+		this.#isOpen ||= this.#firstVersionAt !== undefined && now - this.#firstVersionAt >= peerCatchUpDelayMilliseconds;
 	}
 }
--- a/src/protocol/duty/duty-lease.ts
+++ b/src/protocol/lease/leader-lease.ts
@@ -22,7 +22,7 @@
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
 
 /** The row of a lease. */
-export type DutyRow = {
+export type LeaseRow = {
 	holder: string;
 	fencingNumber: number;
 	/** The store's steady clock, in milliseconds, at the read before the grant. */
@@ -40,7 +40,7 @@
 };
 
 /** The state of the store when the row was read. */
-export type DutyReading = {
+export type LeaseReading = {
 	/** The store's steady clock, in milliseconds. */
 	storeMilliseconds: number;
 	/** The store's era; 0 for a store that reports none and never loses acknowledged writes. */
@@ -50,7 +50,7 @@
 };
 
 /** The durations of a lease, in milliseconds. */
-export type DutyTerms = {
+export type LeaseTerms = {
 	/** The minimum time between orders of two holders. */
 	leaseMilliseconds: number;
 	/** The length of a grant. */
@@ -58,25 +58,25 @@
 };
 
 /** Whether an instance may write the row now (`take`), or after how many milliseconds it checks again. */
-export type DutyDecision
-	= | {kind: 'take'; row: DutyRow}
+export type LeaseDecision
+	= | {kind: 'take'; row: LeaseRow}
 		| {kind: 'wait'; milliseconds: number};
 
 /** A grant, with the moment from which its holder counts it. */
-export type DutyGrant = {
-	row: DutyRow;
+export type LeaseGrant = {
+	row: LeaseRow;
 	/** When the read before the grant was sent. */
 	since: Moment;
 };
 
 /** The upper limit for a grant that is extended because the store is slow, as a share of the lease. */
-const mostActingShare = 0.5;
+const maxGrantShare = 0.5;
 /** Added to the lease between two holders: the time from a holder's last check of its grant until its order arrives. */
 const takeoverMarginMilliseconds = 300;
 
 /** Returns the upper limit, in milliseconds, for a grant that is extended because the store is slow. */
-export function mostActingMilliseconds(leaseMilliseconds: number): number {
-	return mostActingShare * leaseMilliseconds;
+export function maxGrantMilliseconds(leaseMilliseconds: number): number {
+	return maxGrantShare * leaseMilliseconds;
 }
 
 /**
@@ -86,7 +86,7 @@
  * @param now - The present moment.
  * @returns Milliseconds for which the holder may still lead; 0 or less if the grant has expired.
  */
-export function leftOfGrant({row, since}: DutyGrant, now: Moment): number {
+export function remainingGrantMilliseconds({row, since}: LeaseGrant, now: Moment): number {
 	return row.actingMilliseconds - longestElapsed(since, now);
 }
 
@@ -98,22 +98,22 @@
  * @param leaseMilliseconds - The lease.
  * @param now - The present moment.
  */
-export function isUncontested({row, since}: DutyGrant, leaseMilliseconds: number, now: Moment): boolean {
+export function isUncontested({row, since}: LeaseGrant, leaseMilliseconds: number, now: Moment): boolean {
 	return longestElapsed(since, now) < row.actingMilliseconds + leaseMilliseconds;
 }
 
-const nobodysRow = {address: '', engines: []};
+const emptyRowFields = {address: '', engines: []};
 /**
  * Where the last fencing number may be lost, the next one is computed from the era and the store's clock in this unit. Holders
  * change at most once per lease, so the clock advances faster than numbers that increase by one per holder.
  */
-const numberUnitMilliseconds = 100;
-const numbersOfAnEra = 100_000_000_000;
+const fencingUnitMilliseconds = 100;
+const fencingNumbersPerEra = 100_000_000_000;
 /** Earlier than any time of the store's clock. */
 const neverGranted = Number.MIN_SAFE_INTEGER;
 
 /** Returns the row of a holder that has finished its work under the lease: any instance may acquire it at once. */
-export function releasedRow(row: DutyRow): DutyRow {
+export function releasedRow(row: LeaseRow): LeaseRow {
 	return {...row, grantedAt: neverGranted, engines: []};
 }
 
@@ -126,19 +126,19 @@
  * @param terms - The lease, and the length of the grant that the instance would take.
  * @returns The row to write, or after how many milliseconds to check again.
  */
-export function decideDuty(row: DutyRow | undefined, taker: string, reading: DutyReading, {leaseMilliseconds, actingMilliseconds}: DutyTerms): DutyDecision {
+export function decideLease(row: LeaseRow | undefined, candidate: string, reading: LeaseReading, {leaseMilliseconds, actingMilliseconds}: LeaseTerms): LeaseDecision {
 	const {storeMilliseconds, era} = reading;
 	if (row === undefined || eraOf(row) !== era) {
-		return decideWithoutRow(row, taker, reading, {leaseMilliseconds, actingMilliseconds});
+		return decideNewEra(row, candidate, reading, {leaseMilliseconds, actingMilliseconds});
 	}
 
-	if (row.holder === taker) {
+	if (row.holder === candidate) {
 		// If the answer to this write is lost, the holder continues under its previous grant: the row must not expire earlier.
-		const leftBefore = row.grantedAt + row.actingMilliseconds - storeMilliseconds;
+		const remainingMilliseconds = row.grantedAt + row.actingMilliseconds - storeMilliseconds;
 		return {
 			kind: 'take',
 			row: {
-				...nobodysRow, holder: taker, fencingNumber: row.fencingNumber, grantedAt: storeMilliseconds, actingMilliseconds: Math.max(actingMilliseconds, leftBefore), era,
+				...emptyRowFields, holder: candidate, fencingNumber: row.fencingNumber, grantedAt: storeMilliseconds, actingMilliseconds: Math.max(actingMilliseconds, remainingMilliseconds), era,
 			},
 		};
 	}
@@ -151,30 +151,30 @@
 	return {
 		kind: 'take',
 		row: {
-			...nobodysRow, holder: taker, fencingNumber: row.fencingNumber + 1, grantedAt: storeMilliseconds, actingMilliseconds, era,
+			...emptyRowFields, holder: candidate, fencingNumber: row.fencingNumber + 1, grantedAt: storeMilliseconds, actingMilliseconds, era,
 		},
 	};
 }
 
 /** Decides without a row of this era: a grant that the store has lost may still be valid. */
-function decideWithoutRow(row: DutyRow | undefined, taker: string, {storeMilliseconds, era, unchangedMilliseconds}: DutyReading, {leaseMilliseconds, actingMilliseconds}: DutyTerms): DutyDecision {
-	const longestGrant = Math.max(actingMilliseconds, mostActingMilliseconds(leaseMilliseconds), row?.actingMilliseconds ?? 0);
-	const wait = longestGrant + leaseMilliseconds + takeoverMarginMilliseconds - unchangedMilliseconds;
+function decideNewEra(row: LeaseRow | undefined, candidate: string, {storeMilliseconds, era, unchangedMilliseconds}: LeaseReading, {leaseMilliseconds, actingMilliseconds}: LeaseTerms): LeaseDecision {
+	const maxGrant = Math.max(actingMilliseconds, maxGrantMilliseconds(leaseMilliseconds), row?.actingMilliseconds ?? 0);
+	const wait = maxGrant + leaseMilliseconds + takeoverMarginMilliseconds - unchangedMilliseconds;
 	if (era > 0 && wait > 0) {
 		return {kind: 'wait', milliseconds: wait};
 	}
 
-	const numberInEra = era === 0 ? 0 : (era * numbersOfAnEra) + Math.floor(storeMilliseconds / numberUnitMilliseconds);
+	const numberInEra = era === 0 ? 0 : (era * fencingNumbersPerEra) + Math.floor(storeMilliseconds / fencingUnitMilliseconds);
 	const fencingNumber = Math.max((row?.fencingNumber ?? 0) + 1, numberInEra);
 	return {
 		kind: 'take',
 		row: {
-			...nobodysRow, holder: taker, fencingNumber, grantedAt: storeMilliseconds, actingMilliseconds, era,
+			...emptyRowFields, holder: candidate, fencingNumber, grantedAt: storeMilliseconds, actingMilliseconds, era,
 		},
 	};
 }
 
 /** Returns the era of a row; rows written by releases without eras have none. */
-function eraOf({era}: Partial<DutyRow>): number {
+function eraOf({era}: Partial<LeaseRow>): number {
 	return era ?? 0;
 }
--- a/src/protocol/order/fencing-number.ts
+++ b/src/protocol/order/fencing-number.ts
@@ -6,7 +6,7 @@
 import {type TableFailure, type TableService} from '../../ports/table-service.js';
 
 export const orderTable = 'orders';
-const tryLimit = 3;
+const maxAttempts = 3;
 
 /** The row of an endpoint. `numberedAt` is in milliseconds since the epoch. */
 export type FencingRow = {
@@ -27,10 +27,10 @@
  * @param now - Milliseconds since the epoch.
  * @returns The row with the number, or the failure of the last attempt.
  */
-export async function takeFencingNumber(table: TableService, taker: {endpoint: string; holder: string}, now: number): Promise<Either<TableFailure, FencingRow>> {
-	const name = {table: orderTable, key: taker.endpoint};
+export async function allocateFencingNumber(table: TableService, requester: {endpoint: string; holder: string}, now: number): Promise<Either<TableFailure, FencingRow>> {
+	const name = {table: orderTable, key: requester.endpoint};
 	let failure: TableFailure = {kind: 'unavailable', detail: 'not attempted'};
-	for (let count = 0; count < tryLimit; count++) {
+	for (let count = 0; count < maxAttempts; count++) {
 		const read = await table.read(name);
 		if (read.isLeft()) {
 			return Left(read.extract());
@@ -38,7 +38,7 @@
 
 		const found = read.orDefault(undefined);
 		const known = found?.value as FencingRow | undefined;
-		const row: FencingRow = {fencingNumber: (known?.fencingNumber ?? 0) + 1, holder: taker.holder, numberedAt: now};
+		const row: FencingRow = {fencingNumber: (known?.fencingNumber ?? 0) + 1, holder: requester.holder, numberedAt: now};
 		const written = await table.commit({conditions: [{...name, revision: found?.revision ?? 0}], writes: [{...name, value: row}]});
 		if (written.isRight()) {
 			return Right(row);
--- a/src/protocol/order/order-hazard.ts
+++ b/src/protocol/order/order-hazard.ts
@@ -15,7 +15,7 @@
  * The longest assumed pause of a holder between reading the table and sending its order. After this time no order of an older
  * holder is in flight. A longer pause breaks the guarantee for endpoints that ignore numbers.
  */
-export const longestPauseMilliseconds = 60_000;
+export const maxHolderPauseMilliseconds = 60_000;
 
 /**
  * The hazard of each kind of order. Loading an adapter only adds one. Leaving is final for an endpoint, so a second order to
@@ -42,5 +42,5 @@
 		return 0;
 	}
 
-	return Math.max(0, endpoint.numberedAt + longestPauseMilliseconds - now);
+	return Math.max(0, endpoint.numberedAt + maxHolderPauseMilliseconds - now);
 }
--- a/src/protocol/stream/stream-relay.test.ts
+++ b/src/protocol/stream/stream-relay.test.ts
@@ -32,6 +32,6 @@
 		kind: 'finished', finishReason: 'stop', promptTokens: 1, cachedTokens: 0, completionTokens: 0,
 	};
 	const {state} = relayEvent(beginAttempt(emptyAnswer), 1, finished);
-	assert.equal(state.whole, true);
+	assert.equal(state.isComplete, true);
 	assert.deepEqual(relayEvent(state, 1, tokenAt(0)).action, {kind: 'drop'});
 });
--- a/src/protocol/stream/stream-relay.ts
+++ b/src/protocol/stream/stream-relay.ts
@@ -16,13 +16,13 @@
 	attempt: number;
 	/** Tokens passed on to the caller, over all attempts. */
 	tokensPassedOn: number;
-	whole: boolean;
+	isComplete: boolean;
 	/** The weight version that generated the tokens passed on; absent until an engine has named one. */
 	weightVersion?: string;
 };
 
 /** The answer before the first attempt. */
-export const emptyAnswer: RelayState = {attempt: 0, tokensPassedOn: 0, whole: false};
+export const emptyAnswer: RelayState = {attempt: 0, tokensPassedOn: 0, isComplete: false};
 
 /**
  * Starts the next attempt. Later events of older attempts are dropped.
@@ -45,7 +45,7 @@
 export function relayEvent(state: RelayState, attempt: number, event: EngineEvent): {state: RelayState; action: RelayAction} {
 	// A slow older attempt may still deliver tokens after a newer one has started, and passing them on would show the caller
 	// words twice. The attempt number prevents that, as it is never reused.
-	if (attempt !== state.attempt || state.whole) {
+	if (attempt !== state.attempt || state.isComplete) {
 		return {state, action: {kind: 'drop'}};
 	}
 
@@ -64,7 +64,7 @@
 		}
 
 		return {
-			state: {...state, whole: true}, action: {
+			state: {...state, isComplete: true}, action: {
 				kind: 'whole', finishReason, promptTokens, cachedTokens,
 			},
 		};
@@ -88,8 +88,8 @@
  * @param state - The answer so far.
  * @returns The state of an answer without tokens; the attempt number is kept.
  */
-export function forgetTokens(state: RelayState): RelayState {
-	return {attempt: state.attempt, tokensPassedOn: 0, whole: false};
+export function discardTokens(state: RelayState): RelayState {
+	return {attempt: state.attempt, tokensPassedOn: 0, isComplete: false};
 }
 
 function relayStart(state: RelayState, weightVersion: string): {state: RelayState; action: RelayAction} {
--- a/src/shared/endpoint-record.ts
+++ b/src/shared/endpoint-record.ts
@@ -14,12 +14,12 @@
 	slots: number;
 	state: EndpointState;
 	/** The start of the incarnation, in milliseconds since the epoch; 0 where the endpoint does not report it. */
-	bornAt: number;
+	startedAt: number;
 	/** The weight version by model. */
 	weightVersions: ReadonlyMap<string, number>;
 };
 
 /** Returns a text that identifies an incarnation of an endpoint. */
-export function incarnationOf({name, bornAt}: EndpointRecord): string {
+export function incarnationOf({name, startedAt: bornAt}: EndpointRecord): string {
 	return `${name}@${bornAt}`;
 }
--- a/src/shared/node-route.ts
+++ b/src/shared/node-route.ts
@@ -19,7 +19,7 @@
 	return fromNodeHandler(async (request, response) => {
 		await handle({request: request as IncomingMessage, response: response as ServerResponse});
 		if (response.writableEnded) {
-			response.end = endAgain;
+			response.end = ignoreSecondEnd;
 		}
 	});
 }
@@ -28,7 +28,7 @@
  * Replaces `end` of a response that has ended. h3 ends every response once more, and Node would then create an error with a
  * stack trace, which took a twentieth of the time of a short request.
  */
-function endAgain(this: ServerResponse, ...rest: unknown[]): ServerResponse {
+function ignoreSecondEnd(this: ServerResponse, ...rest: unknown[]): ServerResponse {
 	const callback = rest.at(-1);
 	if (typeof callback === 'function') {
 		(callback as () => void)();
--- a/src/shared/prompt-shape.ts
+++ b/src/shared/prompt-shape.ts
@@ -1,7 +1,7 @@
 /** The properties of a prompt that routing and caching use: its model, its size, and its blocks, which prompts may share. */
 
 /** One block of a prompt, the unit that engines cache. */
-export type PromptPart = {
+export type PromptBlock = {
 	id: string;
 	tokens: number;
 };
@@ -10,7 +10,7 @@
 export type PromptShape = {
 	model: string;
 	promptTokens: number;
-	mostOutputTokens: number;
+	maxOutputTokens: number;
 	/** In order; the last block belongs to this request only. */
-	parts: readonly PromptPart[];
+	blocks: readonly PromptBlock[];
 };
--- a/src/shared/routed-configuration.ts
+++ b/src/shared/routed-configuration.ts
@@ -32,12 +32,12 @@
 	/** The latency objective: the time to the answer, or to the first event of a stream. */
 	objectiveMilliseconds: number;
 	/** The objective for the longest gap between events of a stream; 0 where the route is no stream. */
-	longestPauseMilliseconds: number;
+	maxEventGapMilliseconds: number;
 	/** The maximum number of endpoints to which one request is sent. */
-	mostAttempts: number;
+	maxAttempts: number;
 	/** 0 is the most urgent. */
 	rank: number;
-	needsKey: boolean;
+	requiresKey: boolean;
 	/** Whether requests carry a prompt in blocks that model engines cache. */
 	carriesPrompt: boolean;
 };
@@ -59,7 +59,7 @@
 	capacityTokens: number;
 	linkMegabitsPerSecond: number;
 	/** The fixed time added to each transfer. */
-	firstMilliseconds: number;
+	transferLatencyMilliseconds: number;
 	/** Whether the store evicts nothing by itself, so that the cache store manager frees its blocks. */
 	isManaged: boolean;
 };
@@ -74,11 +74,11 @@
 };
 
 /** Limits for callers: sizes of what they send, the time to send the headers, and the idle time of a connection. */
-export type ClientLimits = {
+export type CallerLimits = {
 	headerBytes: number;
 	bodyBytes: number;
-	headerMilliseconds: number;
-	idleMilliseconds: number;
+	headerTimeoutMilliseconds: number;
+	idleTimeoutMilliseconds: number;
 };
 
 /** The workspace to which a key belongs. */
@@ -95,7 +95,7 @@
 	version: number;
 	routes: readonly Route[];
 	services: ReadonlyMap<string, RoutedService>;
-	limits: ClientLimits;
+	limits: CallerLimits;
 	/** Grants by key; absent where no workspaces are declared, in which case no route requires a key. */
 	grants?: ReadonlyMap<string, WorkspaceGrant>;
 };
--- a/src/shared/types.ts
+++ b/src/shared/types.ts
@@ -61,7 +61,7 @@
 };
 
 /** A declaration of calls that run at most once. `path` is a prefix of the path after `/services/{service}`. */
-export type NeverTwiceRule = {
+export type AtMostOnceRule = {
 	method: string;
 	path: string;
 };
@@ -83,7 +83,7 @@
 /** A declared service: a model that model engines serve, or a plain service. */
 export type ServiceItem
 	= | {name: string; kind: 'model'; model: string; weightVersion: string; fencing: FencingCheck; paused: boolean}
-		| {name: string; kind: 'plain'; neverTwice: NeverTwiceRule[]; fencing: FencingCheck; paused: boolean};
+		| {name: string; kind: 'plain'; neverTwice: AtMostOnceRule[]; fencing: FencingCheck; paused: boolean};
 
 /** A declared routing rule. The first rule, in order of name, all of whose conditions match applies. */
 export type RuleItem = {
--- a/src/stand-in/cache-store-stand-in.ts
+++ b/src/stand-in/cache-store-stand-in.ts
@@ -8,10 +8,10 @@
 import {
 	getQuery, getRouterParam, H3, HTTPError, readBody,
 } from 'h3';
-import {type PieceName, type PieceSeal, type StoredPiece} from '../ports/cache-store.js';
+import {type BlockGeneration, type BlockSeal, type SealedBlock} from '../ports/cache-store.js';
 import {noFaults, type StandInKind} from './stand-in-server.js';
 
-type Held = {piece: PieceName; content: Buffer; seal?: PieceSeal; usedAt: number};
+type Held = {piece: BlockGeneration; content: Buffer; seal?: BlockSeal; usedAt: number};
 
 export class CacheStoreStandIn implements StandInKind {
 	readonly app = new H3();
@@ -37,7 +37,7 @@
 			return '';
 		});
 		this.app.post('/pieces/:key/:generation/seal', async event => {
-			this.#heldOf(pieceOf(event)).seal = (await readBody<PieceSeal>(event))!;
+			this.#heldOf(pieceOf(event)).seal = (await readBody<BlockSeal>(event))!;
 			event.res.status = 204;
 			return '';
 		});
@@ -71,8 +71,8 @@
 		return {pieces: this.#held.size, usedBytes: this.#usedBytes(), reads: this.#reads};
 	}
 
-	#leading(pieceKeys: readonly string[]): StoredPiece[] {
-		const found: StoredPiece[] = [];
+	#leading(pieceKeys: readonly string[]): SealedBlock[] {
+		const found: SealedBlock[] = [];
 		for (const pieceKey of pieceKeys) {
 			const held = [...this.#held.values()].find(({piece, seal}) => piece.pieceKey === pieceKey && seal !== undefined);
 			if (held === undefined) {
@@ -97,7 +97,7 @@
 		}
 	}
 
-	#heldOf(piece: PieceName): Held {
+	#heldOf(piece: BlockGeneration): Held {
 		const held = this.#held.get(nameOf(piece));
 		if (held === undefined) {
 			throw new HTTPError({status: 404, message: 'no such piece'});
@@ -107,10 +107,10 @@
 	}
 }
 
-function pieceOf(event: Parameters<typeof getRouterParam>[0]): PieceName {
+function pieceOf(event: Parameters<typeof getRouterParam>[0]): BlockGeneration {
 	return {pieceKey: getRouterParam(event, 'key') ?? '', generation: getRouterParam(event, 'generation') ?? ''};
 }
 
-function nameOf({pieceKey, generation}: PieceName): string {
+function nameOf({pieceKey, generation}: BlockGeneration): string {
 	return `${pieceKey}/${generation}`;
 }
--- a/src/stand-in/model-engine-stand-in.ts
+++ b/src/stand-in/model-engine-stand-in.ts
@@ -10,7 +10,7 @@
 import {
 	getQuery, getRouterParam, H3, HTTPError, readBody,
 } from 'h3';
-import {charactersPerToken, pieceCharacters, pieceKeysOf} from '../cache/piece-keys.js';
+import {charactersPerToken, blockCharacters, promptBlockKeysOf} from '../cache/block-keys.js';
 import {type CacheEvent, type EngineOrder, type LoadReport} from '../ports/model-engine.js';
 import {digestOf} from '../shared/digest-of.js';
 import {type NodeExchange, nodeRoute} from '../shared/node-route.js';
@@ -23,7 +23,7 @@
 /** Tokens of one block: reuse is counted in blocks, and events tell of whole pieces. */
 const blockTokens = 512;
 const pieceBytes = 16_384;
-const blocksInPiece = pieceCharacters / charactersPerToken / blockTokens;
+const blocksInPiece = blockCharacters / charactersPerToken / blockTokens;
 const defaultCompletionTokens = 16;
 const recentCacheEvents = 1000;
 
@@ -183,7 +183,7 @@
 		await delay(1000 * work / this.#behaviour.prefillTokensPerSecond);
 		this.#waitingPrefillTokens -= work;
 		const {salt, weightVersion, prompt} = completion;
-		const pieces = pieceKeysOf({salt, model: this.#behaviour.model, weightVersion}, prompt);
+		const pieces = promptBlockKeysOf({salt, model: this.#behaviour.model, weightVersion}, prompt);
 		for (const [index, piece] of pieces.entries()) {
 			this.#blocksOfPiece.set(piece, keys.slice(index * blocksInPiece, (index + 1) * blocksInPiece));
 		}
--- a/src/test/memory-model-engine.ts
+++ b/src/test/memory-model-engine.ts
@@ -88,11 +88,11 @@
 		return Right(undefined);
 	}
 
-	async exportPiece(): Promise<Either<EngineFailure, Buffer | undefined>> {
+	async exportBlock(): Promise<Either<EngineFailure, Buffer | undefined>> {
 		return Right(undefined);
 	}
 
-	async importPiece(): Promise<Either<EngineFailure, void>> {
+	async importBlock(): Promise<Either<EngineFailure, void>> {
 		return Right(undefined);
 	}
 
