--- a/src/bench/slopes/measure-state.ts
+++ b/src/bench/slopes/measure-state.ts
@@ -1,6 +1,6 @@
 /** Memory and processor time of the state that one daemon keeps, at a given size. */
 import process from 'node:process';
-import {KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
+import {CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type LoadSummary} from '../../peer/message/peer-message.js';
 import {LoadKnowledge} from '../../peer/knowledge/load-knowledge.js';
 import {summaryOf} from '../../peer/knowledge/load-summary.js';
@@ -73,16 +73,16 @@
 
 /** Where kept prefixes are, as routing keeps them: every piece at one holder. */
 function keepPrompts(count: number): Kept {
-	const prefixes = new KeptPrefixes();
+	const prefixes = new CachedPrefixes();
 	for (let index = 0; index < count; index++) {
-		prefixes.learn(`engine-${Math.floor(index / piecesPerHolder)}`, [digestOf(String(index))]);
+		prefixes.add(`engine-${Math.floor(index / piecesPerHolder)}`, [digestOf(String(index))]);
 	}
 
 	const probe = digestOf('1');
 	return {
 		kept: prefixes,
 		step() {
-			prefixes.learn('engine-0', [probe]);
+			prefixes.add('engine-0', [probe]);
 		},
 	};
 }
--- a/src/decision/admission/admission-policy.ts
+++ b/src/decision/admission/admission-policy.ts
@@ -24,8 +24,8 @@
 
 /** How many requests of a service this instance may have in flight: non-urgent and urgent ones. */
 export type ServiceCapacity = {
-	places: number;
-	urgentPlaces: number;
+	maxRequests: number;
+	maxUrgentRequests: number;
 };
 
 /** Admits requests. */
--- a/src/decision/admission/admission-window.ts
+++ b/src/decision/admission/admission-window.ts
@@ -11,7 +11,7 @@
  * share while they are under pressure, so that instances which share endpoints converge to equal windows without
  * communication.
  */
-import {silenceLimitMilliseconds} from '../routing/is-candidate.js';
+import {unresponsiveAfterMilliseconds} from '../routing/is-candidate.js';
 import {type EndpointView} from '../routing/routing-policy.js';
 import {type ServiceCapacity} from './admission-policy.js';
 
@@ -34,20 +34,20 @@
  * Growth of the window per report, in requests: with 15 instances and two reports a second, three requests a second in
  * all.
  */
-const growthPlaces = 0.1;
+const growthRequests = 0.1;
 /** The window shrinks by this share per report and unit of pressure above the target, and by at most a fifth. */
 const shrinkShare = 0.3;
-const mostShrink = 0.2;
-const leastWindow = 0.05;
+const maxShrink = 0.2;
+const minWindow = 0.05;
 /** Bound on the pressure of one endpoint, so that a single slow one cannot stop a whole service. */
-const mostPressure = 10;
+const maxPressure = 10;
 /** Urgent prompts may queue this many times the batch at the engines, which order them before all others. */
 const urgentBatchShare = 1.5;
 
 /** How much of a service an instance uses. */
 export type WindowUse = {
 	/** Non-urgent requests that were admitted and have not ended. */
-	underWay: number;
+	inFlight: number;
 	/** Number of instances that send to the same endpoints. */
 	instances: number;
 	/** How many times slower a store's link is than when idle, by this instance's own fetches; 1 without any. */
@@ -76,40 +76,40 @@
 	 * @param now - Milliseconds since the epoch.
 	 * @returns How many requests may be in flight from now on.
 	 */
-	takeReports(endpoints: readonly EndpointView[], use: WindowUse, now: number): ServiceCapacity {
+	applyReports(endpoints: readonly EndpointView[], use: WindowUse, now: number): ServiceCapacity {
 		let batches = 0;
 		let pressure = 0;
 		let count = 0;
 		for (const {service, state, heardAt, load} of endpoints) {
-			if (service === this.#service && state === 'live' && load !== undefined && now - heardAt <= silenceLimitMilliseconds) {
+			if (service === this.#service && state === 'live' && load !== undefined && now - heardAt <= unresponsiveAfterMilliseconds) {
 				const prefill = 1000 * load.waitingPrefillTokens / Math.max(1, load.prefillTokensPerSecond) / prefillTargetMilliseconds;
 				const batch = (load.runningRequests + load.waitingRequests) / Math.max(1, load.batchLimit) / batchTargetShare;
 				// Memory that is full of cached prefixes is no pressure unless it keeps a request from starting.
 				const memory = load.waitingRequests > 0 && load.kvTokensCapacity > 0 ? load.kvTokensUsed / load.kvTokensCapacity / memoryTargetShare : 0;
-				pressure += Math.min(mostPressure, Math.max(prefill, batch, memory));
+				pressure += Math.min(maxPressure, Math.max(prefill, batch, memory));
 				batches += load.batchLimit;
 				count++;
 			}
 		}
 
 		const instances = Math.max(1, use.instances);
-		const most = (batches * batchTargetShare / instances) + 1;
-		this.#move(Math.max(count === 0 ? 0 : pressure / count, use.linkSlowness / linkTargetSlowness), use, most);
+		const maxWindow = (batches * batchTargetShare / instances) + 1;
+		this.#adjust(Math.max(count === 0 ? 0 : pressure / count, use.linkSlowness / linkTargetSlowness), use, maxWindow);
 		return {
-			places: Math.floor(this.#window! + use.dither),
-			urgentPlaces: Math.ceil(batches * urgentBatchShare / instances) + 1,
+			maxRequests: Math.floor(this.#window! + use.dither),
+			maxUrgentRequests: Math.ceil(batches * urgentBatchShare / instances) + 1,
 		};
 	}
 
-	#move(pressure: number, {underWay}: WindowUse, most: number): void {
-		const window = this.#window ?? most / 2;
+	#adjust(pressure: number, {inFlight: inFlight}: WindowUse, maxWindow: number): void {
+		const window = this.#window ?? maxWindow / 2;
 		if (pressure > 1) {
-			this.#window = Math.max(leastWindow, window * (1 - Math.min(mostShrink, shrinkShare * (pressure - 1))));
-		} else if (underWay + 1 >= window) {
-			this.#window = Math.min(most, window + growthPlaces);
+			this.#window = Math.max(minWindow, window * (1 - Math.min(maxShrink, shrinkShare * (pressure - 1))));
+		} else if (inFlight + 1 >= window) {
+			this.#window = Math.min(maxWindow, window + growthRequests);
 		} else {
 			// An unused window does not grow; otherwise a burst after a quiet hour would meet no limit at all.
-			this.#window = Math.min(most, window);
+			this.#window = Math.min(maxWindow, window);
 		}
 	}
 }
--- a/src/decision/admission/bounded-queue-admission.ts
+++ b/src/decision/admission/bounded-queue-admission.ts
@@ -56,7 +56,7 @@
 	}
 
 	setCapacity(service: string, capacity: ServiceCapacity, now: number): AdmissionAction[] {
-		this.#capacity.set(service, capacity.urgentPlaces);
+		this.#capacity.set(service, capacity.maxUrgentRequests);
 		return this.advance(now);
 	}
 
@@ -68,7 +68,7 @@
 		const actions: AdmissionAction[] = [];
 		for (const priority of classes) {
 			for (const request of this.#queue) {
-				if (request.priority === priority && this.#hasPlace(request.service)) {
+				if (request.priority === priority && this.#hasCapacity(request.service)) {
 					this.#running.set(request.requestId, request);
 					this.#count(request.service, 1);
 					actions.push({kind: 'admit', requestId: request.requestId});
@@ -83,7 +83,7 @@
 		return actions;
 	}
 
-	#hasPlace(service: string): boolean {
+	#hasCapacity(service: string): boolean {
 		return (this.#runningOfService.get(service) ?? 0) < (this.#capacity.get(service) ?? defaultCapacityRequests);
 	}
 
--- a/src/decision/admission/fair-share-admission.test.ts
+++ b/src/decision/admission/fair-share-admission.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {type PriorityClass} from '../../shared/types.js';
 import {type AdmissionAction, type AdmissionRequest} from './admission-policy.js';
-import {FairShareAdmission, overnightTurn, queueLimitRequests} from './fair-share-admission.js';
+import {FairShareAdmission, overnightInterval, queueLimitRequests} from './fair-share-admission.js';
 import {ageingMilliseconds} from './service-queue.js';
 
 const far = 1e9;
@@ -20,7 +20,7 @@
 /** A policy with capacity for one request, which is taken. */
 function busyPolicy(): FairShareAdmission {
 	const policy = new FairShareAdmission();
-	policy.setCapacity('permits', {places: 1, urgentPlaces: 1}, 0);
+	policy.setCapacity('permits', {maxRequests: 1, maxUrgentRequests: 1}, 0);
 	assert.deepEqual(admittedIn(policy.arrive(requestOf('first', 'other', 'normal'), 0)), ['first']);
 	return policy;
 }
@@ -62,11 +62,11 @@
 test('overnight work is served even while normal work keeps waiting', () => {
 	const policy = busyPolicy();
 	policy.arrive(requestOf('check', 'council', 'overnight'), 1);
-	for (let index = 0; index < 3 * overnightTurn; index++) {
+	for (let index = 0; index < 3 * overnightInterval; index++) {
 		policy.arrive(requestOf(`draft-${index}`, 'busker', 'normal'), 2);
 	}
 
-	assert.ok(drain(policy, 'first').indexOf('check') <= overnightTurn);
+	assert.ok(drain(policy, 'first').indexOf('check') <= overnightInterval);
 });
 
 test('overnight work that has waited long counts as normal work', () => {
--- a/src/decision/admission/fair-share-admission.ts
+++ b/src/decision/admission/fair-share-admission.ts
@@ -22,10 +22,10 @@
  * One of this many admitted requests is overnight work even while normal work waits, so that overnight work does not
  * starve.
  */
-export const overnightTurn = 8;
-const leastRetryMilliseconds = 1000;
-const longestRetryMilliseconds = 3_600_000;
-const defaultCapacity: ServiceCapacity = {places: 8, urgentPlaces: 16};
+export const overnightInterval = 8;
+const minRetryMilliseconds = 1000;
+const maxRetryMilliseconds = 3_600_000;
+const defaultCapacity: ServiceCapacity = {maxRequests: 8, maxUrgentRequests: 16};
 /**
  * Time over which the rate of served work is averaged: long enough for ten overnight prompts, short enough to notice a
  * fault.
@@ -33,23 +33,23 @@
 const rateWindowMilliseconds = 20_000;
 
 /** Weight of one request in the average time from admission to first token. */
-const startWeight = 0.1;
+const firstTokenWeight = 0.1;
 /**
  * Time over which that average decays while no first token arrives. A high average can keep normal requests from being
  * admitted at all, and then nothing would correct it: a service that was slow once would refuse all normal work from then
  * on.
  */
-const startMemoryMilliseconds = 30_000;
+const firstTokenDecayMilliseconds = 30_000;
 
-type Service = {
+type ServiceState = {
 	queue: ServiceQueue;
 	capacity: ServiceCapacity;
 	running: number;
 	runningUrgent: number;
 	turn: number;
 	/** Average time of normal requests from admission to first token, and when it was last updated. */
-	startMilliseconds: number;
-	startedAt: number;
+	firstTokenMilliseconds: number;
+	firstTokenAt: number;
 	/**
 	 * Work that ended lately, decaying over `rateWindowMilliseconds`, when it was last updated, and since when it is
 	 * counted.
@@ -60,28 +60,28 @@
 };
 
 export class FairShareAdmission implements AdmissionPolicy {
-	readonly #services = new Map<string, Service>();
+	readonly #services = new Map<string, ServiceState>();
 	readonly #running = new Map<string, {request: AdmissionRequest; admittedAt: number}>();
 
 	arrive(request: AdmissionRequest, now: number): AdmissionAction[] {
 		const service = this.#serviceOf(request.service, now);
 		const wait = expectedWait(service, request, now);
-		const start = request.priority === 'normal' ? startOf(service, now) : 0;
+		const start = request.priority === 'normal' ? firstTokenDelay(service, now) : 0;
 		if (now + wait + start >= request.deadline) {
-			const retry = Math.max(leastRetryMilliseconds, now + wait - request.deadline);
+			const retry = Math.max(minRetryMilliseconds, now + wait - request.deadline);
 			return [refuse(request, 'deadline', retry)];
 		}
 
-		service.queue.push(request, now);
-		return [...this.#boundMemory(now), ...this.#admit(service, now)];
+		service.queue.enqueue(request, now);
+		return [...this.#boundQueue(now), ...this.#admit(service, now)];
 	}
 
 	firstToken(requestId: string, now: number): void {
 		const running = this.#running.get(requestId);
 		if (running?.request.priority === 'normal') {
 			const service = this.#serviceOf(running.request.service, now);
-			service.startMilliseconds += startWeight * (now - running.admittedAt - service.startMilliseconds);
-			service.startedAt = now;
+			service.firstTokenMilliseconds += firstTokenWeight * (now - running.admittedAt - service.firstTokenMilliseconds);
+			service.firstTokenAt = now;
 		}
 	}
 
@@ -113,7 +113,7 @@
 
 	advance(now: number): AdmissionAction[] {
 		return [...this.#services.values()].flatMap(service => {
-			const late = service.queue.sweep(now, startOf(service, now)).map(request => refuse(request, 'deadline', expectedWait(service, request, now)));
+			const late = service.queue.sweep(now, firstTokenDelay(service, now)).map(request => refuse(request, 'deadline', expectedWait(service, request, now)));
 			return [...late, ...this.#admit(service, now)];
 		});
 	}
@@ -128,9 +128,9 @@
 		return [...this.#services.values()].flatMap(({queue}) => queue.list());
 	}
 
-	#admit(service: Service, now: number): AdmissionAction[] {
+	#admit(service: ServiceState, now: number): AdmissionAction[] {
 		const actions: AdmissionAction[] = [];
-		for (let next = takeNext(service); next !== undefined; next = takeNext(service)) {
+		for (let next = dequeueNext(service); next !== undefined; next = dequeueNext(service)) {
 			this.#running.set(next.requestId, {request: next, admittedAt: now});
 			service.running += next.priority === 'urgent' ? 0 : 1;
 			service.runningUrgent += next.priority === 'urgent' ? 1 : 0;
@@ -141,7 +141,7 @@
 	}
 
 	/** Drops a request of the service with the longest queue if the instance's limit is exceeded. */
-	#boundMemory(now: number): AdmissionAction[] {
+	#boundQueue(now: number): AdmissionAction[] {
 		const services = [...this.#services.values()];
 		const total = services.reduce((sum, {queue}) => sum + queue.size, 0);
 		if (total <= queueLimitRequests) {
@@ -153,11 +153,11 @@
 		return [refuse(dropped, 'overloaded', expectedWait(fullest, dropped, now))];
 	}
 
-	#serviceOf(name: string, now: number): Service {
+	#serviceOf(name: string, now: number): ServiceState {
 		let service = this.#services.get(name);
 		if (service === undefined) {
 			service = {
-				queue: new ServiceQueue(), capacity: defaultCapacity, running: 0, runningUrgent: 0, turn: 0, startMilliseconds: 0, startedAt: now, endedWork: 0, endedAt: now, knownSince: now,
+				queue: new ServiceQueue(), capacity: defaultCapacity, running: 0, runningUrgent: 0, turn: 0, firstTokenMilliseconds: 0, firstTokenAt: now, endedWork: 0, endedAt: now, knownSince: now,
 			};
 			this.#services.set(name, service);
 		}
@@ -166,30 +166,30 @@
 	}
 }
 
-function takeNext(service: Service): AdmissionRequest | undefined {
+function dequeueNext(service: ServiceState): AdmissionRequest | undefined {
 	const {queue, capacity} = service;
 	if (queue.size === 0) {
 		return undefined;
 	}
 
-	const urgent = service.runningUrgent < capacity.urgentPlaces ? queue.take('urgent') : undefined;
+	const urgent = service.runningUrgent < capacity.maxUrgentRequests ? queue.dequeue('urgent') : undefined;
 	if (urgent !== undefined) {
 		return urgent.request;
 	}
 
-	if (service.running >= capacity.places) {
+	if (service.running >= capacity.maxRequests) {
 		return undefined;
 	}
 
-	service.turn = (service.turn + 1) % overnightTurn;
+	service.turn = (service.turn + 1) % overnightInterval;
 	const first = service.turn === 0 ? 'overnight' : 'normal';
 	const second = first === 'normal' ? 'overnight' : 'normal';
-	return (queue.take(first) ?? queue.take(second))?.request;
+	return (queue.dequeue(first) ?? queue.dequeue(second))?.request;
 }
 
 /** Expected wait of a new request in milliseconds, from the work ahead of it and the rate at which work ended lately. */
-function expectedWait(service: Service, request: AdmissionRequest, now: number): number {
-	if (request.priority === 'urgent' && service.runningUrgent < service.capacity.urgentPlaces) {
+function expectedWait(service: ServiceState, request: AdmissionRequest, now: number): number {
+	if (request.priority === 'urgent' && service.runningUrgent < service.capacity.maxUrgentRequests) {
 		return 0;
 	}
 
@@ -200,8 +200,8 @@
 }
 
 /** Expected time from admission to first token of a normal request that is admitted now. */
-function startOf({startMilliseconds, startedAt}: Service, now: number): number {
-	return startMilliseconds * Math.exp(-(now - startedAt) / startMemoryMilliseconds);
+function firstTokenDelay({firstTokenMilliseconds: firstTokenMilliseconds, firstTokenAt: firstTokenAt}: ServiceState, now: number): number {
+	return firstTokenMilliseconds * Math.exp(-(now - firstTokenAt) / firstTokenDecayMilliseconds);
 }
 
 function decayOf(milliseconds: number): number {
@@ -213,7 +213,7 @@
 		reason,
 		ran: 'not-run',
 		message: reason === 'deadline' ? 'the queue is longer than the deadline allows' : 'too many requests of this workspace are waiting',
-		retryAfterMilliseconds: spreadRetry(Math.min(longestRetryMilliseconds, Math.max(leastRetryMilliseconds, waitMilliseconds)), request.requestId),
+		retryAfterMilliseconds: spreadRetry(Math.min(maxRetryMilliseconds, Math.max(minRetryMilliseconds, waitMilliseconds)), request.requestId),
 	};
 	return {kind: 'refuse', requestId: request.requestId, refusal};
 }
--- a/src/decision/admission/service-queue.ts
+++ b/src/decision/admission/service-queue.ts
@@ -18,7 +18,7 @@
  * request now and then through one of many instances loses its claim between any two prompts, and gets 63% of its fair
  * share.
  */
-export const savedTokens = 65_536;
+export const maxCreditTokens = 65_536;
 /** Lanes that are remembered: more than the workspaces that one instance serves in an hour at the target size. */
 const laneLimit = 2000;
 const classes: readonly PriorityClass[] = ['urgent', 'normal', 'overnight'];
@@ -44,12 +44,12 @@
 	}
 
 	/** Adds a request to the end of its lane's queue. */
-	push(request: AdmissionRequest, now: number): void {
+	enqueue(request: AdmissionRequest, now: number): void {
 		const lane = this.#laneOf(request);
 		if (classes.every(priority => lane.queues[priority].length === 0)) {
 			// An idle lane keeps little credit. Otherwise a workspace that was away for an hour would take all of the
 			// capacity for as long as its unused share lasts, and no other workspace would be served.
-			lane.virtualTime = Math.max(lane.virtualTime, this.#virtualNow() - (savedTokens / request.share));
+			lane.virtualTime = Math.max(lane.virtualTime, this.#minVirtualTime() - (maxCreditTokens / request.share));
 		}
 
 		lane.share = request.share;
@@ -59,7 +59,7 @@
 	}
 
 	/** Removes and returns the next request of a class, in fair order over the workspaces. */
-	take(priority: PriorityClass): WaitingRequest | undefined {
+	dequeue(priority: PriorityClass): WaitingRequest | undefined {
 		let next: Lane | undefined;
 		for (const lane of this.#lanes.values()) {
 			if (lane.queues[priority].length > 0 && (next === undefined || lane.virtualTime < next.virtualTime)) {
@@ -72,7 +72,7 @@
 			return undefined;
 		}
 
-		this.#lastVirtualTime = this.#virtualNow();
+		this.#lastVirtualTime = this.#minVirtualTime();
 		next.virtualTime += waiting.cost / next.share;
 		this.#size--;
 		return waiting;
@@ -99,9 +99,9 @@
 	 * long to the end of the normal queue.
 	 *
 	 * @param now - Milliseconds since the epoch.
-	 * @param startMilliseconds - How long a normal request takes from admission to its first token.
+	 * @param firstTokenMilliseconds - How long a normal request takes from admission to its first token.
 	 */
-	sweep(now: number, startMilliseconds: number): AdmissionRequest[] {
+	sweep(now: number, firstTokenMilliseconds: number): AdmissionRequest[] {
 		const late: AdmissionRequest[] = [];
 		for (const lane of this.#lanes.values()) {
 			while ((lane.queues.overnight[0]?.arrivedAt ?? now) + ageingMilliseconds <= now) {
@@ -109,14 +109,14 @@
 			}
 		}
 
-		if (this.#earliestDeadline > now + startMilliseconds) {
+		if (this.#earliestDeadline > now + firstTokenMilliseconds) {
 			return late;
 		}
 
 		this.#earliestDeadline = Number.POSITIVE_INFINITY;
 		for (const lane of this.#lanes.values()) {
 			for (const priority of classes) {
-				const limit = now + (priority === 'normal' ? startMilliseconds : 0);
+				const limit = now + (priority === 'normal' ? firstTokenMilliseconds : 0);
 				late.push(...lane.queues[priority].filter(({request}) => request.deadline <= limit).map(({request}) => request));
 				lane.queues[priority] = lane.queues[priority].filter(({request}) => request.deadline > limit);
 				this.#earliestDeadline = Math.min(this.#earliestDeadline, ...lane.queues[priority].map(({request}) => request.deadline));
@@ -130,11 +130,11 @@
 	/** Removes the newest and least urgent request of the lane with the most waiting work for its weight. */
 	dropFromLongest(): AdmissionRequest | undefined {
 		let longest: Lane | undefined;
-		let most = -1;
+		let maxWork = -1;
 		for (const lane of this.#lanes.values()) {
 			const work = classes.reduce((sum, priority) => sum + workIn(lane.queues[priority]), 0) / lane.share;
-			if (work > most) {
-				most = work;
+			if (work > maxWork) {
+				maxWork = work;
 				longest = lane;
 			}
 		}
@@ -177,7 +177,7 @@
 		let lane = this.#lanes.get(workspace);
 		if (lane === undefined) {
 			lane = {
-				workspace, share, virtualTime: this.#virtualNow(), queues: {urgent: [], normal: [], overnight: []},
+				workspace, share, virtualTime: this.#minVirtualTime(), queues: {urgent: [], normal: [], overnight: []},
 			};
 			this.#lanes.set(workspace, lane);
 			this.#boundLanes();
@@ -187,15 +187,15 @@
 	}
 
 	/** The least virtual time of all waiting lanes; its last value while none waits. */
-	#virtualNow(): number {
-		let least = Number.POSITIVE_INFINITY;
+	#minVirtualTime(): number {
+		let minimum = Number.POSITIVE_INFINITY;
 		for (const lane of this.#lanes.values()) {
-			if (lane.virtualTime < least && classes.some(priority => lane.queues[priority].length > 0)) {
-				least = lane.virtualTime;
+			if (lane.virtualTime < minimum && classes.some(priority => lane.queues[priority].length > 0)) {
+				minimum = lane.virtualTime;
 			}
 		}
 
-		return least === Number.POSITIVE_INFINITY ? this.#lastVirtualTime : least;
+		return minimum === Number.POSITIVE_INFINITY ? this.#lastVirtualTime : minimum;
 	}
 
 	/** Forgets an idle lane above the limit, so that memory follows the workspaces in use. */
--- a/src/decision/attempts/next-step.test.ts
+++ b/src/decision/attempts/next-step.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {decideNextStep, type TryState} from './next-step.js';
+import {decideNextStep, type AttemptState} from './next-step.js';
 
-const state: TryState = {
-	kind: 'idempotent', sends: 1, mostSends: 2, mayHaveRun: false, leftMilliseconds: 1000,
+const state: AttemptState = {
+	kind: 'idempotent', sends: 1, maxSends: 2, mayHaveRun: false, remainingMilliseconds: 1000,
 };
 const always = (): boolean => true;
 
 test('a non-idempotent call is retried only if it certainly has not run', () => {
-	const booking: TryState = {...state, kind: 'non-idempotent'};
+	const booking: AttemptState = {...state, kind: 'non-idempotent'};
 	assert.equal(decideNextStep('rejected', booking, always), 'repeat');
 	assert.equal(decideNextStep('not-sent', {...booking, sends: 0}, always), 'repeat');
 	assert.equal(decideNextStep('unknown', {...booking, mayHaveRun: true}, always), 'fail');
@@ -36,7 +36,7 @@
 
 test('retries are limited by the budget, the number of endpoints and the time left', () => {
 	assert.equal(decideNextStep('rejected', state, () => false), 'refuse');
-	assert.equal(decideNextStep('rejected', {...state, leftMilliseconds: 20}, always), 'refuse');
+	assert.equal(decideNextStep('rejected', {...state, remainingMilliseconds: 20}, always), 'refuse');
 	assert.equal(decideNextStep('failed', {...state, mayHaveRun: true, sends: 2}, always), 'pass-on');
 });
 
--- a/src/decision/attempts/next-step.ts
+++ b/src/decision/attempts/next-step.ts
@@ -18,18 +18,18 @@
  * - `torn`: the same for an answer that cannot be continued: one with a status other than 200, such as an error page,
  *   which holds no events, or a resumable stream whose events have no ids.
  */
-export type TryOutcome = 'not-sent' | 'rejected' | 'unknown' | 'failed' | 'cut' | 'torn';
+export type AttemptOutcome = 'not-sent' | 'rejected' | 'unknown' | 'failed' | 'cut' | 'torn';
 
 /** What the decision depends on. */
-export type TryState = {
+export type AttemptState = {
 	kind: RouteKind;
 	/** Number of endpoints that the request was sent to so far. */
 	sends: number;
-	mostSends: number;
+	maxSends: number;
 	/** Whether any attempt so far may have run. */
 	mayHaveRun: boolean;
 	/** Milliseconds until the timeout of the caller or the route. */
-	leftMilliseconds: number;
+	remainingMilliseconds: number;
 };
 
 /**
@@ -45,29 +45,29 @@
 export type NextStep = 'repeat' | 'resume' | 'refuse' | 'pass-on' | 'fail' | 'break-off';
 
 /** With less time left a second endpoint can hardly answer, and its work would be wasted: the usual time of a short call. */
-export const leastRepeatMilliseconds = 50;
+export const minRetryMilliseconds = 50;
 
 /**
  * Decides the step after an attempt.
  *
  * @param outcome - How it ended.
  * @param state - What else is known.
- * @param takeRepeat - Takes one retry from the budget of all instances; false if none is left. Called only where the
+ * @param takeRetry - Takes one retry from the budget of all instances; false if none is left. Called only where the
  * request would be retried.
  * @returns The step.
  */
-export function decideNextStep(outcome: TryOutcome, state: TryState, takeRepeat: () => boolean): NextStep {
+export function decideNextStep(outcome: AttemptOutcome, state: AttemptState, takeRetry: () => boolean): NextStep {
 	if (outcome === 'torn') {
 		return 'break-off';
 	}
 
 	// After the first bytes of an answer only a stream can continue; any other second answer would be appended to the
 	// partial one.
-	const mayRepeat = outcome === 'cut'
+	const mayRetry = outcome === 'cut'
 		? state.kind === 'resumable-stream'
-		: isRepeatable(state.kind) || (!state.mayHaveRun && (outcome === 'not-sent' || outcome === 'rejected'));
-	const hasRoom = state.sends < state.mostSends && state.leftMilliseconds >= leastRepeatMilliseconds;
-	if (mayRepeat && hasRoom && (state.sends === 0 || takeRepeat())) {
+		: isRetryable(state.kind) || (!state.mayHaveRun && (outcome === 'not-sent' || outcome === 'rejected'));
+	const isWithinLimits = state.sends < state.maxSends && state.remainingMilliseconds >= minRetryMilliseconds;
+	if (mayRetry && isWithinLimits && (state.sends === 0 || takeRetry())) {
 		return outcome === 'cut' ? 'resume' : 'repeat';
 	}
 
@@ -83,6 +83,6 @@
 }
 
 /** Whether requests of this kind may run more than once. */
-export function isRepeatable(kind: RouteKind): boolean {
+export function isRetryable(kind: RouteKind): boolean {
 	return kind === 'idempotent' || kind === 'resumable-stream';
 }
--- a/src/decision/parts/plan-parts.test.ts
+++ b/src/decision/blocks/plan-blocks.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {type NamedStore, PartPlanner, storesInOrder} from './plan-parts.js';
+import {type NamedStore, BlockPlanner, storesByPreference} from './plan-blocks.js';
 
 const store = (name: string, capacityTokens: number): NamedStore => ({
 	name,
@@ -9,25 +9,25 @@
 	},
 });
 const stores = [store('small', 100_000), store('large', 500_000)];
-const parts = [{id: 'p1', tokens: 500}, {id: 'p2', tokens: 8000}];
+const blocks = [{id: 'p1', tokens: 500}, {id: 'p2', tokens: 8000}];
 
 test('a block that a store holds in full is fetched, one that it lacks is saved once', () => {
-	const planner = new PartPlanner();
+	const planner = new BlockPlanner();
 	const held = 's-w1|p1';
 	const known = {
-		isOpen: () => true, holds: (name: string, key: string) => name === storesInOrder('p1', stores)[0]!.name && key === held, heldTokens: () => 0, engineSource: () => undefined,
+		isOpen: () => true, holds: (name: string, key: string) => name === storesByPreference('p1', stores)[0]!.name && key === held, heldTokens: () => 0, engineSource: () => undefined,
 	};
-	const first = planner.plan(parts, 's-w1', {stores, known}, 0);
+	const first = planner.plan(blocks, 's-w1', {stores, known}, 0);
 	assert.deepEqual(first.used, [held]);
-	assert.equal(first.fetchFrom[0], storesInOrder('p1', stores)[0]!.store.address);
+	assert.equal(first.fetchFrom[0], storesByPreference('p1', stores)[0]!.store.address);
 	assert.deepEqual([first.saveTo[0], first.fetchFrom[1]], [undefined, undefined]);
-	assert.equal(first.saveTo[1], storesInOrder('p2', stores)[0]!.store.address);
-	assert.equal(planner.plan(parts, 's-w1', {stores, known}, 1000).saveTo[1], undefined);
-	assert.notEqual(planner.plan(parts, 's-w1', {stores, known}, 5000).saveTo[1], undefined);
+	assert.equal(first.saveTo[1], storesByPreference('p2', stores)[0]!.store.address);
+	assert.equal(planner.plan(blocks, 's-w1', {stores, known}, 1000).saveTo[1], undefined);
+	assert.notEqual(planner.plan(blocks, 's-w1', {stores, known}, 5000).saveTo[1], undefined);
 });
 
 test('nothing is fetched from or saved to stores whose state is not currently known', () => {
-	const plan = new PartPlanner().plan(parts, 's-w1', {
+	const plan = new BlockPlanner().plan(blocks, 's-w1', {
 		stores, known: {
 			isOpen: () => false, holds: () => false, heldTokens: () => 0, engineSource: () => undefined,
 		},
@@ -38,29 +38,29 @@
 
 test('blocks spread over stores in proportion to capacity', () => {
 	const ids = Array.from({length: 6000}, (_, index) => `part-${index}`);
-	const inSmall = ids.filter(id => storesInOrder(id, stores)[0]!.name === 'small').length;
+	const inSmall = ids.filter(id => storesByPreference(id, stores)[0]!.name === 'small').length;
 	assert.ok(inSmall > 800 && inSmall < 1200, String(inSmall));
 });
 
 test('a block is saved to a store with room, and fetched from any store that has it', () => {
 	// Stores fill unevenly. A block whose first store is full would evict another block that is in use, while other
 	// stores are empty.
-	const [first, second] = storesInOrder('p2', stores);
+	const [first, second] = storesByPreference('p2', stores);
 	const known = {
 		isOpen: () => true, holds: () => false, heldTokens: (name: string) => name === first!.name ? first!.store.capacityTokens : 0, engineSource: () => undefined,
 	};
-	assert.equal(new PartPlanner().plan(parts, 's-w1', {stores, known}, 0).saveTo[1], second!.store.address);
+	assert.equal(new BlockPlanner().plan(blocks, 's-w1', {stores, known}, 0).saveTo[1], second!.store.address);
 	const full = {...known, heldTokens: () => 1_000_000};
-	assert.equal(new PartPlanner().plan(parts, 's-w1', {stores, known: full}, 0).saveTo[1], first!.store.address);
-	const lies = {...known, holds: (name: string) => name === second!.name};
-	assert.equal(new PartPlanner().plan(parts, 's-w1', {stores, known: lies}, 0).fetchFrom[1], second!.store.address);
+	assert.equal(new BlockPlanner().plan(blocks, 's-w1', {stores, known: full}, 0).saveTo[1], first!.store.address);
+	const onSecondStore = {...known, holds: (name: string) => name === second!.name};
+	assert.equal(new BlockPlanner().plan(blocks, 's-w1', {stores, known: onSecondStore}, 0).fetchFrom[1], second!.store.address);
 });
 
 test('a block that no store has yet is fetched from an engine that has it cached, and still saved', () => {
 	const known = {
 		isOpen: () => true, holds: () => false, heldTokens: () => 0, engineSource: (key: string) => key === 's-w1|p2' ? 'engine:1' : undefined,
 	};
-	const plan = new PartPlanner().plan(parts, 's-w1', {stores, known}, 0);
+	const plan = new BlockPlanner().plan(blocks, 's-w1', {stores, known}, 0);
 	assert.deepEqual(plan.fetchFrom, [undefined, 'engine:1']);
 	assert.deepEqual(plan.used, []);
 	assert.notEqual(plan.saveTo[1], undefined);
--- a/src/decision/parts/plan-parts.ts
+++ b/src/decision/blocks/plan-blocks.ts
@@ -21,7 +21,7 @@
 import {hashOf} from '../../shared/hash-of.js';
 
 /** Where blocks are stored and cached, as far as known now. Keys are `salt|id`. */
-export interface PartKnowledge {
+export interface BlockLocator {
 	isOpen(store: string): boolean;
 	holds(store: string, key: string): boolean;
 	/** Tokens of all blocks that a store is known to hold. */
@@ -31,7 +31,7 @@
 }
 
 /** Addresses by block, in the prompt's order; `undefined` where a block is not transferred. */
-export type PartPlan = {
+export type BlockPlan = {
 	fetchFrom: Array<string | undefined>;
 	saveTo: Array<string | undefined>;
 	/** Blocks that are fetched from stores, as `salt|id`. */
@@ -42,33 +42,33 @@
 export type NamedStore = {name: string; store: StoreTraits};
 
 /** The same save is not ordered again within this time: the block has to be prefilled, sent and reported. */
-const saveAgainMilliseconds = 4000;
+const saveIntervalMilliseconds = 4000;
 /** Number of ordered saves that are remembered. */
-const rememberedSaves = 2000;
+const maxRememberedSaves = 2000;
 const hashRange = 2 ** 32;
 /**
  * A store that is filled above this share counts as full: blocks being written are not known yet, and above this share
  * the cache store manager evicts blocks.
  */
-const roomShare = 0.92;
+const maxFillShare = 0.92;
 
-export class PartPlanner {
-	readonly #askedAt = new Map<string, number>();
+export class BlockPlanner {
+	readonly #orderedAt = new Map<string, number>();
 
 	/**
 	 * Plans the transfers of one prompt.
 	 *
-	 * @param parts - The blocks that are shared with other prompts, in order.
+	 * @param blocks - The blocks that are shared with other prompts, in order.
 	 * @param salt - The salt under which the engine caches them.
 	 * @param stores - All stores.
 	 * @param known - What they and the engines hold.
 	 * @param now - Milliseconds of the steady clock.
 	 */
-	plan(parts: readonly PromptBlock[], salt: string, {stores, known}: {stores: readonly NamedStore[]; known: PartKnowledge}, now: number): PartPlan {
-		const plan: PartPlan = {
+	plan(blocks: readonly PromptBlock[], salt: string, {stores, known}: {stores: readonly NamedStore[]; known: BlockLocator}, now: number): BlockPlan {
+		const plan: BlockPlan = {
 			fetchFrom: [], saveTo: [], used: [],
 		};
-		for (const {id, tokens} of parts) {
+		for (const {id, tokens} of blocks) {
 			const key = blockKey({salt, id});
 			const holder = stores.find(({name}) => known.holds(name, key));
 			const source = holder?.store.address ?? known.engineSource(key);
@@ -77,23 +77,23 @@
 				plan.used.push(key);
 			}
 
-			const room = holder === undefined ? storeWithRoom({id, tokens}, stores, known) : undefined;
-			plan.saveTo.push(room !== undefined && this.#maySave(key, now) ? room.store.address : undefined);
+			const target = holder === undefined ? storeWithRoom({id, tokens}, stores, known) : undefined;
+			plan.saveTo.push(target !== undefined && this.#maySave(key, now) ? target.store.address : undefined);
 		}
 
 		return plan;
 	}
 
 	#maySave(key: string, now: number): boolean {
-		const askedAt = this.#askedAt.get(key);
-		if (askedAt !== undefined && now - askedAt < saveAgainMilliseconds) {
+		const orderedAt = this.#orderedAt.get(key);
+		if (orderedAt !== undefined && now - orderedAt < saveIntervalMilliseconds) {
 			return false;
 		}
 
-		this.#askedAt.delete(key);
-		this.#askedAt.set(key, now);
-		if (this.#askedAt.size > rememberedSaves) {
-			this.#askedAt.delete(this.#askedAt.keys().next().value!);
+		this.#orderedAt.delete(key);
+		this.#orderedAt.set(key, now);
+		if (this.#orderedAt.size > maxRememberedSaves) {
+			this.#orderedAt.delete(this.#orderedAt.keys().next().value!);
 		}
 
 		return true;
@@ -104,15 +104,15 @@
  * The store that a new block is saved to: the first in its order with room; if none has room, the first one, which then
  * evicts other blocks.
  */
-function storeWithRoom({id, tokens}: PromptBlock, stores: readonly NamedStore[], known: PartKnowledge): NamedStore | undefined {
-	const order = storesInOrder(id, stores.filter(({name}) => known.isOpen(name)));
-	return order.find(({name, store}) => known.heldTokens(name) + tokens <= roomShare * store.capacityTokens) ?? order[0];
+function storeWithRoom({id, tokens}: PromptBlock, stores: readonly NamedStore[], known: BlockLocator): NamedStore | undefined {
+	const order = storesByPreference(id, stores.filter(({name}) => known.isOpen(name)));
+	return order.find(({name, store}) => known.heldTokens(name) + tokens <= maxFillShare * store.capacityTokens) ?? order[0];
 }
 
 /** The stores in a block's order of preference, by rendezvous hashing weighted by capacity. */
-export function storesInOrder(partId: string, stores: readonly NamedStore[]): NamedStore[] {
+export function storesByPreference(blockId: string, stores: readonly NamedStore[]): NamedStore[] {
 	return stores
-		.map(named => ({named, score: -named.store.capacityTokens / Math.log((hashOf(`${partId}|${named.name}`) + 1) / (hashRange + 1))}))
+		.map(named => ({named, score: -named.store.capacityTokens / Math.log((hashOf(`${blockId}|${named.name}`) + 1) / (hashRange + 1))}))
 		.toSorted((one, other) => other.score - one.score)
 		.map(({named}) => named);
 }
--- a/src/decision/kept/kept-prefixes.ts
+++ b/src/decision/cache/cached-prefixes.ts
@@ -12,60 +12,60 @@
 import {type CacheEvent} from '../../ports/model-engine.js';
 
 /** Capacity assumed for a holder that has not reported its own, in blocks. */
-const defaultRoomPieces = 4096;
+const defaultCapacityBlocks = 4096;
 
 /**
  * Number of unknown blocks in a row that are skipped when a later block of the same prefix is known. The blocks of a
  * prefix are stored and evicted together, the last ones first, so a gap is nearly always a lost event. With one event in
  * fifty lost, a prefix of eighteen blocks would otherwise be known in full in only two of three cases.
  */
-const holePieces = 2;
+const maxGapBlocks = 2;
 
-type Holder = {name: string; room: number; lastSequence: number; gaps: number; keys: Set<string>};
+type Holder = {name: string; capacity: number; lastSequence: number; gaps: number; keys: Set<string>};
 
-export class KeptPrefixes {
+export class CachedPrefixes {
 	readonly #holders = new Map<string, Holder>();
 	readonly #holdersOfKey = new Map<string, Set<string>>();
 
 	/** Adds blocks that a holder now has, by its own events or because it has just run a prompt with them. */
-	learn(name: string, pieceKeys: readonly string[]): void {
+	add(name: string, blockKeys: readonly string[]): void {
 		const holder = this.#holderOf(name);
-		for (const key of pieceKeys) {
+		for (const key of blockKeys) {
 			holder.keys.delete(key);
 			holder.keys.add(key);
-			this.#setOf(key).add(name);
+			this.#holdersOf(key).add(name);
 		}
 
-		while (holder.keys.size > holder.room) {
-			this.#forgetKey(holder, holder.keys.values().next().value!);
+		while (holder.keys.size > holder.capacity) {
+			this.#removeKey(holder, holder.keys.values().next().value!);
 		}
 	}
 
 	/** Removes blocks that a holder turned out not to have. */
-	forget(name: string, pieceKeys: readonly string[]): void {
+	remove(name: string, blockKeys: readonly string[]): void {
 		const holder = this.#holderOf(name);
-		for (const key of pieceKeys) {
-			this.#forgetKey(holder, key);
+		for (const key of blockKeys) {
+			this.#removeKey(holder, key);
 		}
 	}
 
 	/** Removes a holder that has left, crashed or dropped its content. */
-	forgetHolder(name: string): void {
+	removeHolder(name: string): void {
 		const holder = this.#holderOf(name);
-		this.forget(name, [...holder.keys]);
+		this.remove(name, [...holder.keys]);
 		this.#holders.delete(name);
 	}
 
 	/** Sets how many blocks a holder has room for. */
-	setRoom(name: string, pieces: number): void {
-		this.#holderOf(name).room = pieces;
+	setCapacity(name: string, blocks: number): void {
+		this.#holderOf(name).capacity = blocks;
 	}
 
 	/**
 	 * Applies a holder's cache events; repeated and older ones are skipped. After a gap the known blocks stay: dropping
 	 * all of them would recompute every prefix of that holder, whereas a wrong one costs a single miss.
 	 */
-	takeEvents(name: string, events: readonly CacheEvent[]): void {
+	applyEvents(name: string, events: readonly CacheEvent[]): void {
 		const holder = this.#holderOf(name);
 		for (const {sequence, kind, pieceKey} of events) {
 			if (sequence <= holder.lastSequence) {
@@ -75,9 +75,9 @@
 			holder.gaps += holder.lastSequence > 0 && sequence > holder.lastSequence + 1 ? 1 : 0;
 			holder.lastSequence = sequence;
 			if (kind === 'stored') {
-				this.learn(name, [pieceKey]);
+				this.add(name, [pieceKey]);
 			} else {
-				this.#forgetKey(holder, pieceKey);
+				this.#removeKey(holder, pieceKey);
 			}
 		}
 	}
@@ -93,29 +93,29 @@
 	}
 
 	/** Whether any holder, or any of the given ones, is known to have the block. */
-	isKept(pieceKey: string, holders?: ReadonlySet<string>): boolean {
-		const found = this.#holdersOfKey.get(pieceKey);
+	isCached(blockKey: string, holders?: ReadonlySet<string>): boolean {
+		const found = this.#holdersOfKey.get(blockKey);
 		return found !== undefined && (holders === undefined || [...found].some(name => holders.has(name)));
 	}
 
 	/**
 	 * Returns how many leading blocks of a prompt each holder has, as far as known.
 	 *
-	 * @param pieceKeys - The prompt's blocks, first one first.
+	 * @param blockKeys - The prompt's blocks, first one first.
 	 * @returns Number of blocks by holder; holders of none are absent.
 	 */
-	leadingPieces(pieceKeys: readonly string[]): Map<string, number> {
+	leadingBlocks(blockKeys: readonly string[]): Map<string, number> {
 		const counts = new Map<string, number>();
 		let known = 0;
-		for (const [index, key] of pieceKeys.entries()) {
+		for (const [index, key] of blockKeys.entries()) {
 			for (const name of this.#holdersOfKey.get(key) ?? []) {
-				if (index - (counts.get(name) ?? 0) <= holePieces) {
+				if (index - (counts.get(name) ?? 0) <= maxGapBlocks) {
 					counts.set(name, index + 1);
 					known = index + 1;
 				}
 			}
 
-			if (index - known >= holePieces) {
+			if (index - known >= maxGapBlocks) {
 				break;
 			}
 		}
@@ -127,7 +127,7 @@
 		let holder = this.#holders.get(name);
 		if (holder === undefined) {
 			holder = {
-				name, room: defaultRoomPieces, lastSequence: 0, gaps: 0, keys: new Set(),
+				name, capacity: defaultCapacityBlocks, lastSequence: 0, gaps: 0, keys: new Set(),
 			};
 			this.#holders.set(name, holder);
 		}
@@ -135,7 +135,7 @@
 		return holder;
 	}
 
-	#setOf(key: string): Set<string> {
+	#holdersOf(key: string): Set<string> {
 		let names = this.#holdersOfKey.get(key);
 		if (names === undefined) {
 			names = new Set();
@@ -145,7 +145,7 @@
 		return names;
 	}
 
-	#forgetKey(holder: Holder, key: string): void {
+	#removeKey(holder: Holder, key: string): void {
 		holder.keys.delete(key);
 		const names = this.#holdersOfKey.get(key);
 		names?.delete(holder.name);
--- a/src/decision/kept/fetch-pause.ts
+++ b/src/decision/cache/fetch-pause.ts
@@ -9,9 +9,9 @@
 import {type PriorityClass} from '../../shared/types.js';
 
 /** Pause per millisecond of delay seen. An overnight fetch pauses for as long as it was delayed; the others never pause. */
-export const restShare: Record<PriorityClass, number> = {urgent: 0, normal: 0, overnight: 1};
+export const pauseShare: Record<PriorityClass, number> = {urgent: 0, normal: 0, overnight: 1};
 /** Bound on the pause, so that a transfer that looks stuck still goes on. */
-const longestRestMilliseconds = 1000;
+const maxPauseMilliseconds = 1000;
 
 /**
  * Computes the pause before the next block.
@@ -23,5 +23,5 @@
  */
 export function fetchPause(priority: PriorityClass, tookMilliseconds: number, idleMilliseconds: number): number {
 	const delay = Math.max(0, tookMilliseconds - idleMilliseconds);
-	return Math.min(longestRestMilliseconds, delay * restShare[priority]);
+	return Math.min(maxPauseMilliseconds, delay * pauseShare[priority]);
 }
--- a/src/decision/kept/keeping-policy.ts
+++ b/src/decision/cache/save-policy.ts
@@ -6,17 +6,17 @@
 	endpoint: string;
 	pieceKeys: readonly string[];
 	/** Leading blocks that did not have to be recomputed. */
-	reusedPieces: number;
+	reusedBlocks: number;
 };
 
 /** A save that the policy asks for. */
-export type KeepingAction = {kind: 'save'; endpoint: string; store: string; pieceKeys: readonly string[]};
+export type SaveAction = {kind: 'save'; endpoint: string; store: string; pieceKeys: readonly string[]};
 
 /** Decides what is saved. */
-export interface KeepingPolicy {
+export interface SavePolicy {
 	/**
 	 * Called when a prompt was prefilled. Its blocks are saved from then on and not at its end, which may be a minute
 	 * later.
 	 */
-	prefilled(prompt: PrefilledPrompt, now: number): KeepingAction[];
+	prefilled(prompt: PrefilledPrompt, now: number): SaveAction[];
 }
--- a/src/decision/limits/limits.test.ts
+++ b/src/decision/limits/limits.test.ts
@@ -1,29 +1,29 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {repeatsPerAttempt, RetryBudget, workspaceReserve} from './retry-budget.js';
+import {retriesPerAttempt, RetryBudget, workspaceReserve} from './retry-budget.js';
 import {spreadRetry} from './spread-retry.js';
 
 test('an outage in which every attempt fails adds a fifth of the load, not three times as much', () => {
 	const budget = new RetryBudget();
-	let repeats = 0;
+	let retries = 0;
 	for (let index = 0; index < 1000; index++) {
-		budget.attempted('quay', `engine-${index % 6}`);
-		for (let again = 0; again < 3 && budget.takeRepeat('quay', `engine-${index % 6}`); again++) {
-			repeats++;
+		budget.countAttempt('quay', `engine-${index % 6}`);
+		for (let again = 0; again < 3 && budget.takeRetry('quay', `engine-${index % 6}`); again++) {
+			retries++;
 		}
 	}
 
-	assert.ok(repeats <= (1000 * repeatsPerAttempt) + workspaceReserve, `${repeats} retries`);
+	assert.ok(retries <= (1000 * retriesPerAttempt) + workspaceReserve, `${retries} retries`);
 });
 
 test('a workspace whose prompts always fail uses up only its own retries', () => {
 	const budget = new RetryBudget();
-	while (budget.takeRepeat('broken', 'engine-0')) {
+	while (budget.takeRetry('broken', 'engine-0')) {
 		// Uses up the budget.
 	}
 
-	assert.equal(budget.takeRepeat('broken', 'engine-1'), false);
-	assert.equal(budget.takeRepeat('whole', 'engine-1'), true);
+	assert.equal(budget.takeRetry('broken', 'engine-1'), false);
+	assert.equal(budget.takeRetry('whole', 'engine-1'), true);
 });
 
 test('callers refused at the same moment get delays spread over half of the computed one, and never shorter ones', () => {
--- a/src/decision/limits/retry-budget.ts
+++ b/src/decision/limits/retry-budget.ts
@@ -9,7 +9,7 @@
  */
 
 /** Retries per first attempt in the long run. */
-export const repeatsPerAttempt = 0.2;
+export const retriesPerAttempt = 0.2;
 /** Maximum number of retries that a workspace saves up: enough for the streams that it has at one endpoint which fails. */
 export const workspaceReserve = 20;
 /** Maximum number of retries that are saved up for one endpoint's failures: two full batches. */
@@ -18,12 +18,12 @@
 const budgetLimit = 4000;
 
 export class RetryBudget {
-	readonly #left = new Map<string, number>();
+	readonly #remaining = new Map<string, number>();
 
 	/** Counts a first attempt. */
-	attempted(workspace: string, endpoint: string): void {
-		this.#add(`workspace ${workspace}`, repeatsPerAttempt, workspaceReserve);
-		this.#add(`endpoint ${endpoint}`, repeatsPerAttempt, endpointReserve);
+	countAttempt(workspace: string, endpoint: string): void {
+		this.#add(`workspace ${workspace}`, retriesPerAttempt, workspaceReserve);
+		this.#add(`endpoint ${endpoint}`, retriesPerAttempt, endpointReserve);
 	}
 
 	/**
@@ -33,24 +33,24 @@
 	 * @param endpoint - The endpoint that failed it.
 	 * @returns False if the prompt must not be retried now.
 	 */
-	takeRepeat(workspace: string, endpoint: string): boolean {
+	takeRetry(workspace: string, endpoint: string): boolean {
 		const workspaceKey = `workspace ${workspace}`;
 		const endpointKey = `endpoint ${endpoint}`;
-		const isLeft = (this.#left.get(workspaceKey) ?? workspaceReserve) >= 1 && (this.#left.get(endpointKey) ?? endpointReserve) >= 1;
-		if (isLeft) {
+		const isAvailable = (this.#remaining.get(workspaceKey) ?? workspaceReserve) >= 1 && (this.#remaining.get(endpointKey) ?? endpointReserve) >= 1;
+		if (isAvailable) {
 			this.#add(workspaceKey, -1, workspaceReserve);
 			this.#add(endpointKey, -1, endpointReserve);
 		}
 
-		return isLeft;
+		return isAvailable;
 	}
 
 	#add(key: string, change: number, reserve: number): void {
-		const left = Math.min(reserve, (this.#left.get(key) ?? reserve) + change);
-		this.#left.delete(key);
-		this.#left.set(key, left);
-		if (this.#left.size > budgetLimit) {
-			this.#left.delete(this.#left.keys().next().value!);
+		const remaining = Math.min(reserve, (this.#remaining.get(key) ?? reserve) + change);
+		this.#remaining.delete(key);
+		this.#remaining.set(key, remaining);
+		if (this.#remaining.size > budgetLimit) {
+			this.#remaining.delete(this.#remaining.keys().next().value!);
 		}
 	}
 }
--- a/src/decision/limits/shared-repeat-budget.ts
+++ b/src/decision/limits/shared-retry-budget.ts
@@ -8,7 +8,7 @@
  */
 
 /** What a deployment allows. */
-export type RepeatBounds = {
+export type RetryBounds = {
 	/** Retries per request, in a window. */
 	ratio: number;
 	windowMilliseconds: number;
@@ -20,17 +20,17 @@
  * Retries that an instance may make in a window without requests to earn them. Deployments allow two or more extra for
  * each instance; with one, there is room for instances that join.
  */
-const freeRepeats = 1;
+const freeRetries = 1;
 /** The window is counted in slices, so that old counts expire in small steps. */
 const slices = 10;
 
-type Slice = {number: number; requests: number; repeats: number};
+type Slice = {number: number; requests: number; retries: number};
 
-export class SharedRepeatBudget {
-	readonly #bounds: RepeatBounds;
+export class SharedRetryBudget {
+	readonly #bounds: RetryBounds;
 	readonly #slices = new Map<string, Slice[]>();
 
-	constructor(bounds: RepeatBounds) {
+	constructor(bounds: RetryBounds) {
 		this.#bounds = bounds;
 	}
 
@@ -46,29 +46,29 @@
 	 * @param now - Milliseconds of the steady clock.
 	 * @returns False if none is left.
 	 */
-	takeRepeat(service: string, now: number): boolean {
+	takeRetry(service: string, now: number): boolean {
 		const slice = this.#sliceAt(service, now);
-		const known = this.#slices.get(service) ?? [];
-		const requests = known.reduce((sum, part) => sum + part.requests, 0);
-		const repeats = known.reduce((sum, part) => sum + part.repeats, 0);
-		if (repeats + 1 > (usedShare * this.#bounds.ratio * requests) + freeRepeats) {
+		const slicesInWindow = this.#slices.get(service) ?? [];
+		const requests = slicesInWindow.reduce((sum, part) => sum + part.requests, 0);
+		const retries = slicesInWindow.reduce((sum, part) => sum + part.retries, 0);
+		if (retries + 1 > (usedShare * this.#bounds.ratio * requests) + freeRetries) {
 			return false;
 		}
 
-		slice.repeats++;
+		slice.retries++;
 		return true;
 	}
 
 	#sliceAt(service: string, now: number): Slice {
 		const number = Math.floor(now * slices / this.#bounds.windowMilliseconds);
-		const known = (this.#slices.get(service) ?? []).filter(slice => slice.number > number - slices);
-		let slice = known.find(one => one.number === number);
+		const slicesInWindow = (this.#slices.get(service) ?? []).filter(slice => slice.number > number - slices);
+		let slice = slicesInWindow.find(one => one.number === number);
 		if (slice === undefined) {
-			slice = {number, requests: 0, repeats: 0};
-			known.push(slice);
+			slice = {number, requests: 0, retries: 0};
+			slicesInWindow.push(slice);
 		}
 
-		this.#slices.set(service, known);
+		this.#slices.set(service, slicesInWindow);
 		return slice;
 	}
 }
--- a/src/decision/limits/spread-retry.ts
+++ b/src/decision/limits/spread-retry.ts
@@ -5,7 +5,7 @@
  * Longest delay, as a multiple of the computed one. The shortest is the computed delay itself, so that no caller retries
  * too early.
  */
-const mostSpread = 1.5;
+const maxSpread = 1.5;
 
 /**
  * Spreads the retries of refused callers over time.
@@ -19,5 +19,5 @@
  * @returns The delay, up to half as long again.
  */
 export function spreadRetry(milliseconds: number, requestId: string): number {
-	return Math.round(milliseconds * (1 + ((mostSpread - 1) * hashOf(requestId) / hashRange)));
+	return Math.round(milliseconds * (1 + ((maxSpread - 1) * hashOf(requestId) / hashRange)));
 }
--- a/src/decision/placement/admit-prompt.test.ts
+++ b/src/decision/placement/admit-prompt.test.ts
@@ -17,14 +17,14 @@
 });
 
 test('overnight prompts are refused where they would be late or evict others, urgent prompts are not', () => {
-	const behind = load({unreadTokens: [0, 0, 40_000], heldTokens: 60_000});
-	assert.equal(admitsPrompt(overnight, behind, engine), false);
-	assert.equal(admitsPrompt(urgent, behind, engine), true);
-	const full = load({unreadTokens: [0, 0, 3000], heldTokens: 95_000});
+	const backlogged = load({pendingPrefillTokens: [0, 0, 40_000], heldTokens: 60_000});
+	assert.equal(admitsPrompt(overnight, backlogged, engine), false);
+	assert.equal(admitsPrompt(urgent, backlogged, engine), true);
+	const full = load({pendingPrefillTokens: [0, 0, 3000], heldTokens: 95_000});
 	assert.equal(admitsPrompt(overnight, full, engine), false);
 	assert.equal(admitsPrompt(urgent, full, engine), true);
 });
 
 test('urgent prompts are refused when more urgent tokens are waiting than can be prefilled in time', () => {
-	assert.equal(admitsPrompt(urgent, load({unreadTokens: [60_000, 0, 0]}), engine), false);
+	assert.equal(admitsPrompt(urgent, load({pendingPrefillTokens: [60_000, 0, 0]}), engine), false);
 });
--- a/src/decision/placement/admit-prompt.ts
+++ b/src/decision/placement/admit-prompt.ts
@@ -26,13 +26,13 @@
  * Share of the objective that may pass while more urgent and earlier prompts are prefilled, by rank. The most urgent
  * prompts overtake all others and so wait for little; they are refused only if they would certainly be late.
  */
-const waitShares = [1.5, 1, 0.7];
+const maxWaitShares = [1.5, 1, 0.7];
 /**
  * Share of the engine's memory that requests in flight may claim, by rank. The rest is a reserve for what other instances
  * have sent since their last report. Without it, running prompts are evicted and prefilled again, the long ones first,
  * which on the busiest days was a fifth of all prefill. A larger reserve prevented no further evictions.
  */
-const memoryShares = [1, 0.9, 0.75];
+const maxMemoryShares = [1, 0.9, 0.75];
 
 /**
  * Decides whether an engine accepts a prompt.
@@ -43,14 +43,14 @@
  * @returns Whether the prompt may be sent there.
  */
 export function admitsPrompt(need: PromptNeed, load: EndpointLoad, engine: {capacityTokens: number; tokensPerMillisecond: number}): boolean {
-	const rank = Math.min(waitShares.length - 1, need.rank);
-	const before = unreadBefore(load, rank);
-	if (unreadBefore(load, waitShares.length - 1) === 0) {
+	const rank = Math.min(maxWaitShares.length - 1, need.rank);
+	const tokensAhead = unreadBefore(load, rank);
+	if (unreadBefore(load, maxWaitShares.length - 1) === 0) {
 		return true;
 	}
 
-	const waitMilliseconds = (before + need.readTokens) / engine.tokensPerMillisecond;
-	const isInTime = waitMilliseconds <= waitShares[rank]! * need.objectiveMilliseconds;
-	const fits = load.heldTokens + need.heldTokens <= memoryShares[rank]! * engine.capacityTokens;
+	const waitMilliseconds = (tokensAhead + need.readTokens) / engine.tokensPerMillisecond;
+	const isInTime = waitMilliseconds <= maxWaitShares[rank]! * need.objectiveMilliseconds;
+	const fits = load.heldTokens + need.heldTokens <= maxMemoryShares[rank]! * engine.capacityTokens;
 	return isInTime && fits;
 }
--- a/src/decision/placement/candidate-estimates.ts
+++ b/src/decision/placement/candidate-estimator.ts
@@ -5,48 +5,48 @@
 import {hashOf} from '../../shared/hash-of.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {admitsPrompt} from './admit-prompt.js';
-import {addLoads, type EndpointLoad, unreadAhead} from './endpoint-load.js';
-import {type EndpointMemories} from './endpoint-memories.js';
+import {addLoads, type EndpointLoad, prefillTokensAhead} from './endpoint-load.js';
+import {type PlacementState} from './placement-state.js';
 import {fetchTokensPerMillisecond} from './fetch-speed.js';
-import {beginsInGrant, isBehind} from './older-weights.js';
-import {type OthersAt, type PlacementBasis, type PlacementRequest} from './placement.js';
+import {mayStartOnWeights, hasOlderWeights} from './older-weights.js';
+import {type OtherInstancesLoad, type PlacementBasis, type PlacementRequest} from './placement.js';
 import {promptWork, type PromptWork} from './prompt-work.js';
 
 /** Factor on the time of prefill: its own caller waits for it once, and it delays all other requests on the engine too. */
-const rereadWeight = 3;
+const prefillWeight = 3;
 /**
  * Share of the prefill cost of a block that is cached nowhere, by which its owner is preferred. Callers of one block
  * arrive within milliseconds of each other. Each one that finds the block cached saves the whole cost, so it pays to wait
  * for half of it.
  */
-const coldHomeShare = 0.5;
+const coldOwnerShare = 0.5;
 /**
  * Blocks that were sent to an engine count as cached for this long, after which its own cache events must confirm them.
  * It covers the prefill of the longest prompt, the delay of the events, and two queries to the coordinator.
  */
-const sentLifeMilliseconds = 1000;
+const sentBlockLifetimeMilliseconds = 1000;
 /** Cost of a running request: it slows the tokens of the others by about 0.1 ms a step, over some dozens of steps. */
-const runningMilliseconds = 3;
+const runningCostMilliseconds = 3;
 /** Cost of a waiting request: the engine is full, and a slot becomes free after about the time of a short answer. */
-const waitingMilliseconds = 200;
+const waitingCostMilliseconds = 200;
 /** Cost of a call ahead at a plain service: calls hold a slot for tens of milliseconds. */
-const callMilliseconds = 40;
+const callCostMilliseconds = 40;
 /** Cost of an endpoint in another data centre: a round trip, and the price of the bytes that cross. */
-const otherDataCentreMilliseconds = 6;
+const otherDataCentreCostMilliseconds = 6;
 /**
  * Cost of an engine whose weights are older than the wanted version: an answer from them is worth a fifth less, about as
  * much as this delay costs a prompt with a short objective.
  */
-const oldWeightsMilliseconds = 150;
+const olderWeightsCostMilliseconds = 150;
 /** A service is full when each of its endpoints has this multiple of its slots running or waiting. */
-const fullShare = 2;
+const fullOccupancyFactor = 2;
 /**
  * Where the coordinator is far away or unresponsive, what instances know of each other's load is some hundred
  * milliseconds old. Many instances that choose the best engine from the same stale loads choose the same one, and its
  * memory overflows. Costs that differ by less than this therefore count as equal, and the request's id decides. It is
  * about what one long prompt adds to an engine's cost.
  */
-const staleNewsMilliseconds = 80;
+const staleLoadSpreadMilliseconds = 80;
 
 const hashRange = 2 ** 32;
 const noWork: PromptWork = {keptTokens: 0, fetchTokens: 0, readTokens: 0};
@@ -55,35 +55,35 @@
 export type Candidate = {endpoint: EndpointRecord; isAdmitted: boolean; basis: PlacementBasis};
 
 /** The load of an endpoint; `includesOthers` is false while the load of the other instances is unknown. */
-export type SharedLoad = {load: EndpointLoad; isWhole: boolean};
+export type SharedLoad = {load: EndpointLoad; includesOthers: boolean};
 
 /** Requests at an endpoint, and how many it runs concurrently. */
 type Occupancy = {occupancy: number; slots: number};
 
 /** What the estimate of a prompt at an endpoint starts from. */
-type Situation = {isHome: boolean; shared: SharedLoad; occupied: Occupancy};
+type EstimateInputs = {isOwner: boolean; shared: SharedLoad; occupied: Occupancy};
 
-export class CandidateEstimates {
+export class CandidateEstimator {
 	readonly #dataCentre: string;
-	readonly #memories: EndpointMemories;
-	readonly #othersAt: OthersAt;
+	readonly #state: PlacementState;
+	readonly #loadOfOthers: OtherInstancesLoad;
 
 	/**
 	 * @param dataCentre - Data centre of this instance.
-	 * @param memories - State per endpoint and service.
-	 * @param othersAt - Gives the load of the other instances.
+	 * @param state - State per endpoint and service.
+	 * @param loadOfOthers - Gives the load of the other instances.
 	 */
-	constructor(dataCentre: string, memories: EndpointMemories, othersAt: OthersAt) {
+	constructor(dataCentre: string, state: PlacementState, loadOfOthers: OtherInstancesLoad) {
 		this.#dataCentre = dataCentre;
-		this.#memories = memories;
-		this.#othersAt = othersAt;
+		this.#state = state;
+		this.#loadOfOthers = loadOfOthers;
 	}
 
 	/** The load of all instances at an endpoint, as far as it is known here. */
 	loadAt(endpoint: EndpointRecord, now: number): SharedLoad {
-		const own = this.#memories.outlookOf(endpoint).loadAt(now);
-		const others = this.#othersAt(endpoint.name, now);
-		return others === undefined ? {load: own, isWhole: false} : {load: addLoads(own, others), isWhole: true};
+		const own = this.#state.trackerOf(endpoint).loadAt(now);
+		const others = this.#loadOfOthers(endpoint.name, now);
+		return others === undefined ? {load: own, includesOthers: false} : {load: addLoads(own, others), includesOthers: true};
 	}
 
 	/**
@@ -91,77 +91,77 @@
 	 *
 	 * @param request - The request.
 	 * @param endpoint - The candidate.
-	 * @param isHome - Whether the endpoint owns the prompt's last shared block, which it prefills if no engine has it
+	 * @param isOwner - Whether the endpoint owns the prompt's last shared block, which it prefills if no engine has it
 	 * cached.
 	 * @param now - Milliseconds of the steady clock.
 	 */
-	estimate(request: PlacementRequest, endpoint: EndpointRecord, isHome: boolean, now: number): Candidate {
+	estimate(request: PlacementRequest, endpoint: EndpointRecord, isOwner: boolean, now: number): Candidate {
 		const shared = this.loadAt(endpoint, now);
-		const reported = shared.isWhole ? undefined : this.#memories.outlookOf(endpoint).reportedOccupancy(now);
+		const reported = shared.includesOthers ? undefined : this.#state.trackerOf(endpoint).reportedOccupancy(now);
 		const occupied: Occupancy = {
 			occupancy: Math.max(shared.load.requests, reported ?? 0), slots: Math.max(1, endpoint.slots),
 		};
 		return request.prompt === undefined
 			? this.#estimateCall(endpoint, occupied)
-			: this.#estimatePrompt(request, endpoint, {isHome, shared, occupied}, now);
+			: this.#estimatePrompt(request, endpoint, {isOwner: isOwner, shared, occupied}, now);
 	}
 
 	/**
 	 * Tokens that an engine has to prefill for a prompt. The time of its fetches counts as the tokens that it could
 	 * prefill meanwhile, since it prefills no other prompt during a fetch.
 	 */
-	unreadTokensOf(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork): number {
-		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
-		return Math.round(work.readTokens + (speed * fetchMillisecondsOf(request, endpoint, work)));
+	prefillEquivalentTokens(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork): number {
+		const speed = this.#state.prefillSpeedOf(request.service).tokensPerMillisecond;
+		return Math.round(work.readTokens + (speed * fetchMilliseconds(request, endpoint, work)));
 	}
 
 	#estimateCall(endpoint: EndpointRecord, {occupancy, slots}: Occupancy): Candidate {
-		const costMilliseconds = (callMilliseconds * occupancy / slots) + this.#distanceTo(endpoint);
+		const costMilliseconds = (callCostMilliseconds * occupancy / slots) + this.#distanceCost(endpoint);
 		const basis = {
 			...noWork, unreadBefore: undefined, occupancy, costMilliseconds,
 		};
-		return {endpoint, isAdmitted: occupancy < fullShare * slots, basis};
+		return {endpoint, isAdmitted: occupancy < fullOccupancyFactor * slots, basis};
 	}
 
-	#estimatePrompt(request: PlacementRequest, endpoint: EndpointRecord, {isHome, shared, occupied}: Situation, now: number): Candidate {
-		const {load, isWhole} = shared;
+	#estimatePrompt(request: PlacementRequest, endpoint: EndpointRecord, {isOwner: isOwner, shared, occupied}: EstimateInputs, now: number): Candidate {
+		const {load, includesOthers: includesOthers} = shared;
 		const {occupancy, slots} = occupied;
-		const work = this.#workAt(request, endpoint, isHome, now);
-		const before = unreadAhead(load, request.rank, slots);
-		const queued = waitingMilliseconds * Math.max(0, occupancy - slots);
-		const weights = isBehind(request, endpoint) ? oldWeightsMilliseconds : 0;
-		const spread = staleNewsMilliseconds * hashOf(`${request.id}|${endpoint.name}`) / hashRange;
+		const work = this.#workAt(request, endpoint, isOwner, now);
+		const before = prefillTokensAhead(load, request.rank, slots);
+		const queued = waitingCostMilliseconds * Math.max(0, occupancy - slots);
+		const weights = hasOlderWeights(request, endpoint) ? olderWeightsCostMilliseconds : 0;
+		const spread = staleLoadSpreadMilliseconds * hashOf(`${request.id}|${endpoint.name}`) / hashRange;
 		const basis = {
 			...work,
-			unreadBefore: isWhole ? before : undefined,
+			unreadBefore: includesOthers ? before : undefined,
 			occupancy,
-			costMilliseconds: this.#readingCost(request, endpoint, work, {before, isHome}) + (runningMilliseconds * occupancy) + queued + this.#distanceTo(endpoint) + weights + spread,
+			costMilliseconds: this.#prefillCost(request, endpoint, work, {before, isHome: isOwner}) + (runningCostMilliseconds * occupancy) + queued + this.#distanceCost(endpoint) + weights + spread,
 		};
-		const isAdmitted = occupancy < fullShare * slots
-			&& beginsInGrant(request, endpoint, this.#waitOf(request, endpoint, work, before) + queued, now)
-			&& this.#admits(request, work.readTokens, isWhole ? load : undefined);
+		const isAdmitted = occupancy < fullOccupancyFactor * slots
+			&& mayStartOnWeights(request, endpoint, this.#firstTokenDelay(request, endpoint, work, before) + queued, now)
+			&& this.#admits(request, work.readTokens, includesOthers ? load : undefined);
 		return {endpoint, isAdmitted, basis};
 	}
 
-	#distanceTo({dataCentre}: EndpointRecord): number {
-		return dataCentre === this.#dataCentre ? 0 : otherDataCentreMilliseconds;
+	#distanceCost({dataCentre}: EndpointRecord): number {
+		return dataCentre === this.#dataCentre ? 0 : otherDataCentreCostMilliseconds;
 	}
 
 	/** Expected time to the first token at an engine with a free slot, in milliseconds. */
-	#waitOf(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, before: number): number {
-		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
-		return ((before + work.readTokens) / speed) + fetchMillisecondsOf(request, endpoint, work);
+	#firstTokenDelay(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, tokensAhead: number): number {
+		const speed = this.#state.prefillSpeedOf(request.service).tokensPerMillisecond;
+		return ((tokensAhead + work.readTokens) / speed) + fetchMilliseconds(request, endpoint, work);
 	}
 
 	/**
 	 * Cost of the fetch, the prefill and the prefill ahead of it, in milliseconds; lower at the owner of uncached shared
 	 * blocks.
 	 */
-	#readingCost(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, {before, isHome}: {before: number; isHome: boolean}): number {
-		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
-		const reading = rereadWeight * work.readTokens / speed;
-		const preference = isHome ? coldHomeShare * rereadWeight * unreadSharedTokens(request, work) / speed : 0;
-		return reading + fetchMillisecondsOf(request, endpoint, work) + (before / speed) - preference;
+	#prefillCost(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, {before, isHome}: {before: number; isHome: boolean}): number {
+		const speed = this.#state.prefillSpeedOf(request.service).tokensPerMillisecond;
+		const prefill = prefillWeight * work.readTokens / speed;
+		const preference = isHome ? coldOwnerShare * prefillWeight * uncachedSharedTokens(request, work) / speed : 0;
+		return prefill + fetchMilliseconds(request, endpoint, work) + (before / speed) - preference;
 	}
 
 	/** Accepts every prompt while the load of the other instances is unknown; the engine's own queue is the limit then. */
@@ -173,33 +173,33 @@
 
 		return admitsPrompt({
 			rank: request.rank, objectiveMilliseconds: request.objectiveMilliseconds, heldTokens: heldTokensOf(request), readTokens,
-		}, load, {capacityTokens, tokensPerMillisecond: this.#memories.speedOf(request.service).tokensPerMillisecond});
+		}, load, {capacityTokens, tokensPerMillisecond: this.#state.prefillSpeedOf(request.service).tokensPerMillisecond});
 	}
 
 	/** The work that a prompt would cause at an engine. */
-	#workAt(request: PlacementRequest, endpoint: EndpointRecord, isHome: boolean, now: number): PromptWork {
+	#workAt(request: PlacementRequest, endpoint: EndpointRecord, isOwner: boolean, now: number): PromptWork {
 		const {blocks: parts} = request.prompt!;
 		const version = endpoint.weightVersions.get(request.prompt!.model);
 		const fetchable = version === undefined ? [] : request.fetchableUnder(version);
-		const kept = request.keptAt(endpoint);
-		const sent = this.#memories.partsOf(endpoint, request.engine?.capacityTokens ?? 0);
-		const scope = scopeAt(request, endpoint);
-		const since = kept === undefined ? Number.NEGATIVE_INFINITY : now - sentLifeMilliseconds;
-		const isPresumed = (index: number): boolean => isHome && kept === undefined && index < parts.length - 1;
+		const cached = request.cachedTokensAt(endpoint);
+		const sentBlocks = this.#state.prefixCacheOf(endpoint, request.engine?.capacityTokens ?? 0);
+		const scope = cacheScopeAt(request, endpoint);
+		const since = cached === undefined ? Number.NEGATIVE_INFINITY : now - sentBlockLifetimeMilliseconds;
+		const isPresumed = (index: number): boolean => isOwner && cached === undefined && index < parts.length - 1;
 		return promptWork(request.prompt!, {
-			keptTokens: index => isPresumed(index) ? parts[index]!.tokens : Math.max(kept?.[index] ?? 0, sent.tokensOf(scope, parts[index]!, since)),
+			keptTokens: index => isPresumed(index) ? parts[index]!.tokens : Math.max(cached?.[index] ?? 0, sentBlocks.cachedTokens(scope, parts[index]!, since)),
 			isFetchable: index => fetchable[index] ?? false,
 		});
 	}
 }
 
 /** Time that an engine spends on fetches for a prompt. */
-function fetchMillisecondsOf(request: PlacementRequest, endpoint: EndpointRecord, {fetchTokens}: PromptWork): number {
+function fetchMilliseconds(request: PlacementRequest, endpoint: EndpointRecord, {fetchTokens}: PromptWork): number {
 	return fetchTokens === 0 ? 0 : fetchTokens / fetchTokensPerMillisecond(request.engine, request.isSourceNear(endpoint));
 }
 
 /** Tokens of shared blocks that an engine would have to prefill. */
-function unreadSharedTokens({prompt}: PlacementRequest, {readTokens}: PromptWork): number {
+function uncachedSharedTokens({prompt}: PlacementRequest, {readTokens}: PromptWork): number {
 	return Math.max(0, readTokens - (prompt?.blocks.at(-1)?.tokens ?? 0));
 }
 
@@ -209,6 +209,6 @@
 }
 
 /** The scope of cached blocks at an engine. It includes the weight version, since blocks from other weights do not match. */
-export function scopeAt({cacheScope, prompt}: PlacementRequest, {weightVersions}: EndpointRecord): string {
+export function cacheScopeAt({cacheScope, prompt}: PlacementRequest, {weightVersions}: EndpointRecord): string {
 	return `${cacheScope}@${weightVersions.get(prompt?.model ?? '') ?? 0}`;
 }
--- a/src/decision/placement/cost-placement.test.ts
+++ b/src/decision/placement/cost-placement.test.ts
@@ -23,12 +23,12 @@
 		engine: {
 			slots: 64, capacityTokens: 100_000, bytesPerToken: 18_432, linkMegabitsPerSecond: 130_000, models: ['permit'],
 		},
-		tried: new Set(),
+		attempted: new Set(),
 		wantedVersion: undefined,
 		olderWeightsUntil: () => Number.POSITIVE_INFINITY,
 		isSourceNear: () => true,
 		fetchableUnder: () => [],
-		keptAt: () => undefined,
+		cachedTokensAt: () => undefined,
 		loading: new Set(),
 		...changes,
 	};
@@ -62,12 +62,12 @@
 	const policy = new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad);
 	const home = chosen(policy, promptOf('subject', 'a'));
 	loads.set(home, {
-		...noLoad, requests: 20, unreadTokens: [0, 0, 30_000], heldTokens: 80_000,
+		...noLoad, requests: 20, pendingPrefillTokens: [0, 0, 30_000], heldTokens: 80_000,
 	});
 	assert.notEqual(chosen(policy, promptOf('subject', 'a')), home);
 	for (const {name} of engines) {
 		loads.set(name, {
-			...noLoad, requests: 20, unreadTokens: [0, 0, 60_000], heldTokens: 80_000,
+			...noLoad, requests: 20, pendingPrefillTokens: [0, 0, 60_000], heldTokens: 80_000,
 		});
 	}
 
@@ -89,9 +89,9 @@
 	assert.notEqual(chosen(policy, promptOf('subject', 'b'), engines, 5000), home.name);
 	assert.deepEqual(policy.dueProbes(300), []);
 	assert.deepEqual(policy.dueProbes(500).map(({name}) => name), [home.name]);
-	policy.probed(home, false, 500);
+	policy.noteProbe(home, false, 500);
 	assert.deepEqual(policy.dueProbes(600), []);
-	policy.probed(home, true, 900);
+	policy.noteProbe(home, true, 900);
 	assert.equal(chosen(policy, promptOf('subject', 'b'), engines, 1000), home.name);
 });
 
@@ -100,11 +100,11 @@
 	const policy = new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad);
 	const home = chosen(policy, promptOf('subject', 'a'));
 	loads.set(home, {
-		...noLoad, requests: 3, oldestWaitMilliseconds: 900, heardAgoMilliseconds: 1000,
+		...noLoad, requests: 3, oldestWaitMilliseconds: 900, lastByteAgoMilliseconds: 1000,
 	});
 	assert.notEqual(chosen(policy, promptOf('subject', 'a')), home);
 	loads.set(home, {
-		...noLoad, requests: 3, oldestWaitMilliseconds: 900, heardAgoMilliseconds: 50,
+		...noLoad, requests: 3, oldestWaitMilliseconds: 900, lastByteAgoMilliseconds: 50,
 	});
 	assert.equal(chosen(policy, promptOf('subject', 'a')), home);
 });
@@ -122,7 +122,7 @@
 	const home = chosen(policy, promptOf('subject', 'a'));
 	const holder = engines.find(({name}) => name !== home)!.name;
 	const keptAt = ({name}: EndpointRecord): number[] => name === holder ? [500, 8000, 0] : [500, 0, 0];
-	const placement = policy.place(promptOf('subject', 'a', {keptAt}), engines, 0);
+	const placement = policy.place(promptOf('subject', 'a', {cachedTokensAt: keptAt}), engines, 0);
 	assert.equal(placement.kind === 'send' && placement.endpoint.name, holder);
 	assert.equal(placement.kind === 'send' && placement.basis.readTokens, 2500);
 });
@@ -134,7 +134,7 @@
 	const policy = new CostPlacement('split');
 	const home = chosen(policy, promptOf('subject', 'a'));
 	const nobody = (): number[] => [0, 0, 0];
-	const first = policy.place(promptOf('subject', 'a', {keptAt: nobody}), engines, 0);
+	const first = policy.place(promptOf('subject', 'a', {cachedTokensAt: nobody}), engines, 0);
 	assert.equal(first.kind === 'send' && first.endpoint.name, home);
 	assert.equal(first.kind === 'send' && first.basis.readTokens, 11_000);
 });
@@ -142,17 +142,17 @@
 test('callers that arrive together for an uncached block are sent to one engine, where it then counts as cached', () => {
 	const policy = new CostPlacement('split', () => noLoad);
 	const nobody = (): number[] => [0, 0, 0];
-	const request = promptOf('subject', 'a', {keptAt: nobody});
+	const request = promptOf('subject', 'a', {cachedTokensAt: nobody});
 	const first = policy.place(request, engines, 0);
 	assert.equal(first.kind, 'send');
 	if (first.kind === 'send') {
 		policy.observe({
 			kind: 'sent', request, endpoint: first.endpoint, basis: first.basis,
 		}, 0);
-		const second = policy.place(promptOf('subject', 'b', {keptAt: nobody}), engines, 100);
+		const second = policy.place(promptOf('subject', 'b', {cachedTokensAt: nobody}), engines, 100);
 		assert.equal(second.kind === 'send' && second.endpoint.name, first.endpoint.name);
 		assert.equal(second.kind === 'send' && second.basis.readTokens, 2500);
-		const later = policy.place(promptOf('subject', 'c', {keptAt: nobody}), engines, 2000);
+		const later = policy.place(promptOf('subject', 'c', {cachedTokensAt: nobody}), engines, 2000);
 		assert.equal(later.kind === 'send' && later.basis.readTokens, 11_000);
 	}
 });
@@ -175,7 +175,7 @@
 	const policies = Array.from({length: 18}, () => new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad));
 	const counts = new Map<string, number>();
 	for (const [index, policy] of policies.entries()) {
-		const request = promptOf(`subject-${index}`, `a${index}`, {id: `request-${index}`, keptAt: () => [0, 0, 0], fetchableUnder: () => [true, true]});
+		const request = promptOf(`subject-${index}`, `a${index}`, {id: `request-${index}`, cachedTokensAt: () => [0, 0, 0], fetchableUnder: () => [true, true]});
 		const engine = chosen(policy, request);
 		counts.set(engine, (counts.get(engine) ?? 0) + 1);
 	}
--- a/src/decision/placement/cost-placement.ts
+++ b/src/decision/placement/cost-placement.ts
@@ -15,15 +15,15 @@
  */
 import {spreadRetry} from '../limits/spread-retry.js';
 import {type EndpointRecord, incarnationOf} from '../../shared/endpoint-record.js';
-import {CandidateEstimates, heldTokensOf, scopeAt} from './candidate-estimates.js';
+import {CandidateEstimator, heldTokensOf, cacheScopeAt} from './candidate-estimator.js';
 import {
-	type EndpointLoad, isSilent, lonelySilenceMilliseconds, silenceMilliseconds, unreadBefore,
+	type EndpointLoad, isUnresponsive, unresponsiveOwnViewMilliseconds, unresponsiveMilliseconds, unreadBefore,
 } from './endpoint-load.js';
-import {EndpointMemories} from './endpoint-memories.js';
-import {homesOf} from './home-of.js';
-import {beginsInGrant, isBehind} from './older-weights.js';
+import {PlacementState} from './placement-state.js';
+import {ownersOf} from './prompt-owners.js';
+import {mayStartOnWeights, hasOlderWeights} from './older-weights.js';
 import {
-	type OthersAt, type Placement, type PlacementEvent, type PlacementPolicy, type PlacementRequest,
+	type OtherInstancesLoad, type Placement, type PlacementEvent, type PlacementPolicy, type PlacementRequest,
 } from './placement.js';
 import {shortlist} from './shortlist.js';
 
@@ -32,45 +32,45 @@
 /** Shortest retry delay of a full service: some slots become free in this time. */
 const overloadRetryMilliseconds = 600;
 /** Longest retry delay. Callers wait for at most a third of the time that they have left, so a longer one is useless. */
-const longestOverloadRetryMilliseconds = 2500;
+const maxOverloadRetryMilliseconds = 2500;
 
 export class CostPlacement implements PlacementPolicy {
 	readonly #dataCentre: string;
-	readonly #memories = new EndpointMemories();
-	readonly #estimates: CandidateEstimates;
+	readonly #state = new PlacementState();
+	readonly #estimator: CandidateEstimator;
 	readonly #unreachable = new Map<string, EndpointRecord>();
 
 	/**
 	 * @param dataCentre - Data centre of this instance.
-	 * @param othersAt - Gives the load of the other instances.
+	 * @param loadOfOthers - Gives the load of the other instances.
 	 */
-	constructor(dataCentre: string, othersAt: OthersAt = () => undefined) {
+	constructor(dataCentre: string, loadOfOthers: OtherInstancesLoad = () => undefined) {
 		this.#dataCentre = dataCentre;
-		this.#estimates = new CandidateEstimates(dataCentre, this.#memories, othersAt);
+		this.#estimator = new CandidateEstimator(dataCentre, this.#state, loadOfOthers);
 	}
 
 	/** The load of this instance, by endpoint. */
 	ownLoads(now: number): Map<string, EndpointLoad> {
-		return this.#memories.loadsAt(now);
+		return this.#state.loadsAt(now);
 	}
 
-	choices(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number, sample: number): EndpointRecord[] {
-		return shortlist(request, this.#inView(request, endpoints, now), this.#dataCentre, sample);
+	shortlist(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number, sample: number): EndpointRecord[] {
+		return shortlist(request, this.#eligible(request, endpoints, now), this.#dataCentre, sample);
 	}
 
 	place(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): Placement {
-		const inView = this.#inView(request, endpoints, now);
-		if (inView.length === 0) {
+		const eligible = this.#eligible(request, endpoints, now);
+		if (eligible.length === 0) {
 			return {kind: 'none', reason: 'no-endpoint', retryAfterMilliseconds: spreadRetry(noEndpointRetryMilliseconds, request.id)};
 		}
 
-		const [home] = request.prompt === undefined ? [] : homesOf(request.prompt, request.cacheScope, inView, 1);
-		const candidates = inView
-			.map(endpoint => this.#estimates.estimate(request, endpoint, endpoint === home, now))
+		const [owner] = request.prompt === undefined ? [] : ownersOf(request.prompt, request.cacheScope, eligible, 1);
+		const candidates = eligible
+			.map(endpoint => this.#estimator.estimate(request, endpoint, endpoint === owner, now))
 			.filter(({isAdmitted}) => isAdmitted);
 		const [first, ...others] = candidates;
 		if (first === undefined) {
-			return {kind: 'none', reason: 'overloaded', retryAfterMilliseconds: this.#overloadRetry(request, inView, now)};
+			return {kind: 'none', reason: 'overloaded', retryAfterMilliseconds: this.#overloadRetryDelay(request, eligible, now)};
 		}
 
 		let best = first;
@@ -83,38 +83,38 @@
 
 	observe(event: PlacementEvent, now: number): void {
 		const {request, endpoint} = event;
-		const outlook = this.#memories.outlookOf(endpoint);
+		const tracker = this.#state.trackerOf(endpoint);
 		switch (event.kind) {
 			case 'sent': {
-				outlook.sent(request.id, {
-					rank: request.rank, heldTokens: heldTokensOf(request), unreadTokens: this.#estimates.unreadTokensOf(request, endpoint, event.basis), basis: event.basis,
+				tracker.sent(request.id, {
+					rank: request.rank, heldTokens: heldTokensOf(request), unreadTokens: this.#estimator.prefillEquivalentTokens(request, endpoint, event.basis), basis: event.basis,
 				}, now);
 				if (request.prompt !== undefined) {
-					this.#memories.partsOf(endpoint, request.engine?.capacityTokens ?? 0).learn(scopeAt(request, endpoint), request.prompt.blocks, now);
+					this.#state.prefixCacheOf(endpoint, request.engine?.capacityTokens ?? 0).add(cacheScopeAt(request, endpoint), request.prompt.blocks, now);
 				}
 
 				break;
 			}
 
 			case 'answered': {
-				const first = outlook.answered(request.id, event.load, now);
+				const first = tracker.answered(request.id, event.load, now);
 				// With no prefill ahead and nothing to fetch, the delay of the first token shows how fast the engine
 				// prefills.
 				if (request.prompt !== undefined && first?.basis.unreadBefore === 0 && first.basis.fetchTokens === 0) {
-					this.#memories.speedOf(request.service).observe(first.basis.readTokens, first.milliseconds);
+					this.#state.prefillSpeedOf(request.service).observe(first.basis.readTokens, first.milliseconds);
 				}
 
 				break;
 			}
 
 			case 'ended': {
-				outlook.ended(request.id);
+				tracker.ended(request.id);
 				if (event.outcome === 'failed' || event.outcome === 'unreachable') {
-					outlook.failed(now);
+					tracker.failed(now);
 				}
 
 				if (event.outcome === 'unreachable') {
-					outlook.unreachable(now);
+					tracker.unreachable(now);
 					this.#unreachable.set(incarnationOf(endpoint), endpoint);
 				}
 
@@ -124,11 +124,11 @@
 	}
 
 	dueProbes(now: number): EndpointRecord[] {
-		return [...this.#unreachable.values()].filter(endpoint => this.#memories.outlookOf(endpoint).isProbeDue(now));
+		return [...this.#unreachable.values()].filter(endpoint => this.#state.trackerOf(endpoint).isProbeDue(now));
 	}
 
-	probed(endpoint: EndpointRecord, isReached: boolean, now: number): void {
-		this.#memories.outlookOf(endpoint).probed(isReached, now);
+	noteProbe(endpoint: EndpointRecord, isReached: boolean, now: number): void {
+		this.#state.trackerOf(endpoint).probed(isReached, now);
 		if (isReached) {
 			this.#unreachable.delete(incarnationOf(endpoint));
 		}
@@ -136,38 +136,38 @@
 
 	forget(endpoint: EndpointRecord): void {
 		this.#unreachable.delete(incarnationOf(endpoint));
-		this.#memories.forget(endpoint);
+		this.#state.forget(endpoint);
 	}
 
-	heard(endpoint: EndpointRecord, now: number): void {
-		this.#memories.outlookOf(endpoint).heard(now);
+	received(endpoint: EndpointRecord, now: number): void {
+		this.#state.trackerOf(endpoint).received(now);
 	}
 
-	isSilent(endpoint: EndpointRecord, now: number): boolean {
-		const {load, isWhole} = this.#estimates.loadAt(endpoint, now);
-		return isSilent(load, isWhole ? silenceMilliseconds : lonelySilenceMilliseconds);
+	isUnresponsive(endpoint: EndpointRecord, now: number): boolean {
+		const {load, includesOthers: includesOthers} = this.#estimator.loadAt(endpoint, now);
+		return isUnresponsive(load, includesOthers ? unresponsiveMilliseconds : unresponsiveOwnViewMilliseconds);
 	}
 
 	idleMilliseconds(endpoint: EndpointRecord, now: number): number {
-		return this.#estimates.loadAt(endpoint, now).load.heardAgoMilliseconds;
+		return this.#estimator.loadAt(endpoint, now).load.lastByteAgoMilliseconds;
 	}
 
 	/** The endpoints that may get a request now. */
-	#inView(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): readonly EndpointRecord[] {
-		const untried = endpoints.filter(endpoint => !request.tried.has(endpoint.name) && beginsInGrant(request, endpoint, 0, now));
-		const awake = untried.filter(endpoint => !isLoading(request, endpoint));
-		const reached = awake.filter(endpoint => !this.#memories.outlookOf(endpoint).isUnreachable && !this.isSilent(endpoint, now));
-		const closed = reached.filter(endpoint => !this.#memories.outlookOf(endpoint).isOpen(now));
+	#eligible(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): readonly EndpointRecord[] {
+		const notAttempted = endpoints.filter(endpoint => !request.attempted.has(endpoint.name) && mayStartOnWeights(request, endpoint, 0, now));
+		const notLoading = notAttempted.filter(endpoint => !isLoading(request, endpoint));
+		const responsive = notLoading.filter(endpoint => !this.#state.trackerOf(endpoint).isUnreachable && !this.isUnresponsive(endpoint, now));
+		const healthy = responsive.filter(endpoint => !this.#state.trackerOf(endpoint).isCircuitOpen(now));
 		// If this leaves no endpoint, the exclusions are lifted one by one: the request would be refused although an
 		// endpoint may have recovered.
-		return [closed, reached, awake, untried].find(({length}) => length > 0) ?? [];
+		return [healthy, responsive, notLoading, notAttempted].find(({length}) => length > 0) ?? [];
 	}
 
 	/** Retry delay of a refused caller: until the least loaded engine has prefilled what is ahead of such a prompt. */
-	#overloadRetry(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): number {
-		const speed = this.#memories.speedOf(request.service).tokensPerMillisecond;
-		const waits = endpoints.map(endpoint => unreadBefore(this.#estimates.loadAt(endpoint, now).load, request.rank) / speed);
-		const wait = Math.min(longestOverloadRetryMilliseconds, overloadRetryMilliseconds + Math.min(...waits));
+	#overloadRetryDelay(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): number {
+		const speed = this.#state.prefillSpeedOf(request.service).tokensPerMillisecond;
+		const waits = endpoints.map(endpoint => unreadBefore(this.#estimator.loadAt(endpoint, now).load, request.rank) / speed);
+		const wait = Math.min(maxOverloadRetryMilliseconds, overloadRetryMilliseconds + Math.min(...waits));
 		return spreadRetry(wait, request.id);
 	}
 }
@@ -177,5 +177,5 @@
  * otherwise.
  */
 function isLoading(request: PlacementRequest, endpoint: EndpointRecord): boolean {
-	return request.loading.has(endpoint.name) && isBehind(request, endpoint);
+	return request.loading.has(endpoint.name) && hasOlderWeights(request, endpoint);
 }
--- a/src/decision/placement/endpoint-load.ts
+++ b/src/decision/placement/endpoint-load.ts
@@ -3,37 +3,37 @@
 export type EndpointLoad = {
 	requests: number;
 	/** Prompt tokens that the endpoint has yet to prefill, by rank; the last entry covers all less urgent ranks. */
-	unreadTokens: readonly number[];
+	pendingPrefillTokens: readonly number[];
 	/** KV memory that all requests in flight may come to need, in tokens. */
 	heldTokens: number;
 	/** How long the oldest request without a byte of its answer has waited, in milliseconds. */
 	oldestWaitMilliseconds: number;
 	/** Time since the last byte from the endpoint, in milliseconds. */
-	heardAgoMilliseconds: number;
+	lastByteAgoMilliseconds: number;
 };
 
 /** Number of ranks that a load distinguishes; prompts use two or three. */
-export const toldRanks = 3;
+export const rankCount = 3;
 
 /** The load of an unused endpoint. */
 export const noLoad: EndpointLoad = {
-	requests: 0, unreadTokens: [0, 0, 0], heldTokens: 0, oldestWaitMilliseconds: 0, heardAgoMilliseconds: Number.POSITIVE_INFINITY,
+	requests: 0, pendingPrefillTokens: [0, 0, 0], heldTokens: 0, oldestWaitMilliseconds: 0, lastByteAgoMilliseconds: Number.POSITIVE_INFINITY,
 };
 
 /** Adds the loads of two sets of instances. */
 export function addLoads(one: EndpointLoad, other: EndpointLoad): EndpointLoad {
 	return {
 		requests: one.requests + other.requests,
-		unreadTokens: one.unreadTokens.map((tokens, rank) => tokens + (other.unreadTokens[rank] ?? 0)),
+		pendingPrefillTokens: one.pendingPrefillTokens.map((tokens, rank) => tokens + (other.pendingPrefillTokens[rank] ?? 0)),
 		heldTokens: one.heldTokens + other.heldTokens,
 		oldestWaitMilliseconds: Math.max(one.oldestWaitMilliseconds, other.oldestWaitMilliseconds),
-		heardAgoMilliseconds: Math.min(one.heardAgoMilliseconds, other.heardAgoMilliseconds),
+		lastByteAgoMilliseconds: Math.min(one.lastByteAgoMilliseconds, other.lastByteAgoMilliseconds),
 	};
 }
 
 /** Tokens to prefill of a rank and all more urgent ones; engines prefill more urgent prompts first. */
-export function unreadBefore({unreadTokens}: EndpointLoad, rank: number): number {
-	return unreadTokens.slice(0, rank + 1).reduce((sum, tokens) => sum + tokens, 0);
+export function unreadBefore({pendingPrefillTokens: pendingPrefillTokens}: EndpointLoad, rank: number): number {
+	return pendingPrefillTokens.slice(0, rank + 1).reduce((sum, tokens) => sum + tokens, 0);
 }
 
 /**
@@ -45,9 +45,9 @@
  * @param rank - The prompt's rank.
  * @param slots - Requests that the engine runs concurrently.
  */
-export function unreadAhead({requests, unreadTokens}: EndpointLoad, rank: number, slots: number): number {
-	const letInShare = Math.min(1, slots / Math.max(1, requests));
-	return unreadTokens.reduce((sum, tokens, other) => sum + (other <= rank ? tokens : letInShare * tokens), 0);
+export function prefillTokensAhead({requests, pendingPrefillTokens: pendingPrefillTokens}: EndpointLoad, rank: number, slots: number): number {
+	const admittedShare = Math.min(1, slots / Math.max(1, requests));
+	return pendingPrefillTokens.reduce((sum, tokens, other) => sum + (other <= rank ? tokens : admittedShare * tokens), 0);
 }
 
 /**
@@ -55,15 +55,15 @@
  * event every few dozen milliseconds, and a plain service answers within its usual work time. A shorter time would blame
  * an endpoint for one long prompt; its row in the endpoint list expires only after several missed heartbeats.
  */
-export const silenceMilliseconds = 700;
+export const unresponsiveMilliseconds = 700;
 
 /**
  * The same while the load of the other instances is unknown. An instance with a single request at an endpoint receives
  * nothing from it while that request queues there after the requests of other instances.
  */
-export const lonelySilenceMilliseconds = 1400;
+export const unresponsiveOwnViewMilliseconds = 1400;
 
 /** Whether an endpoint has had a request waiting and sent no byte for longer than a limit in milliseconds. */
-export function isSilent({oldestWaitMilliseconds, heardAgoMilliseconds}: EndpointLoad, longestMilliseconds = silenceMilliseconds): boolean {
-	return oldestWaitMilliseconds > longestMilliseconds && heardAgoMilliseconds > longestMilliseconds;
+export function isUnresponsive({oldestWaitMilliseconds, lastByteAgoMilliseconds: lastByteAgoMilliseconds}: EndpointLoad, limitMilliseconds = unresponsiveMilliseconds): boolean {
+	return oldestWaitMilliseconds > limitMilliseconds && lastByteAgoMilliseconds > limitMilliseconds;
 }
--- a/src/decision/placement/endpoint-outlook.ts
+++ b/src/decision/placement/endpoint-tracker.ts
@@ -5,7 +5,7 @@
  * An endpoint may crash, hang or fail while its row in the list still says that it is ready. Without this state, an
  * endpoint that refuses connections would look idle and attract every request.
  */
-import {type EndpointLoad, toldRanks} from './endpoint-load.js';
+import {type EndpointLoad, rankCount} from './endpoint-load.js';
 import {type PlacementBasis, type ReportedLoad} from './placement.js';
 
 /** Consecutive failures that open the circuit; a single one may be the request's own. */
@@ -14,35 +14,35 @@
  * How long the circuit is open at first; doubles with each further failure. A failed connection is retried within a
  * heartbeat or two.
  */
-const firstPauseMilliseconds = 500;
-const longestPauseMilliseconds = 8000;
+const firstOpenMilliseconds = 500;
+const maxOpenMilliseconds = 8000;
 /**
  * First interval between connection attempts to an unreachable endpoint, with no caller waiting for them; doubles up to
  * the longest. A restarted process is back within a second.
  */
-const firstProbePauseMilliseconds = 200;
-const longestProbePauseMilliseconds = 1000;
+const firstProbeIntervalMilliseconds = 200;
+const maxProbeIntervalMilliseconds = 1000;
 /** Older load reports are ignored: a batch of short requests comes and goes in this time. */
-const reportLifeMilliseconds = 2000;
+const reportLifetimeMilliseconds = 2000;
 
 /** A request of this instance in flight at the endpoint. */
-type UnderWay = {rank: number; sentAt: number; unreadTokens: number; heldTokens: number; isAnswered: boolean; basis: PlacementBasis};
+type InFlightRequest = {rank: number; sentAt: number; pendingPrefillTokens: number; heldTokens: number; isAnswered: boolean; basis: PlacementBasis};
 
 /** The delay of a request's first token, and the basis of its placement. */
 export type FirstToken = {basis: PlacementBasis; milliseconds: number};
 
-export class EndpointOutlook {
-	readonly #requests = new Map<string, UnderWay>();
+export class EndpointTracker {
+	readonly #requests = new Map<string, InFlightRequest>();
 	#report: ReportedLoad | undefined;
 	#reportAt = 0;
 	#sentSinceReport = 0;
 	#failures = 0;
 	#openUntil = 0;
-	#heardAt = Number.NEGATIVE_INFINITY;
-	#probe: {at: number; pause: number} | undefined;
+	#lastByteAt = Number.NEGATIVE_INFINITY;
+	#probe: {at: number; interval: number} | undefined;
 
 	/** Number of this instance's requests in flight. */
-	get underWay(): number {
+	get inFlight(): number {
 		return this.#requests.size;
 	}
 
@@ -52,7 +52,7 @@
 	 */
 	sent(id: string, {rank, heldTokens, unreadTokens, basis}: {rank: number; heldTokens: number; unreadTokens: number; basis: PlacementBasis}, now: number): void {
 		this.#requests.set(id, {
-			rank: Math.min(toldRanks - 1, rank), sentAt: now, unreadTokens, heldTokens, isAnswered: false, basis,
+			rank: Math.min(rankCount - 1, rank), sentAt: now, pendingPrefillTokens: unreadTokens, heldTokens, isAnswered: false, basis,
 		});
 		this.#sentSinceReport++;
 	}
@@ -62,10 +62,10 @@
 		const request = this.#requests.get(id);
 		if (request !== undefined) {
 			request.isAnswered = true;
-			request.unreadTokens = 0;
+			request.pendingPrefillTokens = 0;
 		}
 
-		this.#heardAt = now;
+		this.#lastByteAt = now;
 		this.#probe = undefined;
 		this.#failures = 0;
 		this.#openUntil = 0;
@@ -79,8 +79,8 @@
 	}
 
 	/** Records that bytes arrived. */
-	heard(now: number): void {
-		this.#heardAt = now;
+	received(now: number): void {
+		this.#lastByteAt = now;
 	}
 
 	ended(id: string): void {
@@ -90,13 +90,13 @@
 	failed(now: number): void {
 		this.#failures++;
 		if (this.#failures >= failuresToOpen) {
-			const pause = firstPauseMilliseconds * (2 ** Math.min(6, this.#failures - failuresToOpen));
-			this.#openUntil = now + Math.min(longestPauseMilliseconds, pause);
+			const openMilliseconds = firstOpenMilliseconds * (2 ** Math.min(6, this.#failures - failuresToOpen));
+			this.#openUntil = now + Math.min(maxOpenMilliseconds, openMilliseconds);
 		}
 	}
 
 	/** Whether the circuit is open: the endpoint gets no requests for now. */
-	isOpen(now: number): boolean {
+	isCircuitOpen(now: number): boolean {
 		return now < this.#openUntil;
 	}
 
@@ -107,7 +107,7 @@
 
 	/** Records that a connection failed, or that the endpoint became unresponsive. */
 	unreachable(now: number): void {
-		this.#probe ??= {at: now + firstProbePauseMilliseconds, pause: firstProbePauseMilliseconds};
+		this.#probe ??= {at: now + firstProbeIntervalMilliseconds, interval: firstProbeIntervalMilliseconds};
 	}
 
 	isProbeDue(now: number): boolean {
@@ -121,29 +121,29 @@
 			return;
 		}
 
-		const pause = Math.min(longestProbePauseMilliseconds, 2 * this.#probe.pause);
-		this.#probe = {at: now + pause, pause};
+		const pause = Math.min(maxProbeIntervalMilliseconds, 2 * this.#probe.interval);
+		this.#probe = {at: now + pause, interval: pause};
 	}
 
 	/** The load of this instance at the endpoint. */
 	loadAt(now: number): EndpointLoad {
-		const unreadTokens = Array.from({length: toldRanks}, () => 0);
+		const pendingPrefillTokens = Array.from({length: rankCount}, () => 0);
 		let heldTokens = 0;
 		let oldest = now;
 		for (const request of this.#requests.values()) {
-			unreadTokens[request.rank]! += request.unreadTokens;
+			pendingPrefillTokens[request.rank]! += request.pendingPrefillTokens;
 			heldTokens += request.heldTokens;
 			oldest = request.isAnswered ? oldest : Math.min(oldest, request.sentAt);
 		}
 
 		return {
-			requests: this.#requests.size, unreadTokens, heldTokens, oldestWaitMilliseconds: now - oldest, heardAgoMilliseconds: now - this.#heardAt,
+			requests: this.#requests.size, pendingPrefillTokens: pendingPrefillTokens, heldTokens, oldestWaitMilliseconds: now - oldest, lastByteAgoMilliseconds: now - this.#lastByteAt,
 		};
 	}
 
 	/** Requests running or waiting there by its last report, with those sent since; `undefined` if the report is too old. */
 	reportedOccupancy(now: number): number | undefined {
-		return this.#report !== undefined && now - this.#reportAt < reportLifeMilliseconds
+		return this.#report !== undefined && now - this.#reportAt < reportLifetimeMilliseconds
 			? this.#report.running + this.#report.waiting + this.#sentSinceReport
 			: undefined;
 	}
--- a/src/decision/placement/believed-parts.ts
+++ b/src/decision/placement/estimated-prefix-cache.ts
@@ -4,9 +4,9 @@
  */
 import {type PromptBlock} from '../../shared/prompt-shape.js';
 
-export class BelievedParts {
+export class EstimatedPrefixCache {
 	readonly #capacityTokens: number;
-	readonly #parts = new Map<string, {tokens: number; at: number}>();
+	readonly #blocks = new Map<string, {tokens: number; at: number}>();
 	#tokens = 0;
 
 	constructor(capacityTokens: number) {
@@ -14,20 +14,20 @@
 	}
 
 	/** Adds the blocks of a prompt that was sent to the engine; `now` is in milliseconds of the steady clock. */
-	learn(scope: string, parts: readonly PromptBlock[], now: number): void {
-		for (const {id, tokens} of parts) {
+	add(scope: string, blocks: readonly PromptBlock[], now: number): void {
+		for (const {id, tokens} of blocks) {
 			const key = `${scope}|${id}`;
-			this.#tokens += tokens - (this.#parts.get(key)?.tokens ?? 0);
-			this.#parts.delete(key);
-			this.#parts.set(key, {tokens, at: now});
+			this.#tokens += tokens - (this.#blocks.get(key)?.tokens ?? 0);
+			this.#blocks.delete(key);
+			this.#blocks.set(key, {tokens, at: now});
 		}
 
-		for (const [key, {tokens}] of this.#parts) {
+		for (const [key, {tokens}] of this.#blocks) {
 			if (this.#tokens <= this.#capacityTokens) {
 				break;
 			}
 
-			this.#parts.delete(key);
+			this.#blocks.delete(key);
 			this.#tokens -= tokens;
 		}
 	}
@@ -36,8 +36,8 @@
 	 * Tokens of a block that the engine has probably cached, if the block was sent there at `since` or later; 0
 	 * otherwise.
 	 */
-	tokensOf(scope: string, {id}: PromptBlock, since: number): number {
-		const part = this.#parts.get(`${scope}|${id}`);
-		return part === undefined || part.at < since ? 0 : part.tokens;
+	cachedTokens(scope: string, {id}: PromptBlock, since: number): number {
+		const block = this.#blocks.get(`${scope}|${id}`);
+		return block === undefined || block.at < since ? 0 : block.tokens;
 	}
 }
--- a/src/decision/placement/fetch-speed.test.ts
+++ b/src/decision/placement/fetch-speed.test.ts
@@ -31,7 +31,7 @@
 		},
 		engine: traits,
 		fetchableUnder: () => parts.map(({tokens}) => tokens > 10_000),
-		keptAt: () => parts.map(() => 0),
+		cachedTokensAt: () => parts.map(() => 0),
 	});
 	const long = requestOf('long', [{id: 'shared', tokens: 15_000}, {id: 'own', tokens: 100}]);
 	const first = policy.place(long, engines, 0);
--- a/src/decision/placement/fetch-speed.ts
+++ b/src/decision/placement/fetch-speed.ts
@@ -10,7 +10,7 @@
 /** A fetch gets this share of the link's rate; the rest is lost to gaps between transfers. */
 const linkShare = 0.9;
 /** A fetch from another data centre takes this many times as long. */
-const farFactor = 2;
+const otherDataCentreFactor = 2;
 /** Speed where nothing is declared: a link of 100 Gbit/s at 20 KB a token. */
 const undeclaredTokensPerMillisecond = 400;
 
@@ -27,5 +27,5 @@
 	const nearSpeed = engine === undefined || engine.bytesPerToken <= 0 || engine.linkMegabitsPerSecond <= 0
 		? undeclaredTokensPerMillisecond
 		: linkShare * engine.linkMegabitsPerSecond * bytesPerMegabit / engine.bytesPerToken;
-	return isNear ? nearSpeed : nearSpeed / farFactor;
+	return isNear ? nearSpeed : nearSpeed / otherDataCentreFactor;
 }
--- a/src/decision/placement/fresh-news.test.ts
+++ b/src/decision/placement/fresh-loads.test.ts
@@ -17,9 +17,9 @@
 const tokensPerMillisecond = 55;
 const objectiveMilliseconds = 600;
 /** Prompts in one burst, and the mean pause between bursts; engines prefill for four fifths of the time. */
-const clumpSize = 24;
-const clumpPauseMilliseconds = 260;
-const clumps = 150;
+const burstSize = 24;
+const burstPauseMilliseconds = 260;
+const burstCount = 150;
 
 const engines = Array.from({length: engineCount}, (_, index) => testEndpoint({
 	name: `e${index}`, slots: 64, weightVersions: new Map([['permit', 1]]), address: `10.0.0.${index}:1`,
@@ -38,12 +38,12 @@
 		engine: {
 			slots: 64, capacityTokens: 200_000, bytesPerToken: 18_432, linkMegabitsPerSecond: 130_000, models: ['permit'],
 		},
-		tried: new Set(),
+		attempted: new Set(),
 		wantedVersion: undefined,
 		olderWeightsUntil: () => Number.POSITIVE_INFINITY,
 		isSourceNear: () => true,
 		fetchableUnder: () => [],
-		keptAt: () => [0],
+		cachedTokensAt: () => [0],
 		loading: new Set(),
 	};
 }
@@ -52,7 +52,7 @@
 type Outcome = {inTime: number; late: number; refused: number};
 
 /** Events that are due at later times, run in the order of those times. */
-class Agenda {
+class EventSchedule {
 	#entries: Array<{at: number; act: () => void}> = [];
 
 	add(at: number, act: () => void): void {
@@ -73,16 +73,16 @@
 	}
 }
 
-function play(newsAgeMilliseconds: number): Outcome {
+function simulate(loadAgeMilliseconds: number): Outcome {
 	const random = seededRandom(11);
-	const agenda = new Agenda();
+	const events = new EventSchedule();
 	const freeAt = new Map<string, number>();
 	const outcome: Outcome = {inTime: 0, late: 0, refused: 0};
-	let told: Array<Map<string, EndpointLoad>> = [];
-	let toldAt = Number.NEGATIVE_INFINITY;
+	let knownLoads: Array<Map<string, EndpointLoad>> = [];
+	let loadsReadAt = Number.NEGATIVE_INFINITY;
 	const instances = Array.from({length: instanceCount}, (_, own) => new CostPlacement('split', engine => {
 		let sum = noLoad;
-		for (const [index, loads] of told.entries()) {
+		for (const [index, loads] of knownLoads.entries()) {
 			sum = index === own ? sum : addLoads(sum, loads.get(engine) ?? noLoad);
 		}
 
@@ -90,9 +90,9 @@
 	}));
 
 	const serve = (request: PlacementRequest, now: number): void => {
-		if (now - toldAt >= newsAgeMilliseconds) {
-			told = instances.map(instance => instance.ownLoads(now));
-			toldAt = now;
+		if (now - loadsReadAt >= loadAgeMilliseconds) {
+			knownLoads = instances.map(instance => instance.ownLoads(now));
+			loadsReadAt = now;
 		}
 
 		const instance = instances[Math.floor(random() * instanceCount)]!;
@@ -109,18 +109,18 @@
 		const firstAt = Math.max(now, freeAt.get(endpoint.name) ?? 0) + (basis.readTokens / tokensPerMillisecond);
 		freeAt.set(endpoint.name, firstAt);
 		outcome[firstAt - now <= objectiveMilliseconds ? 'inTime' : 'late']++;
-		agenda.add(firstAt, () => {
+		events.add(firstAt, () => {
 			finish(instance, request, endpoint, firstAt);
 		});
 	};
 
 	let now = 0;
-	for (let clump = 0; clump < clumps; clump++) {
-		now += 2 * clumpPauseMilliseconds * random();
-		for (let index = 0; index < clumpSize; index++) {
+	for (let burst = 0; burst < burstCount; burst++) {
+		now += 2 * burstPauseMilliseconds * random();
+		for (let index = 0; index < burstSize; index++) {
 			now += 2 * random();
-			agenda.run(now);
-			serve(promptRequest(`p${clump}-${index}`, 300 + (8700 * random())), now);
+			events.run(now);
+			serve(promptRequest(`p${burst}-${index}`, 300 + (8700 * random())), now);
 		}
 	}
 
@@ -137,10 +137,10 @@
 }
 
 test('bursts of prompts are answered in time when each is placed by fresh loads', t => {
-	const old = play(300);
-	const fresh = play(0);
-	t.diagnostic(`stale loads ${JSON.stringify(old)}, fresh loads ${JSON.stringify(fresh)}`);
-	const all = clumps * clumpSize;
+	const stale = simulate(300);
+	const fresh = simulate(0);
+	t.diagnostic(`stale loads ${JSON.stringify(stale)}, fresh loads ${JSON.stringify(fresh)}`);
+	const all = burstCount * burstSize;
 	assert.ok(fresh.inTime > 0.97 * all, JSON.stringify(fresh));
-	assert.ok(old.inTime < 0.9 * all, JSON.stringify(old));
+	assert.ok(stale.inTime < 0.9 * all, JSON.stringify(stale));
 });
--- a/src/decision/placement/near-source.test.ts
+++ b/src/decision/placement/near-source.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {seededRandom} from '../../peer/random/seeded-random.js';
 import {testEndpoint} from '../../gateway/testing/test-endpoint.js';
-import {ReadingEngines} from '../testing/reading-engines.js';
+import {SimulatedEngines} from '../testing/simulated-engines.js';
 import {testPromptRequest} from '../testing/test-prompt-request.js';
 import {type PlacementRequest} from './placement.js';
 
@@ -10,7 +10,7 @@
 /** Tokens that are fetched in a millisecond within a data centre; a transfer from another one takes twice as long. */
 const fetchPerMillisecond = 89;
 const seconds = 30;
-const longsPerSecond = 38;
+const longPromptsPerSecond = 38;
 const objectiveMilliseconds = 600;
 const storeDataCentre = 'baton';
 const dataCentres = ['mobile', storeDataCentre, 'jackson'];
@@ -27,7 +27,7 @@
 		},
 		fetchableUnder: () => [true, false],
 		isSourceNear,
-		keptAt: () => [0, 0],
+		cachedTokensAt: () => [0, 0],
 	});
 }
 
@@ -35,15 +35,15 @@
  * Simulates long prompts whose shared blocks are in a store of one data centre; returns the share that was answered in
  * time.
  */
-function play(isSourceNear: PlacementRequest['isSourceNear']): number {
+function simulate(isSourceNear: PlacementRequest['isSourceNear']): number {
 	const random = seededRandom(5);
-	const played = new ReadingEngines('mobile', engines);
+	const simulated = new SimulatedEngines('mobile', engines);
 	let inTime = 0;
-	const arrivals = Array.from({length: longsPerSecond * seconds}, () => 1000 * seconds * random()).toSorted((one, other) => one - other);
+	const arrivals = Array.from({length: longPromptsPerSecond * seconds}, () => 1000 * seconds * random()).toSorted((one, other) => one - other);
 	for (const [index, at] of arrivals.entries()) {
 		const sharedTokens = Math.round(6000 + (14_000 * random()));
 		const ownTokens = Math.round(1000 + (6000 * random()));
-		const milliseconds = played.send(longPrompt(`p${index}`, sharedTokens, ownTokens, isSourceNear), at, ({dataCentre}) => {
+		const milliseconds = simulated.send(longPrompt(`p${index}`, sharedTokens, ownTokens, isSourceNear), at, ({dataCentre}) => {
 			const distance = dataCentre === storeDataCentre ? 1 : 2;
 			return (distance * sharedTokens / fetchPerMillisecond) + (ownTokens / tokensPerMillisecond);
 		});
@@ -57,9 +57,9 @@
 	// All stores are in one data centre. Fetches to engines elsewhere take twice as long and fill their links and queues;
 	// the callers of long prompts, and of short ones behind them, are late while engines near the stores have capacity
 	// left.
-	const blind = play(() => false);
-	const near = play(({dataCentre}) => dataCentre === storeDataCentre);
-	t.diagnostic(`in time: ${blind.toFixed(3)} with the distance unknown, ${near.toFixed(3)} with it known`);
+	const distanceUnknown = simulate(() => false);
+	const near = simulate(({dataCentre}) => dataCentre === storeDataCentre);
+	t.diagnostic(`in time: ${distanceUnknown.toFixed(3)} with the distance unknown, ${near.toFixed(3)} with it known`);
 	assert.ok(near >= 0.95, `${near}`);
-	assert.ok(blind < near, `${blind}`);
+	assert.ok(distanceUnknown < near, `${distanceUnknown}`);
 });
--- a/src/decision/placement/older-weights.test.ts
+++ b/src/decision/placement/older-weights.test.ts
@@ -30,7 +30,7 @@
 test('the wait at an engine counts, since a prompt starts only when the engine gets to it', () => {
 	// Two seconds before the end of the grant an engine has three seconds of prefill ahead. A prompt that is sent
 	// there now would start a second too late.
-	const loads = new Map<string, EndpointLoad>([['e0', {...noLoad, requests: 10, unreadTokens: [0, 165_000, 0]}]]);
+	const loads = new Map<string, EndpointLoad>([['e0', {...noLoad, requests: 10, pendingPrefillTokens: [0, 165_000, 0]}]]);
 	const policy = new CostPlacement('split', name => loads.get(name) ?? noLoad);
 	const urgent = prompt({objectiveMilliseconds: 60_000});
 	assert.equal(placeOf(policy, urgent, [engine('e0', 1)], 0), 'e0');
--- a/src/decision/placement/older-weights.ts
+++ b/src/decision/placement/older-weights.ts
@@ -10,10 +10,10 @@
 import {type PlacementRequest} from './placement.js';
 
 /** Allowance for a longer wait at an engine than expected: other instances send prompts that they have not reported yet. */
-const beginMarginMilliseconds = 1000;
+const startMarginMilliseconds = 1000;
 
 /** Whether the engine's weights are older than the wanted version of the prompt's model. */
-export function isBehind(request: PlacementRequest, endpoint: EndpointRecord): boolean {
+export function hasOlderWeights(request: PlacementRequest, endpoint: EndpointRecord): boolean {
 	const {prompt, wantedVersion} = request;
 	return wantedVersion !== undefined && prompt !== undefined && versionAt(endpoint, prompt.model) < wantedVersion;
 }
@@ -22,9 +22,9 @@
  * Until when runs may start on the weights that the engine has, in milliseconds of the steady clock; infinite if they are
  * not older.
  */
-export function grantEnd(request: PlacementRequest, endpoint: EndpointRecord): number {
+export function olderWeightsDeadline(request: PlacementRequest, endpoint: EndpointRecord): number {
 	const {prompt} = request;
-	return prompt === undefined || !isBehind(request, endpoint) ? Number.POSITIVE_INFINITY : request.olderWeightsUntil(versionAt(endpoint, prompt.model));
+	return prompt === undefined || !hasOlderWeights(request, endpoint) ? Number.POSITIVE_INFINITY : request.olderWeightsUntil(versionAt(endpoint, prompt.model));
 }
 
 /**
@@ -35,8 +35,8 @@
  * @param waitMilliseconds - How long the prompt is expected to wait there.
  * @param now - Milliseconds of the steady clock.
  */
-export function beginsInGrant(request: PlacementRequest, endpoint: EndpointRecord, waitMilliseconds: number, now: number): boolean {
-	return now + waitMilliseconds + beginMarginMilliseconds < grantEnd(request, endpoint);
+export function mayStartOnWeights(request: PlacementRequest, endpoint: EndpointRecord, waitMilliseconds: number, now: number): boolean {
+	return now + waitMilliseconds + startMarginMilliseconds < olderWeightsDeadline(request, endpoint);
 }
 
 function versionAt({weightVersions}: EndpointRecord, model: string): number {
--- /dev/null
+++ b/src/decision/placement/placement-state.ts
@@ -0,0 +1,67 @@
+/** State that placement keeps for each incarnation of an endpoint, and for the engines of each service together. */
+import {type EndpointRecord, incarnationOf} from '../../shared/endpoint-record.js';
+import {EstimatedPrefixCache} from './estimated-prefix-cache.js';
+import {type EndpointLoad} from './endpoint-load.js';
+import {EndpointTracker} from './endpoint-tracker.js';
+import {PrefillSpeed} from './prefill-speed.js';
+
+export class PlacementState {
+	readonly #trackers = new Map<string, {name: string; outlook: EndpointTracker}>();
+	/** The same by record, since each placement looks up all endpoints several times. */
+	readonly #trackerByRecord = new WeakMap<EndpointRecord, EndpointTracker>();
+	readonly #prefixCaches = new Map<string, EstimatedPrefixCache>();
+	readonly #prefillSpeeds = new Map<string, PrefillSpeed>();
+
+	/** The tracker of an endpoint's incarnation. */
+	trackerOf(endpoint: EndpointRecord): EndpointTracker {
+		const known = this.#trackerByRecord.get(endpoint);
+		if (known !== undefined) {
+			return known;
+		}
+
+		const {outlook} = getOrCreate(this.#trackers, incarnationOf(endpoint), () => ({name: endpoint.name, outlook: new EndpointTracker()}));
+		this.#trackerByRecord.set(endpoint, outlook);
+		return outlook;
+	}
+
+	/** The estimated cache of an engine with this much memory. */
+	prefixCacheOf(endpoint: EndpointRecord, capacityTokens: number): EstimatedPrefixCache {
+		return getOrCreate(this.#prefixCaches, incarnationOf(endpoint), () => new EstimatedPrefixCache(capacityTokens));
+	}
+
+	/** Prefill speed of the engines of a service. */
+	prefillSpeedOf(service: string): PrefillSpeed {
+		return getOrCreate(this.#prefillSpeeds, service, () => new PrefillSpeed());
+	}
+
+	/** The load of this instance by the name of the endpoint; endpoints without its requests are absent. */
+	loadsAt(now: number): Map<string, EndpointLoad> {
+		const loads = new Map<string, EndpointLoad>();
+		for (const {name, outlook} of this.#trackers.values()) {
+			const load = outlook.loadAt(now);
+			if (load.requests > 0) {
+				loads.set(name, load);
+			}
+		}
+
+		return loads;
+	}
+
+	/** Forgets an incarnation that has ended. */
+	forget(endpoint: EndpointRecord): void {
+		this.#trackerByRecord.delete(endpoint);
+		this.#trackers.delete(incarnationOf(endpoint));
+		this.#prefixCaches.delete(incarnationOf(endpoint));
+	}
+}
+
+function getOrCreate<Value>(map: Map<string, Value>, key: string, create: () => Value): Value {
+	const known = map.get(key);
+	if (known !== undefined) {
+		return known;
+	}
+
+	const created = create();
+	map.set(key, created);
+	return created;
+}
--- a/src/decision/placement/placement.ts
+++ b/src/decision/placement/placement.ts
@@ -19,7 +19,7 @@
 	cacheScope: string;
 	engine: EngineTraits | undefined;
 	/** Endpoints that the request was already sent to. */
-	tried: ReadonlySet<string>;
+	attempted: ReadonlySet<string>;
 	/** The weight version that its model should be served with; absent if operators named none. */
 	wantedVersion: number | undefined;
 	/** Until when runs may start on weights of a version older than the wanted one, in milliseconds of the steady clock. */
@@ -29,7 +29,7 @@
 	/** Whether the largest block that an engine would fetch is stored or cached in the engine's own data centre. */
 	isSourceNear: (endpoint: EndpointRecord) => boolean;
 	/** Tokens of each block that an engine has cached, by its own events; `undefined` while those are unknown. */
-	keptAt: (endpoint: EndpointRecord) => readonly number[] | undefined;
+	cachedTokensAt: (endpoint: EndpointRecord) => readonly number[] | undefined;
 	/** Engines that are loading weights and reject what is sent to them. */
 	loading: ReadonlySet<string>;
 };
@@ -65,7 +65,7 @@
 		| {kind: 'ended'; request: PlacementRequest; endpoint: EndpointRecord; outcome: 'whole' | 'rejected' | 'failed' | 'unreachable' | 'cancelled'};
 
 /** Gives the load of all other instances at an endpoint; `undefined` while it is unknown. */
-export type OthersAt = (endpoint: string, now: number) => EndpointLoad | undefined;
+export type OtherInstancesLoad = (endpoint: string, now: number) => EndpointLoad | undefined;
 
 /** Places requests on endpoints. All times are milliseconds of the steady clock. */
 export interface PlacementPolicy {
@@ -75,19 +75,19 @@
 	 *
 	 * @param sample - 0 for the first sample; each further one draws other endpoints.
 	 */
-	choices(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number, sample: number): EndpointRecord[];
+	shortlist(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number, sample: number): EndpointRecord[];
 	place(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): Placement;
 	observe(event: PlacementEvent, now: number): void;
 	/** Records that bytes arrived from an endpoint. */
-	heard(endpoint: EndpointRecord, now: number): void;
+	received(endpoint: EndpointRecord, now: number): void;
 	/** Whether an endpoint with waiting requests has become unresponsive. */
-	isSilent(endpoint: EndpointRecord, now: number): boolean;
+	isUnresponsive(endpoint: EndpointRecord, now: number): boolean;
 	/** Time since the last byte from an endpoint to any instance, in milliseconds. */
 	idleMilliseconds(endpoint: EndpointRecord, now: number): number;
 	/** Unreachable endpoints that are due for a connection attempt. */
 	dueProbes(now: number): EndpointRecord[];
 	/** Records the outcome of a connection attempt. */
-	probed(endpoint: EndpointRecord, isReached: boolean, now: number): void;
+	noteProbe(endpoint: EndpointRecord, isReached: boolean, now: number): void;
 	/** Forgets an incarnation that has ended. */
 	forget(endpoint: EndpointRecord): void;
 }
--- a/src/decision/placement/reading-speed.ts
+++ b/src/decision/placement/prefill-speed.ts
@@ -11,17 +11,17 @@
  */
 
 /** Used before the first sample: the lower end of what current engines state, so that no engine is overloaded at first. */
-const firstGuess = 55;
+const initialTokensPerMillisecond = 55;
 /** A slope outside these bounds reflects noise rather than the engines. */
-const slowest = 20;
-const fastest = 500;
+const minTokensPerMillisecond = 20;
+const maxTokensPerMillisecond = 500;
 /** Each sample multiplies the weight of all older ones by this; about 400 samples count. */
-const keptWeight = 0.9975;
+const sampleDecay = 0.9975;
 /** The initial speed counts as much as this many samples, spread over short and long prompts. */
-const guessSamples = 8;
-const guessTokens = [500, 10_000];
+const initialSamples = 8;
+const initialSampleTokens = [500, 10_000];
 
-export class ReadingSpeed {
+export class PrefillSpeed {
 	#weight = 0;
 	#tokens = 0;
 	#milliseconds = 0;
@@ -29,9 +29,9 @@
 	#product = 0;
 
 	constructor() {
-		for (const tokens of guessTokens) {
-			for (let sample = 0; sample < guessSamples / guessTokens.length; sample++) {
-				this.observe(tokens, tokens / firstGuess);
+		for (const tokens of initialSampleTokens) {
+			for (let sample = 0; sample < initialSamples / initialSampleTokens.length; sample++) {
+				this.observe(tokens, tokens / initialTokensPerMillisecond);
 			}
 		}
 	}
@@ -43,21 +43,21 @@
 	 * @param milliseconds - From its sending to its first token.
 	 */
 	observe(tokens: number, milliseconds: number): void {
-		this.#weight = (keptWeight * this.#weight) + 1;
-		this.#tokens = (keptWeight * this.#tokens) + tokens;
-		this.#milliseconds = (keptWeight * this.#milliseconds) + milliseconds;
-		this.#tokensSquared = (keptWeight * this.#tokensSquared) + (tokens ** 2);
-		this.#product = (keptWeight * this.#product) + (tokens * milliseconds);
+		this.#weight = (sampleDecay * this.#weight) + 1;
+		this.#tokens = (sampleDecay * this.#tokens) + tokens;
+		this.#milliseconds = (sampleDecay * this.#milliseconds) + milliseconds;
+		this.#tokensSquared = (sampleDecay * this.#tokensSquared) + (tokens ** 2);
+		this.#product = (sampleDecay * this.#product) + (tokens * milliseconds);
 	}
 
 	/** The speed estimated from all samples so far. */
 	get tokensPerMillisecond(): number {
-		const spread = this.#tokensSquared - ((this.#tokens ** 2) / this.#weight);
-		const together = this.#product - (this.#tokens * this.#milliseconds / this.#weight);
-		if (spread <= 0 || together <= 0) {
-			return firstGuess;
+		const variance = this.#tokensSquared - ((this.#tokens ** 2) / this.#weight);
+		const covariance = this.#product - (this.#tokens * this.#milliseconds / this.#weight);
+		if (variance <= 0 || covariance <= 0) {
+			return initialTokensPerMillisecond;
 		}
 
-		return Math.min(fastest, Math.max(slowest, spread / together));
+		return Math.min(maxTokensPerMillisecond, Math.max(minTokensPerMillisecond, variance / covariance));
 	}
 }
--- a/src/decision/placement/home-of.ts
+++ b/src/decision/placement/prompt-owners.ts
@@ -15,18 +15,18 @@
  * @param count - Maximum number of engines to return.
  * @returns The owner first; empty without engines or blocks.
  */
-export function homesOf({blocks: parts}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
-	const part = parts.at(-2) ?? parts.at(-1);
-	if (part === undefined) {
+export function ownersOf({blocks: parts}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
+	const block = parts.at(-2) ?? parts.at(-1);
+	if (block === undefined) {
 		return [];
 	}
 
 	const best: Array<{endpoint: EndpointRecord; hash: number}> = [];
 	for (const endpoint of endpoints) {
-		const hash = hashOf(`${cacheScope}|${part.id}|${endpoint.name}`);
-		const place = best.findIndex(other => hash > other.hash);
-		if (place !== -1) {
-			best.splice(place, 0, {endpoint, hash});
+		const hash = hashOf(`${cacheScope}|${block.id}|${endpoint.name}`);
+		const position = best.findIndex(other => hash > other.hash);
+		if (position !== -1) {
+			best.splice(position, 0, {endpoint, hash});
 			best.length = Math.min(best.length, count);
 		} else if (best.length < count) {
 			best.push({endpoint, hash});
--- a/src/decision/placement/prompt-work.test.ts
+++ b/src/decision/placement/prompt-work.test.ts
@@ -5,8 +5,8 @@
 const prompt = {
 	model: 'permit', promptTokens: 1600, maxOutputTokens: 10, blocks: [{id: 'all', tokens: 100}, {id: 'subject', tokens: 1000}, {id: 'own', tokens: 500}],
 };
-const sources = (kept: number[], fetchable: boolean[]) => ({
-	keptTokens: (index: number) => kept[index] ?? 0, isFetchable: (index: number) => fetchable[index] ?? false,
+const sources = (cached: number[], fetchable: boolean[]) => ({
+	keptTokens: (index: number) => cached[index] ?? 0, isFetchable: (index: number) => fetchable[index] ?? false,
 });
 
 test('cached and fetched blocks count from the start, and everything after a gap is prefilled', () => {
--- a/src/decision/placement/prompt-work.ts
+++ b/src/decision/placement/prompt-work.ts
@@ -6,7 +6,7 @@
 import {type PromptShape} from '../../shared/prompt-shape.js';
 
 /** Where the blocks of a prompt are cached, by their index in the prompt. */
-export type PartSources = {
+export type BlockSources = {
 	/** Tokens of a block that the engine has cached. */
 	keptTokens(index: number): number;
 	/** Whether a store or another engine has the whole block. */
@@ -28,18 +28,18 @@
  * @param prompt - Its last block is its own and is never fetched.
  * @param sources - Where its blocks are cached.
  */
-export function promptWork({blocks: parts, promptTokens}: PromptShape, sources: PartSources): PromptWork {
+export function promptWork({blocks: parts, promptTokens}: PromptShape, sources: BlockSources): PromptWork {
 	let keptTokens = 0;
 	let fetchTokens = 0;
 	for (const [index, {tokens}] of parts.entries()) {
-		const kept = Math.min(tokens, sources.keptTokens(index));
-		if (kept < tokens && index < parts.length - 1 && sources.isFetchable(index)) {
+		const cached = Math.min(tokens, sources.keptTokens(index));
+		if (cached < tokens && index < parts.length - 1 && sources.isFetchable(index)) {
 			fetchTokens += tokens;
 			continue;
 		}
 
-		keptTokens += kept;
-		if (kept < tokens) {
+		keptTokens += cached;
+		if (cached < tokens) {
 			break;
 		}
 	}
--- a/src/decision/placement/shortlist.test.ts
+++ b/src/decision/placement/shortlist.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {testEndpoint} from '../../gateway/testing/test-endpoint.js';
-import {homesOf} from './home-of.js';
+import {ownersOf} from './prompt-owners.js';
 import {type PlacementRequest} from './placement.js';
 import {shortlist, shortlistLength} from './shortlist.js';
 
@@ -19,12 +19,12 @@
 	},
 	cacheScope: 'shared',
 	engine: undefined,
-	tried: new Set(tried),
+	attempted: new Set(tried),
 	wantedVersion: undefined,
 	olderWeightsUntil: () => Number.POSITIVE_INFINITY,
 	fetchableUnder: () => [],
 	isSourceNear: () => false,
-	keptAt: () => undefined,
+	cachedTokensAt: () => undefined,
 	loading: new Set(),
 });
 
@@ -32,7 +32,7 @@
 	const request = requestOf('a1');
 	const chosen = shortlist(request, engines, 'zadar');
 	assert.equal(chosen.length, shortlistLength);
-	assert.deepEqual(chosen.slice(0, 2), homesOf(request.prompt!, 'shared', engines, 2));
+	assert.deepEqual(chosen.slice(0, 2), ownersOf(request.prompt!, 'shared', engines, 2));
 	assert.ok(chosen.filter(({dataCentre}) => dataCentre === 'zadar').length >= 7);
 });
 
--- a/src/decision/placement/shortlist.ts
+++ b/src/decision/placement/shortlist.ts
@@ -12,17 +12,17 @@
  */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {hashOf} from '../../shared/hash-of.js';
-import {homesOf} from './home-of.js';
+import {ownersOf} from './prompt-owners.js';
 import {type PlacementRequest} from './placement.js';
 
 /** Up to this many endpoints are all considered. */
 export const shortlistLength = 16;
 /** How many of them own the prompt's blocks. */
-const homes = 2;
+const ownerCount = 2;
 /** Owners, and endpoints of the instance's own data centre that are drawn up to this number in all. */
 const nearLength = 9;
 /** A draw that hits an endpoint already chosen is repeated; this bounds the draws for each endpoint wanted. */
-const drawsPerPlace = 4;
+const drawsPerEndpoint = 4;
 
 /**
  * Returns the endpoints to consider.
@@ -37,10 +37,10 @@
 		return [...endpoints];
 	}
 
-	const {id, prompt, cacheScope, tried} = request;
-	const chosen = new Set(prompt === undefined ? [] : homesOf(prompt, cacheScope, endpoints, homes));
+	const {id, prompt, cacheScope, attempted: attempted} = request;
+	const chosen = new Set(prompt === undefined ? [] : ownersOf(prompt, cacheScope, endpoints, ownerCount));
 	const near = endpoints.filter(endpoint => endpoint.dataCentre === dataCentre);
-	const seed = `${id}|${tried.size}|${sample}`;
+	const seed = `${id}|${attempted.size}|${sample}`;
 	draw(near, nearLength, chosen, `${seed}|near`);
 	draw(endpoints, shortlistLength, chosen, seed);
 	return [...chosen];
@@ -48,7 +48,7 @@
 
 /** Draws endpoints by the seed until there are enough, or the draws are used up. */
 function draw(endpoints: readonly EndpointRecord[], length: number, chosen: Set<EndpointRecord>, seed: string): void {
-	for (let count = 0; chosen.size < length && endpoints.length > 0 && count < drawsPerPlace * length; count++) {
+	for (let count = 0; chosen.size < length && endpoints.length > 0 && count < drawsPerEndpoint * length; count++) {
 		chosen.add(endpoints[hashOf(`${seed}|${count}`) % endpoints.length]!);
 	}
 }
--- a/src/decision/routing/choose-nearly-equal.ts
+++ b/src/decision/routing/choose-nearly-equal.ts
@@ -18,12 +18,12 @@
  * @returns The candidate; `undefined` without any.
  */
 export function chooseNearlyEqual<Estimate extends ScoredEndpoint>(estimates: readonly Estimate[], request: RouteRequest): Estimate | undefined {
-	let least = Number.POSITIVE_INFINITY;
+	let minimum = Number.POSITIVE_INFINITY;
 	for (const {score} of estimates) {
-		least = Math.min(least, score);
+		minimum = Math.min(minimum, score);
 	}
 
-	const limit = least + Math.max(nearlyEqualMilliseconds[request.priority], least * nearlyEqualShare);
+	const limit = minimum + Math.max(nearlyEqualMilliseconds[request.priority], minimum * nearlyEqualShare);
 	const key = request.pieceKeys[0] ?? request.requestId;
 	let best: Estimate | undefined;
 	let bestHash = -1;
--- a/src/decision/routing/endpoint-state.ts
+++ b/src/decision/routing/endpoint-history.ts
@@ -9,25 +9,25 @@
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
 /** Number of answers after which an endpoint can count as slow: with fewer, one unlucky prompt would decide. */
-const leastLatencySamples = 4;
+const minLatencySamples = 4;
 const latencyWeight = 0.2;
 /** Half-life of an endpoint's slowness while there are no new samples, so that it gets a probe now and then. */
-const forgivenessMilliseconds = 15_000;
-const mostSlowness = 8;
+const slownessHalfLifeMilliseconds = 15_000;
+const maxSlowness = 8;
 /** Shorter expected times are raised to this, since a ratio of two tiny times is meaningless. */
-const leastExpectedMilliseconds = 30;
+const minExpectedMilliseconds = 30;
 /** Half-life of the count of urgent sends: long enough for a few tens of samples, short enough for a night. */
-const urgentMemoryMilliseconds = 45_000;
+const urgentHalfLifeMilliseconds = 45_000;
 const firstCircuitMilliseconds = 1000;
-const longestCircuitMilliseconds = 30_000;
+const maxCircuitMilliseconds = 30_000;
 /** Reports whose clock differs by more than this are dated by their arrival. */
-const clockTrustMilliseconds = 10_000;
+const maxClockSkewMilliseconds = 10_000;
 
 type SentRequest = {at: number; tokens: number; rank: number; expected: number; fetched: number};
 
-export class EndpointState {
+export class EndpointHistory {
 	/** Number of this instance's requests in flight. */
-	underWay = 0;
+	inFlight = 0;
 	#urgentSends = 0;
 	#urgentSendsAt = 0;
 	readonly #sent = new Map<string, SentRequest>();
@@ -43,7 +43,7 @@
 	 */
 	sentSince(view: EndpointView, rank: number): {tokens: number; requests: number} {
 		const measuredAt = view.load?.measuredAt ?? 0;
-		const since = Math.abs(view.heardAt - measuredAt) < clockTrustMilliseconds ? measuredAt : view.heardAt;
+		const since = Math.abs(view.heardAt - measuredAt) < maxClockSkewMilliseconds ? measuredAt : view.heardAt;
 		let tokens = 0;
 		let requests = 0;
 		for (const sent of this.#sent.values()) {
@@ -58,27 +58,27 @@
 
 	/** How many times slower the endpoint is than its load explains; 1 if it is not. */
 	slownessAt(now: number, usualRatio: number): number {
-		if (this.#samples < leastLatencySamples) {
+		if (this.#samples < minLatencySamples) {
 			return 1;
 		}
 
-		const forgiven = 0.5 ** ((now - this.#sampledAt) / forgivenessMilliseconds);
-		const slowness = 1 + (((this.#latencyRatio / usualRatio) - 1) * forgiven);
-		return Math.min(mostSlowness, Math.max(1, slowness));
+		const decay = 0.5 ** ((now - this.#sampledAt) / slownessHalfLifeMilliseconds);
+		const slowness = 1 + (((this.#latencyRatio / usualRatio) - 1) * decay);
+		return Math.min(maxSlowness, Math.max(1, slowness));
 	}
 
 	/** Urgent requests that this instance sent there lately, decaying over time. */
 	urgentSendsAt(now: number): number {
-		return this.#urgentSends * (0.5 ** ((now - this.#urgentSendsAt) / urgentMemoryMilliseconds));
+		return this.#urgentSends * (0.5 ** ((now - this.#urgentSendsAt) / urgentHalfLifeMilliseconds));
 	}
 
 	/** Whether failures keep the circuit open. Each time that its open time is over, a request goes through as a probe. */
-	isOpen(now: number): boolean {
+	isCircuitOpen(now: number): boolean {
 		return now < this.#openUntil;
 	}
 
 	sent(request: RouteRequest, sent: SentRequest): void {
-		this.underWay++;
+		this.inFlight++;
 		if (sent.rank === 0) {
 			this.#urgentSends = this.urgentSendsAt(sent.at) + 1;
 			this.#urgentSendsAt = sent.at;
@@ -102,21 +102,21 @@
 			return 1;
 		}
 
-		const ratio = Math.max(leastExpectedMilliseconds, afterMilliseconds - sent.fetched) / Math.max(leastExpectedMilliseconds, sent.expected);
-		this.#latencyRatio += latencyWeight * (Math.min(ratio, 2 * mostSlowness) - this.#latencyRatio);
+		const ratio = Math.max(minExpectedMilliseconds, afterMilliseconds - sent.fetched) / Math.max(minExpectedMilliseconds, sent.expected);
+		this.#latencyRatio += latencyWeight * (Math.min(ratio, 2 * maxSlowness) - this.#latencyRatio);
 		this.#samples++;
 		this.#sampledAt = now;
 		return ratio;
 	}
 
 	ended(requestId: string, outcome: 'whole' | 'failed' | 'cancelled', now: number): void {
-		this.underWay--;
+		this.inFlight--;
 		this.#sent.delete(requestId);
 		if (outcome === 'whole') {
 			this.#failures = 0;
 		} else if (outcome === 'failed') {
 			this.#failures++;
-			this.#openUntil = now + Math.min(longestCircuitMilliseconds, firstCircuitMilliseconds * (2 ** (this.#failures - 1)));
+			this.#openUntil = now + Math.min(maxCircuitMilliseconds, firstCircuitMilliseconds * (2 ** (this.#failures - 1)));
 		}
 	}
 }
--- a/src/decision/routing/endpoint-index.ts
+++ b/src/decision/routing/endpoint-index.ts
@@ -7,7 +7,7 @@
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
 /** Up to this many endpoints of a service are all considered; deployments have 13 at most. */
-export const wholeViewEndpoints = 32;
+export const maxUnsampledEndpoints = 32;
 const sampledEndpoints = 16;
 const holderEndpoints = 8;
 
@@ -15,33 +15,33 @@
  * Positions of endpoints in the view. A load report replaces an endpoint in its position; only a change of the list moves
  * endpoints.
  */
-type Places = {length: number; byName: ReadonlyMap<string, number>; byService: ReadonlyMap<string, number[]>};
+type Positions = {length: number; byName: ReadonlyMap<string, number>; byService: ReadonlyMap<string, number[]>};
 
 export class EndpointIndex {
-	#places: Places = {length: -1, byName: new Map(), byService: new Map()};
+	#positions: Positions = {length: -1, byName: new Map(), byService: new Map()};
 
 	/** Returns the endpoints to consider for a request. */
-	candidatesFor(request: RouteRequest, endpoints: readonly EndpointView[], kept: ReadonlyMap<string, number>): readonly EndpointView[] {
-		const found = this.#look(request, endpoints, kept);
+	candidatesFor(request: RouteRequest, endpoints: readonly EndpointView[], cachedBlocks: ReadonlyMap<string, number>): readonly EndpointView[] {
+		const found = this.#lookUp(request, endpoints, cachedBlocks);
 		if (found !== undefined) {
 			return found;
 		}
 
-		this.#places = placesOf(endpoints);
-		return this.#look(request, endpoints, kept) ?? [];
+		this.#positions = positionsOf(endpoints);
+		return this.#lookUp(request, endpoints, cachedBlocks) ?? [];
 	}
 
 	/** Returns `undefined` if an endpoint is no longer at its known position. */
-	#look(request: RouteRequest, endpoints: readonly EndpointView[], kept: ReadonlyMap<string, number>): EndpointView[] | undefined {
-		const {length, byName, byService} = this.#places;
+	#lookUp(request: RouteRequest, endpoints: readonly EndpointView[], cachedBlocks: ReadonlyMap<string, number>): EndpointView[] | undefined {
+		const {length, byName, byService} = this.#positions;
 		if (length !== endpoints.length) {
 			return undefined;
 		}
 
 		const ofService = byService.get(request.service) ?? [];
-		const isSmall = ofService.length <= wholeViewEndpoints;
+		const isSmall = ofService.length <= maxUnsampledEndpoints;
 		const chosen = new Set<number>(isSmall ? ofService : sampleOf(ofService, request.requestId));
-		const holders = isSmall ? [] : mostOf(kept);
+		const holders = isSmall ? [] : topHolders(cachedBlocks);
 		for (const name of holders) {
 			const place = byName.get(name);
 			if (place !== undefined && endpoints[place]!.name !== name) {
@@ -67,31 +67,31 @@
 	}
 }
 
-function placesOf(endpoints: readonly EndpointView[]): Places {
+function positionsOf(endpoints: readonly EndpointView[]): Positions {
 	const byName = new Map<string, number>();
 	const byService = new Map<string, number[]>();
-	for (const [place, {name, service}] of endpoints.entries()) {
-		byName.set(name, place);
+	for (const [position, {name, service}] of endpoints.entries()) {
+		byName.set(name, position);
 		const ofService = byService.get(service);
 		if (ofService === undefined) {
-			byService.set(service, [place]);
+			byService.set(service, [position]);
 		} else {
-			ofService.push(place);
+			ofService.push(position);
 		}
 	}
 
 	return {length: endpoints.length, byName, byService};
 }
 
-function sampleOf(places: readonly number[], requestId: string): number[] {
+function sampleOf(positions: readonly number[], requestId: string): number[] {
 	const start = hashOf(requestId);
-	const step = Math.floor(places.length / sampledEndpoints);
-	return Array.from({length: sampledEndpoints}, (_, index) => places[(start + (index * step)) % places.length]!);
+	const step = Math.floor(positions.length / sampledEndpoints);
+	return Array.from({length: sampledEndpoints}, (_, index) => positions[(start + (index * step)) % positions.length]!);
 }
 
 /** Names of the holders of the most blocks. */
-function mostOf(kept: ReadonlyMap<string, number>): string[] {
-	return [...kept.entries()]
+function topHolders(cachedBlocks: ReadonlyMap<string, number>): string[] {
+	return [...cachedBlocks.entries()]
 		.toSorted((left, right) => right[1] - left[1])
 		.slice(0, holderEndpoints)
 		.map(([name]) => name);
--- a/src/decision/routing/expected-first-token-policy.test.ts
+++ b/src/decision/routing/expected-first-token-policy.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {KeptPrefixes} from '../kept/kept-prefixes.js';
+import {CachedPrefixes} from '../cache/cached-prefixes.js';
 import {ExpectedFirstTokenPolicy} from './expected-first-token-policy.js';
 import {LinkEstimate} from './link-estimate.js';
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
@@ -26,8 +26,8 @@
 	};
 }
 
-function policyWith(prefixes: KeptPrefixes): ExpectedFirstTokenPolicy {
-	return new ExpectedFirstTokenPolicy(prefixes, {dataCentre: 'centre-0', links: new Map([['store', new LinkEstimate(40)]]), pieceTokens});
+function policyWith(prefixes: CachedPrefixes): ExpectedFirstTokenPolicy {
+	return new ExpectedFirstTokenPolicy(prefixes, {dataCentre: 'centre-0', links: new Map([['store', new LinkEstimate(40)]]), blockTokens: pieceTokens});
 }
 
 function endpointOf(policy: ExpectedFirstTokenPolicy, request: RouteRequest, views: readonly EndpointView[], now = 1000): string {
@@ -36,9 +36,9 @@
 }
 
 test('a returning prompt goes where its prefix is cached, until the wait there is longer than a fetch', () => {
-	const prefixes = new KeptPrefixes();
-	prefixes.learn('engine-1', prefix);
-	prefixes.learn('store', prefix);
+	const prefixes = new CachedPrefixes();
+	prefixes.add('engine-1', prefix);
+	prefixes.add('store', prefix);
 	const policy = policyWith(prefixes);
 	assert.equal(endpointOf(policy, requestOf('a'), [viewOf('engine-0'), viewOf('engine-1')]), 'engine-1');
 	const busy = policy.choose(requestOf('b'), [viewOf('engine-0'), viewOf('engine-1', {waitingPrefillTokens: 40_000, runningRequests: 16, waitingRequests: 12})], 1000);
@@ -47,8 +47,8 @@
 });
 
 test('the cheaper of fetch and recompute is chosen: with a congested link the prefix is recomputed', () => {
-	const prefixes = new KeptPrefixes();
-	prefixes.learn('store', prefix);
+	const prefixes = new CachedPrefixes();
+	prefixes.add('store', prefix);
 	const policy = policyWith(prefixes);
 	const before = policy.choose(requestOf('a'), [viewOf('engine-0')], 1000);
 	assert.ok(before.kind === 'send' && before.fetch !== undefined);
@@ -65,7 +65,7 @@
 // Two hundred prompts arrive before the next load report, and all engines looked idle in the last one. An instance that
 // does not count what it sent since sends them all to the same engine.
 test('a stale report causes no herd, since what was sent after it counts', () => {
-	const policy = policyWith(new KeptPrefixes());
+	const policy = policyWith(new CachedPrefixes());
 	const views = ['engine-0', 'engine-1', 'engine-2', 'engine-3'].map(name => viewOf(name));
 	const sent = new Map<string, number>();
 	for (let index = 0; index < 200; index++) {
@@ -79,7 +79,7 @@
 });
 
 test('an endpoint that fails gets no requests for a time, unless every endpoint fails', () => {
-	const policy = policyWith(new KeptPrefixes());
+	const policy = policyWith(new CachedPrefixes());
 	const views = [viewOf('engine-0'), viewOf('engine-1')];
 	const request = requestOf('a');
 	policy.observe({kind: 'sent', endpoint: 'engine-0', request}, 1000);
@@ -94,7 +94,7 @@
 });
 
 test('among many endpoints, one without recent reports or leaving is never chosen', () => {
-	const policy = policyWith(new KeptPrefixes());
+	const policy = policyWith(new CachedPrefixes());
 	const views = Array.from({length: 200}, (_, index) => ({...viewOf(`engine-${index}`), ...(index % 2 === 0 ? {state: 'leaving' as const} : {})}));
 	for (let index = 0; index < 100; index++) {
 		const endpoint = endpointOf(policy, requestOf(`request-${index}`, {pieceKeys: []}), views);
--- a/src/decision/routing/expected-first-token-policy.ts
+++ b/src/decision/routing/expected-first-token-policy.ts
@@ -14,10 +14,10 @@
  */
 import {type PriorityClass} from '../../shared/types.js';
 import {spreadRetry} from '../limits/spread-retry.js';
-import {type KeptPrefixes} from '../kept/kept-prefixes.js';
+import {type CachedPrefixes} from '../cache/cached-prefixes.js';
 import {chooseNearlyEqual} from './choose-nearly-equal.js';
 import {EndpointIndex} from './endpoint-index.js';
-import {EndpointState} from './endpoint-state.js';
+import {EndpointHistory} from './endpoint-history.js';
 import {isCandidate} from './is-candidate.js';
 import {type LinkEstimate} from './link-estimate.js';
 import {
@@ -32,7 +32,7 @@
 	dataCentre: string;
 	/** The stores and their links, by name. */
 	links: ReadonlyMap<string, LinkEstimate>;
-	pieceTokens: number;
+	blockTokens: number;
 };
 
 /**
@@ -53,15 +53,15 @@
  * Non-urgent work counts that against an endpoint for each request that runs there, and urgent work avoids an endpoint
  * that prefills for others. Together the two rules separate long prefill from urgent questions without fixed roles.
  */
-const disturbedShare = 0.15;
+const decodeInterferenceShare = 0.15;
 const prefillingEndpointMilliseconds = 150;
 /**
  * Cost of a new block of non-urgent work at an endpoint where urgent work has its prefixes: it evicts one of them, which
  * then has to be fetched or recomputed. Scaled by the endpoint's share of the urgent work, up to three times the mean.
  * Work with a deadline weighs it less: if it avoids too many endpoints, it crowds the others and is late.
  */
-const evictedPieceMilliseconds: Record<PriorityClass, number> = {urgent: 0, normal: 200, overnight: 450};
-const mostUrgentShare = 3;
+const evictedBlockMilliseconds: Record<PriorityClass, number> = {urgent: 0, normal: 200, overnight: 450};
+const maxUrgentShare = 3;
 /** Time of one step of a busy batch that an arriving prompt waits out, on average half of a chunk. */
 const busyStepMilliseconds = 40;
 /** Cost of each running request: it slows the step a little and holds memory. */
@@ -78,37 +78,37 @@
  * What is known of a prefix: the blocks cached at the endpoint and in the best store, and the mean urgent sends to a
  * candidate.
  */
-type Known = {kept: number; store: {name: string; pieces: number} | undefined; meanUrgentSends: number};
+type PrefixKnowledge = {cached: number; store: {name: string; pieces: number} | undefined; meanUrgentSends: number};
 type Estimate = {endpoint: EndpointView; score: number; expected: number; prefillTokens: number; fetch?: FetchPlan};
 
 export class ExpectedFirstTokenPolicy implements RoutingPolicy {
-	readonly #prefixes: KeptPrefixes;
+	readonly #prefixes: CachedPrefixes;
 	readonly #settings: RoutingSettings;
 	readonly #index = new EndpointIndex();
-	readonly #states = new Map<string, EndpointState>();
+	readonly #histories = new Map<string, EndpointHistory>();
 	readonly #chosen = new Map<string, Estimate>();
 	readonly #sentAt = new Map<string, number>();
-	readonly #mix = [1, 1, 1];
+	readonly #classMix = [1, 1, 1];
 	#usualRatio = 1;
 	#serviceMilliseconds = defaultServiceMilliseconds;
 
-	constructor(prefixes: KeptPrefixes, settings: RoutingSettings) {
+	constructor(prefixes: CachedPrefixes, settings: RoutingSettings) {
 		this.#prefixes = prefixes;
 		this.#settings = settings;
 	}
 
 	choose(request: RouteRequest, endpoints: readonly EndpointView[], now: number): RouteChoice {
-		const kept = this.#prefixes.leadingPieces(request.pieceKeys);
-		const sampled = this.#index.candidatesFor(request, endpoints, kept).filter(endpoint => isCandidate(endpoint, request, now));
+		const cachedBlocks = this.#prefixes.leadingBlocks(request.pieceKeys);
+		const sampled = this.#index.candidatesFor(request, endpoints, cachedBlocks).filter(endpoint => isCandidate(endpoint, request, now));
 		// A sample may contain only leaving endpoints while others are live; the request would be refused for no reason.
-		const inView = sampled.length === 0 ? endpoints.filter(endpoint => isCandidate(endpoint, request, now)) : sampled;
-		const closed = inView.filter(endpoint => !this.#stateOf(endpoint.name).isOpen(now));
+		const considered = sampled.length === 0 ? endpoints.filter(endpoint => isCandidate(endpoint, request, now)) : sampled;
+		const healthy = considered.filter(endpoint => !this.#historyOf(endpoint.name).isCircuitOpen(now));
 		// If every circuit is open, all endpoints are tried; otherwise the circuit breakers would turn a short outage
 		// into refusals.
-		const candidates = closed.length === 0 ? inView : closed;
-		const store = this.#bestStore(kept);
+		const candidates = healthy.length === 0 ? considered : healthy;
+		const store = this.#bestStore(cachedBlocks);
 		const meanUrgentSends = this.#meanUrgentSends(request, candidates, now);
-		const estimates = candidates.map(endpoint => this.#estimate(request, endpoint, {kept: kept.get(endpoint.name) ?? 0, store, meanUrgentSends}, now));
+		const estimates = candidates.map(endpoint => this.#estimate(request, endpoint, {cached: cachedBlocks.get(endpoint.name) ?? 0, store, meanUrgentSends}, now));
 		const best = chooseNearlyEqual(estimates, request);
 		if (best === undefined) {
 			return {kind: 'none', retryAfterMilliseconds: spreadRetry(noEndpointRetryMilliseconds, request.requestId)};
@@ -120,49 +120,49 @@
 	}
 
 	observe(event: AttemptEvent, now: number): void {
-		const state = this.#stateOf(event.endpoint);
+		const history = this.#historyOf(event.endpoint);
 		switch (event.kind) {
 			case 'sent': {
-				this.#sent(event.request, state, now);
+				this.#sent(event.request, history, now);
 				break;
 			}
 
 			case 'fetched': {
 				this.#settings.links.get(event.store)?.observe(event.pieces, event.linkMilliseconds, now);
-				this.#prefixes.forget(event.store, event.pieceKeys.slice(event.pieces));
-				this.#prefixes.learn(event.endpoint, event.pieceKeys.slice(0, event.pieces));
-				state.fetched(event.requestId, event.afterMilliseconds);
+				this.#prefixes.remove(event.store, event.pieceKeys.slice(event.pieces));
+				this.#prefixes.add(event.endpoint, event.pieceKeys.slice(0, event.pieces));
+				history.fetched(event.requestId, event.afterMilliseconds);
 				break;
 			}
 
 			case 'first-token': {
-				this.#prefixes.learn(event.endpoint, event.request.pieceKeys);
-				const ratio = state.firstToken(event.request.requestId, event.afterMilliseconds, now);
+				this.#prefixes.add(event.endpoint, event.request.pieceKeys);
+				const ratio = history.firstToken(event.request.requestId, event.afterMilliseconds, now);
 				this.#usualRatio += usualRatioWeight * (Math.min(ratio, 4) - this.#usualRatio);
 				break;
 			}
 
 			case 'ended': {
-				state.ended(event.request.requestId, event.outcome, now);
+				history.ended(event.request.requestId, event.outcome, now);
 				this.#ended(event, now);
 				break;
 			}
 		}
 	}
 
-	#sent(request: RouteRequest, state: EndpointState, now: number): void {
+	#sent(request: RouteRequest, history: EndpointHistory, now: number): void {
 		const estimate = this.#chosen.get(request.requestId);
 		this.#chosen.delete(request.requestId);
 		const rank = rankOf[request.priority];
 		const tokens = estimate?.prefillTokens ?? request.promptTokens;
-		state.sent(request, {
+		history.sent(request, {
 			at: now, tokens, rank, expected: estimate?.expected ?? 0, fetched: 0,
 		});
 		this.#sentAt.set(request.requestId, now);
-		this.#mix[rank]! += tokens;
-		if (this.#mix.reduce((sum, part) => sum + part, 0) > mixMemoryTokens) {
-			for (const index of this.#mix.keys()) {
-				this.#mix[index]! /= 2;
+		this.#classMix[rank]! += tokens;
+		if (this.#classMix.reduce((sum, part) => sum + part, 0) > mixMemoryTokens) {
+			for (const index of this.#classMix.keys()) {
+				this.#classMix[index]! /= 2;
 			}
 		}
 	}
@@ -173,66 +173,66 @@
 		this.#sentAt.delete(request.requestId);
 		if (outcome === 'whole') {
 			this.#serviceMilliseconds += serviceTimeWeight * (now - (sentAt ?? now) - this.#serviceMilliseconds);
-			this.#prefixes.learn(endpoint, request.pieceKeys);
+			this.#prefixes.add(endpoint, request.pieceKeys);
 		} else if (outcome === 'failed' && cachedTokens === 0) {
 			// A crashed engine restarts with an empty cache. If its blocks still counted as cached, its prompts would be
 			// sent there.
-			this.#prefixes.forget(endpoint, request.pieceKeys);
+			this.#prefixes.remove(endpoint, request.pieceKeys);
 		}
 	}
 
-	#estimate(request: RouteRequest, endpoint: EndpointView, known: Known, now: number): Estimate {
-		const {pieceTokens} = this.#settings;
+	#estimate(request: RouteRequest, endpoint: EndpointView, known: PrefixKnowledge, now: number): Estimate {
+		const {blockTokens: blockTokens} = this.#settings;
 		const rate = Math.max(1, endpoint.load?.prefillTokensPerSecond ?? 1000);
-		const slowness = this.#stateOf(endpoint.name).slownessAt(now, this.#usualRatio);
+		const slowness = this.#historyOf(endpoint.name).slownessAt(now, this.#usualRatio);
 		const wait = this.#waitAt(request, endpoint, rate, now) * slowness;
 		const fixed = (endpoint.dataCentre === this.#settings.dataCentre ? 0 : otherDataCentreMilliseconds)
 			+ (endpoint.weightVersion === request.weightVersion ? 0 : otherVersionMilliseconds);
 		const eviction = this.#evictionCost(request, endpoint, known, now);
 		const option = (pieces: number, fetchMilliseconds: number, linkMilliseconds: number): Estimate => {
-			const prefillTokens = Math.max(1, request.promptTokens - (pieces * pieceTokens));
+			const prefillTokens = Math.max(1, request.promptTokens - (pieces * blockTokens));
 			const prefill = 1000 * prefillTokens / rate * slowness;
 			const expected = Math.max(wait, fetchMilliseconds) + prefill + fixed;
 			const score = (latencyWeight[request.priority] * expected)
 				+ (recomputeWeight[request.priority] * prefill)
 				+ (linkWeight[request.priority] * linkMilliseconds)
-				+ this.#disturbance(request, endpoint, prefill)
+				+ this.#interferenceCost(request, endpoint, prefill)
 				+ eviction;
 			return {
 				endpoint, score, expected: wait + prefill + fixed, prefillTokens,
 			};
 		};
 
-		const recompute = option(known.kept, 0, 0);
+		const recompute = option(known.cached, 0, 0);
 		const {store} = known;
-		if (store === undefined || store.pieces <= known.kept) {
+		if (store === undefined || store.pieces <= known.cached) {
 			return recompute;
 		}
 
 		const link = this.#settings.links.get(store.name)!;
-		const pieces = store.pieces - known.kept;
+		const pieces = store.pieces - known.cached;
 		const fetched = option(store.pieces, link.fetchMilliseconds(pieces, now), pieces * link.idleMilliseconds);
 		return fetched.score >= recompute.score
 			? recompute
-			: {...fetched, fetch: {store: store.name, pieceKeys: request.pieceKeys.slice(known.kept, store.pieces)}};
+			: {...fetched, fetch: {store: store.name, pieceKeys: request.pieceKeys.slice(known.cached, store.pieces)}};
 	}
 
-	#disturbance(request: RouteRequest, {load}: EndpointView, prefillMilliseconds: number): number {
+	#interferenceCost(request: RouteRequest, {load}: EndpointView, prefillMilliseconds: number): number {
 		if (request.priority === 'urgent') {
-			return (load?.waitingPrefillTokens ?? 0) > this.#settings.pieceTokens ? prefillingEndpointMilliseconds : 0;
+			return (load?.waitingPrefillTokens ?? 0) > this.#settings.blockTokens ? prefillingEndpointMilliseconds : 0;
 		}
 
-		return disturbedShare * prefillMilliseconds * (load?.runningRequests ?? 0);
+		return decodeInterferenceShare * prefillMilliseconds * (load?.runningRequests ?? 0);
 	}
 
 	/** Cost of the blocks that non-urgent work would evict, by how much urgent work has its prefixes at the endpoint. */
-	#evictionCost({priority, pieceKeys}: RouteRequest, endpoint: EndpointView, {kept, meanUrgentSends}: Known, now: number): number {
+	#evictionCost({priority, pieceKeys}: RouteRequest, endpoint: EndpointView, {cached: cached, meanUrgentSends}: PrefixKnowledge, now: number): number {
 		if (priority === 'urgent' || meanUrgentSends === 0) {
 			return 0;
 		}
 
-		const share = Math.min(mostUrgentShare, this.#stateOf(endpoint.name).urgentSendsAt(now) / meanUrgentSends);
-		return (pieceKeys.length - kept) * evictedPieceMilliseconds[priority] * share;
+		const share = Math.min(maxUrgentShare, this.#historyOf(endpoint.name).urgentSendsAt(now) / meanUrgentSends);
+		return (pieceKeys.length - cached) * evictedBlockMilliseconds[priority] * share;
 	}
 
 	#meanUrgentSends({priority}: RouteRequest, candidates: readonly EndpointView[], now: number): number {
@@ -242,7 +242,7 @@
 
 		let sends = 0;
 		for (const {name} of candidates) {
-			sends += this.#stateOf(name).urgentSendsAt(now);
+			sends += this.#historyOf(name).urgentSendsAt(now);
 		}
 
 		return sends / Math.max(1, candidates.length);
@@ -252,13 +252,13 @@
 	#waitAt(request: RouteRequest, endpoint: EndpointView, rate: number, now: number): number {
 		const {load} = endpoint;
 		if (load === undefined) {
-			return this.#stateOf(endpoint.name).underWay * defaultServiceMilliseconds;
+			return this.#historyOf(endpoint.name).inFlight * defaultServiceMilliseconds;
 		}
 
 		const rank = rankOf[request.priority];
-		const since = this.#stateOf(endpoint.name).sentSince(endpoint, rank);
-		const mixTotal = this.#mix.reduce((sum, part) => sum + part, 0);
-		const before = this.#mix.slice(0, rank + 1).reduce((sum, part) => sum + part, 0) / mixTotal;
+		const since = this.#historyOf(endpoint.name).sentSince(endpoint, rank);
+		const mixTotal = this.#classMix.reduce((sum, part) => sum + part, 0);
+		const before = this.#classMix.slice(0, rank + 1).reduce((sum, part) => sum + part, 0) / mixTotal;
 		const drained = Math.max(0, now - endpoint.heardAt) * rate / 1000;
 		const backlog = Math.max(0, (load.waitingPrefillTokens * before) - (drained * before)) + since.tokens;
 		const over = load.runningRequests + load.waitingRequests + since.requests - load.batchLimit;
@@ -267,10 +267,10 @@
 		return Math.max(1000 * backlog / rate, slot) + busy + (load.runningRequests * runningMilliseconds);
 	}
 
-	#bestStore(kept: ReadonlyMap<string, number>): {name: string; pieces: number} | undefined {
+	#bestStore(cachedBlocks: ReadonlyMap<string, number>): {name: string; pieces: number} | undefined {
 		let best: {name: string; pieces: number} | undefined;
 		for (const name of this.#settings.links.keys()) {
-			const pieces = kept.get(name) ?? 0;
+			const pieces = cachedBlocks.get(name) ?? 0;
 			if (pieces > (best?.pieces ?? 0)) {
 				best = {name, pieces};
 			}
@@ -279,13 +279,13 @@
 		return best;
 	}
 
-	#stateOf(name: string): EndpointState {
-		let state = this.#states.get(name);
-		if (state === undefined) {
-			state = new EndpointState();
-			this.#states.set(name, state);
+	#historyOf(name: string): EndpointHistory {
+		let history = this.#histories.get(name);
+		if (history === undefined) {
+			history = new EndpointHistory();
+			this.#histories.set(name, history);
 		}
 
-		return state;
+		return history;
 	}
 }
--- a/src/decision/routing/is-candidate.ts
+++ b/src/decision/routing/is-candidate.ts
@@ -1,7 +1,7 @@
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
 /** An endpoint that has sent nothing for this long counts as leaving: about three of its load reports are missing. */
-export const silenceLimitMilliseconds = 3000;
+export const unresponsiveAfterMilliseconds = 3000;
 
 /**
  * Decides whether an endpoint may get a request at all.
@@ -15,6 +15,6 @@
 export function isCandidate(endpoint: EndpointView, request: RouteRequest, now: number): boolean {
 	return endpoint.service === request.service
 		&& endpoint.state === 'live'
-		&& now - endpoint.heardAt <= silenceLimitMilliseconds
+		&& now - endpoint.heardAt <= unresponsiveAfterMilliseconds
 		&& !request.avoid.includes(endpoint.name);
 }
--- a/src/decision/routing/least-loaded-policy.ts
+++ b/src/decision/routing/least-loaded-policy.ts
@@ -11,7 +11,7 @@
 
 export class LeastLoadedPolicy implements RoutingPolicy {
 	/** This instance's requests in flight, by endpoint. */
-	readonly #underWay = new Map<string, number>();
+	readonly #inFlight = new Map<string, number>();
 
 	choose(request: RouteRequest, endpoints: readonly EndpointView[], now: number): RouteChoice {
 		const candidates = endpoints
@@ -27,13 +27,13 @@
 		const change = {
 			sent: 1, 'first-token': 0, ended: -1, fetched: 0,
 		}[event.kind];
-		this.#underWay.set(event.endpoint, (this.#underWay.get(event.endpoint) ?? 0) + change);
+		this.#inFlight.set(event.endpoint, (this.#inFlight.get(event.endpoint) ?? 0) + change);
 	}
 
 	#rank(endpoint: EndpointView, request: RouteRequest): number {
 		const {load} = endpoint;
 		const reported = load === undefined ? 0 : load.runningRequests + load.waitingRequests;
 		const otherVersion = endpoint.weightVersion === request.weightVersion ? 0 : 1000;
-		return otherVersion + Math.max(reported, this.#underWay.get(endpoint.name) ?? 0);
+		return otherVersion + Math.max(reported, this.#inFlight.get(endpoint.name) ?? 0);
 	}
 }
--- a/src/decision/routing/link-estimate.ts
+++ b/src/decision/routing/link-estimate.ts
@@ -7,42 +7,42 @@
  */
 
 /** Time over which the congestion seen by the last fetches decays: a few fetches' time. */
-const memoryMilliseconds = 2000;
+const decayMilliseconds = 2000;
 const sampleWeight = 0.5;
 
 export class LinkEstimate {
 	/** Time that a block takes on an idle link. */
 	readonly idleMilliseconds: number;
 	#extra = 0;
-	#extraAt = 0;
+	#sampledAt = 0;
 
 	constructor(idleMilliseconds: number) {
 		this.idleMilliseconds = idleMilliseconds;
 	}
 
 	/** Expected time to fetch this many blocks, in milliseconds. */
-	fetchMilliseconds(pieces: number, now: number): number {
-		return pieces * (this.idleMilliseconds + this.#extraAtTime(now));
+	fetchMilliseconds(blocks: number, now: number): number {
+		return blocks * (this.idleMilliseconds + this.#decayedExtra(now));
 	}
 
 	/** How many times longer a block takes than on an idle link; 1 when it is idle. */
 	slownessAt(now: number): number {
-		return 1 + (this.#extraAtTime(now) / this.idleMilliseconds);
+		return 1 + (this.#decayedExtra(now) / this.idleMilliseconds);
 	}
 
 	/** Adds the sample of a fetch that has ended. Its own pauses between blocks do not count. */
-	observe(pieces: number, linkMilliseconds: number, now: number): void {
-		if (pieces === 0) {
+	observe(blocks: number, linkMilliseconds: number, now: number): void {
+		if (blocks === 0) {
 			return;
 		}
 
-		const extra = Math.max(0, (linkMilliseconds / pieces) - this.idleMilliseconds);
-		const before = this.#extraAtTime(now);
+		const extra = Math.max(0, (linkMilliseconds / blocks) - this.idleMilliseconds);
+		const before = this.#decayedExtra(now);
 		this.#extra = before + (sampleWeight * (extra - before));
-		this.#extraAt = now;
+		this.#sampledAt = now;
 	}
 
-	#extraAtTime(now: number): number {
-		return this.#extra * Math.exp(-(now - this.#extraAt) / memoryMilliseconds);
+	#decayedExtra(now: number): number {
+		return this.#extra * Math.exp(-(now - this.#sampledAt) / decayMilliseconds);
 	}
 }
--- a/src/decision/routing/sticky-policy.ts
+++ b/src/decision/routing/sticky-policy.ts
@@ -3,7 +3,7 @@
  * fetched from a store that has them. It reuses caches well, but a hot prefix overloads one endpoint.
  */
 import {hashOf} from '../../shared/hash-of.js';
-import {type KeptPrefixes} from '../kept/kept-prefixes.js';
+import {type CachedPrefixes} from '../cache/cached-prefixes.js';
 import {isCandidate} from './is-candidate.js';
 import {
 	type AttemptEvent, type EndpointView, type RouteChoice, type RouteRequest, type RoutingPolicy,
@@ -12,10 +12,10 @@
 const noEndpointRetryMilliseconds = 2000;
 
 export class StickyPolicy implements RoutingPolicy {
-	readonly #prefixes: KeptPrefixes;
+	readonly #prefixes: CachedPrefixes;
 	readonly #stores: readonly string[];
 
-	constructor(prefixes: KeptPrefixes, stores: readonly string[]) {
+	constructor(prefixes: CachedPrefixes, stores: readonly string[]) {
 		this.#prefixes = prefixes;
 		this.#stores = stores;
 	}
@@ -30,7 +30,7 @@
 			return {kind: 'none', retryAfterMilliseconds: noEndpointRetryMilliseconds};
 		}
 
-		const counts = this.#prefixes.leadingPieces(request.pieceKeys);
+		const counts = this.#prefixes.leadingBlocks(request.pieceKeys);
 		const here = counts.get(endpoint.name) ?? 0;
 		const store = this.#stores.find(name => (counts.get(name) ?? 0) > here);
 		return store === undefined
@@ -40,9 +40,9 @@
 
 	observe(event: AttemptEvent): void {
 		if (event.kind === 'first-token') {
-			this.#prefixes.learn(event.endpoint, event.request.pieceKeys);
+			this.#prefixes.add(event.endpoint, event.request.pieceKeys);
 		} else if (event.kind === 'fetched') {
-			this.#prefixes.forget(event.store, event.pieceKeys.slice(event.pieces));
+			this.#prefixes.remove(event.store, event.pieceKeys.slice(event.pieces));
 		}
 	}
 }
--- a/src/decision/testing/reading-engines.ts
+++ b/src/decision/testing/simulated-engines.ts
@@ -7,13 +7,13 @@
 import {noLoad} from '../placement/endpoint-load.js';
 import {type PlacementRequest} from '../placement/placement.js';
 
-type UnderWay = {endsAt: number; request: PlacementRequest; endpoint: EndpointRecord};
+type InFlightPrompt = {endsAt: number; request: PlacementRequest; endpoint: EndpointRecord};
 
-export class ReadingEngines {
+export class SimulatedEngines {
 	readonly #policy: CostPlacement;
 	readonly #engines: readonly EndpointRecord[];
 	readonly #freeAt = new Map<string, number>();
-	#underWay: UnderWay[] = [];
+	#inFlight: InFlightPrompt[] = [];
 
 	/**
 	 * @param dataCentre - Data centre of the instance.
@@ -45,12 +45,12 @@
 		}, now);
 		const endsAt = Math.max(now, this.#freeAt.get(endpoint.name) ?? 0) + workAt(endpoint);
 		this.#freeAt.set(endpoint.name, endsAt);
-		this.#underWay.push({endsAt, request, endpoint});
+		this.#inFlight.push({endsAt, request, endpoint});
 		return endsAt - now;
 	}
 
 	#finish(now: number): void {
-		for (const {endsAt, request, endpoint} of this.#underWay.filter(({endsAt: at}) => at <= now)) {
+		for (const {endsAt, request, endpoint} of this.#inFlight.filter(({endsAt: at}) => at <= now)) {
 			this.#policy.observe({
 				kind: 'answered', request, endpoint, load: undefined,
 			}, endsAt);
@@ -59,6 +59,6 @@
 			}, endsAt);
 		}
 
-		this.#underWay = this.#underWay.filter(({endsAt}) => endsAt > now);
+		this.#inFlight = this.#inFlight.filter(({endsAt}) => endsAt > now);
 	}
 }
--- a/src/decision/testing/test-prompt-request.ts
+++ b/src/decision/testing/test-prompt-request.ts
@@ -14,12 +14,12 @@
 		engine: {
 			slots: 12, capacityTokens: 75_000, bytesPerToken: 327_680, linkMegabitsPerSecond: 260_000, models: ['lease'],
 		},
-		tried: new Set(),
+		attempted: new Set(),
 		wantedVersion: undefined,
 		olderWeightsUntil: () => Number.POSITIVE_INFINITY,
 		fetchableUnder: () => [],
 		isSourceNear: () => true,
-		keptAt: () => [0],
+		cachedTokensAt: () => [0],
 		loading: new Set(),
 		...changes,
 	};
--- a/src/decision/weights/plan-roll.ts
+++ b/src/decision/weights/plan-rollout.ts
@@ -15,9 +15,9 @@
 
 /** Share of the engines that may load at once; loads slow each other if more than about that share does. */
 const loadingShare = 0.25;
-const leastLoading = 2;
+const minLoading = 2;
 /** Share of the engines that may load at once if time is short; the others carry the traffic. */
-const mostLoadingShare = 0.5;
+const maxLoadingShare = 0.5;
 
 /** An engine that was sent an order and has not reported the weights yet. */
 export type LoadingEngine = {
@@ -27,7 +27,7 @@
 };
 
 /** Target of a rollout. */
-export type RollGoal = {
+export type RolloutTarget = {
 	model: string;
 	version: number;
 	/** When all engines should be done, in milliseconds of the steady clock. */
@@ -37,7 +37,7 @@
 };
 
 /** An order counts as lost if the engine shows no sign of it for this long, in which runs finish and weights load. */
-export const loadPatienceMilliseconds = 12_000;
+export const loadTimeoutMilliseconds = 12_000;
 
 /**
  * Chooses the engines that get an order now.
@@ -48,25 +48,25 @@
  * @param now - Milliseconds of the steady clock.
  * @returns Engines, those with the oldest weights first.
  */
-export function planRoll(engines: readonly EndpointRecord[], goal: RollGoal, loading: readonly LoadingEngine[], now: number): EndpointRecord[] {
+export function planRollout(engines: readonly EndpointRecord[], goal: RolloutTarget, loading: readonly LoadingEngine[], now: number): EndpointRecord[] {
 	const versionOf = ({weightVersions}: EndpointRecord): number => weightVersions.get(goal.model) ?? 0;
-	const underWay = new Set(loading.filter(({since}) => now - since < loadPatienceMilliseconds).map(({name}) => name));
-	const behind = engines.filter(engine => engine.weightVersions.has(goal.model) && versionOf(engine) < goal.version);
-	const needed = Math.min(Math.floor(engines.length * mostLoadingShare), Math.ceil(behind.length / roundsLeft(goal, now)));
-	const most = Math.max(usualLoading(engines.length), needed);
-	const room = most - behind.filter(({name}) => underWay.has(name)).length;
-	return behind
-		.filter(({name}) => !underWay.has(name))
+	const loadingNames = new Set(loading.filter(({since}) => now - since < loadTimeoutMilliseconds).map(({name}) => name));
+	const outdated = engines.filter(engine => engine.weightVersions.has(goal.model) && versionOf(engine) < goal.version);
+	const needed = Math.min(Math.floor(engines.length * maxLoadingShare), Math.ceil(outdated.length / remainingRounds(goal, now)));
+	const maxLoading = Math.max(usualLoadCount(engines.length), needed);
+	const room = maxLoading - outdated.filter(({name}) => loadingNames.has(name)).length;
+	return outdated
+		.filter(({name}) => !loadingNames.has(name))
 		.toSorted((one, other) => versionOf(one) - versionOf(other) || (one.name < other.name ? -1 : 1))
 		.slice(0, Math.max(0, room));
 }
 
 /** How many of this many engines load at a time if there is enough time; loads slow each other if more do. */
-export function usualLoading(engines: number): number {
-	return engines < leastLoading + 1 ? 1 : Math.max(leastLoading, Math.floor(engines * loadingShare));
+export function usualLoadCount(engines: number): number {
+	return engines < minLoading + 1 ? 1 : Math.max(minLoading, Math.floor(engines * loadingShare));
 }
 
 /** How many loads, one after the other, fit into the remaining time; at least one. */
-function roundsLeft({dueAt, loadMilliseconds}: RollGoal, now: number): number {
+function remainingRounds({dueAt, loadMilliseconds}: RolloutTarget, now: number): number {
 	return Math.max(1, Math.floor((dueAt - now) / loadMilliseconds));
 }
--- a/src/entry/callers/completion-attempt.ts
+++ b/src/entry/callers/completion-attempt.ts
@@ -1,6 +1,6 @@
 /** One attempt at a prompt, at one endpoint. */
 import {type Either} from 'purify-ts/Either';
-import {silenceLimitMilliseconds} from '../../decision/routing/is-candidate.js';
+import {unresponsiveAfterMilliseconds} from '../../decision/routing/is-candidate.js';
 import {type EndpointView, type RouteRequest, type RoutingPolicy} from '../../decision/routing/routing-policy.js';
 import {type EngineCall, type EngineEvent, type EngineFailure} from '../../ports/model-engine.js';
 import {relayEvent, type RelayState} from '../../protocol/stream/stream-relay.js';
@@ -178,7 +178,7 @@
 	#silenceLimit(): number {
 		const {endpoint, route} = this.#plan;
 		const known = this.#context.endpoints.engines().find(({name}) => name === endpoint.name);
-		const isHeard = known !== undefined && this.#context.clock.now() - known.heardAt <= silenceLimitMilliseconds;
+		const isHeard = known !== undefined && this.#context.clock.now() - known.heardAt <= unresponsiveAfterMilliseconds;
 		if (!isHeard) {
 			return unheardSilenceMilliseconds;
 		}
--- a/src/entry/callers/completion-runner.ts
+++ b/src/entry/callers/completion-runner.ts
@@ -78,7 +78,7 @@
 			}
 
 			if (count === 0) {
-				this.#repeats.attempted(route.workspace, choice.endpoint.name);
+				this.#repeats.countAttempt(route.workspace, choice.endpoint.name);
 			}
 
 			const attempt = new CompletionAttempt(this.#parts, plan, beginAttempt(progress.relay));
@@ -92,7 +92,7 @@
 			}
 
 			progress = this.#next(progress, {outcome, relay, endpoint: choice.endpoint.name});
-			if (outcome.avoid && !this.#repeats.takeRepeat(route.workspace, choice.endpoint.name)) {
+			if (outcome.avoid && !this.#repeats.takeRetry(route.workspace, choice.endpoint.name)) {
 				break;
 			}
 		}
--- a/src/entry/capacity-feed.ts
+++ b/src/entry/capacity-feed.ts
@@ -22,8 +22,8 @@
 		const now = clock.now();
 		const views = endpoints.engines();
 		for (const service of new Set(views.map(view => view.service))) {
-			const capacity = this.#windowOf(service).takeReports(views, {
-				underWay: this.#gate.underWay(service),
+			const capacity = this.#windowOf(service).applyReports(views, {
+				inFlight: this.#gate.underWay(service),
 				instances: endpoints.entryCount,
 				linkSlowness: 1,
 				dither: hashOf(`${settings.instance}|${service}|${now}`) / hashRange,
--- a/src/entry/endpoint-directory.ts
+++ b/src/entry/endpoint-directory.ts
@@ -1,5 +1,5 @@
 /** What this instance knows of the endpoints: the platform's list, corrected by what each endpoint says of itself. */
-import {silenceLimitMilliseconds} from '../decision/routing/is-candidate.js';
+import {unresponsiveAfterMilliseconds} from '../decision/routing/is-candidate.js';
 import {type EndpointView} from '../decision/routing/routing-policy.js';
 import {type LoadReport} from '../ports/model-engine.js';
 import {type ListedInstance} from '../shared/types.js';
@@ -65,7 +65,7 @@
 		const nearFirst = (endpoint: PlainEndpoint): number => endpoint.dataCentre === dataCentre ? 0 : 1;
 		return this.plainEndpoints()
 			.filter(endpoint => endpoint.service === service && endpoint.state === 'live')
-			.filter(({heardAt}) => heardAt === 0 || now - heardAt <= silenceLimitMilliseconds)
+			.filter(({heardAt}) => heardAt === 0 || now - heardAt <= unresponsiveAfterMilliseconds)
 			.toSorted((left, right) => nearFirst(left) - nearFirst(right));
 	}
 
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -10,7 +10,7 @@
 import {HttpTableService} from '../adapters/http-table-service.js';
 import {systemClock} from '../adapters/system-clock.js';
 import {FairShareAdmission} from '../decision/admission/fair-share-admission.js';
-import {KeptPrefixes} from '../decision/kept/kept-prefixes.js';
+import {CachedPrefixes} from '../decision/cache/cached-prefixes.js';
 import {ExpectedFirstTokenPolicy} from '../decision/routing/expected-first-token-policy.js';
 import {type LinkEstimate} from '../decision/routing/link-estimate.js';
 import {createLogger} from '../observability/logger.js';
@@ -55,7 +55,7 @@
 
 export class EntryDaemon {
 	readonly #context: EntryContext;
-	readonly #prefixes = new KeptPrefixes();
+	readonly #prefixes = new CachedPrefixes();
 	readonly #neverTwice: NeverTwiceRunner;
 	readonly #callers: HttpListener;
 	readonly #operators: HttpListener;
@@ -103,7 +103,7 @@
 		this.#kept = new StoreKeptContext(this.#context, {
 			prefixes: this.#prefixes, stores, reader: this.#reader, saver: this.#saver, links,
 		});
-		const policy = new ExpectedFirstTokenPolicy(this.#prefixes, {dataCentre: settings.dataCentre, links, pieceTokens});
+		const policy = new ExpectedFirstTokenPolicy(this.#prefixes, {dataCentre: settings.dataCentre, links, blockTokens: pieceTokens});
 		const routes = new CallerRoutes(this.#context, {
 			gate,
 			runner: new CompletionRunner(this.#context, new FirstTokenRelay(policy, gate), this.#kept),
--- a/src/entry/kept/cache-event-reader.ts
+++ b/src/entry/kept/cache-event-reader.ts
@@ -3,7 +3,7 @@
  * a prompt is about to rely on at once. Events that come late or not at all make a belief wrong; the answers correct it.
  */
 import {blockCharacters, charactersPerToken} from '../../cache/block-keys.js';
-import {type KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
+import {type CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type EndpointView} from '../../decision/routing/routing-policy.js';
 import {type EntryContext} from '../entry-context.js';
 
@@ -26,10 +26,10 @@
 
 export class CacheEventReader {
 	readonly #context: EntryContext;
-	readonly #prefixes: KeptPrefixes;
+	readonly #prefixes: CachedPrefixes;
 	readonly #readings = new Map<string, Reading>();
 
-	constructor(context: EntryContext, prefixes: KeptPrefixes) {
+	constructor(context: EntryContext, prefixes: CachedPrefixes) {
 		this.#context = context;
 		this.#prefixes = prefixes;
 	}
@@ -40,7 +40,7 @@
 		const names = new Set(engines.map(({name}) => name));
 		for (const name of [...this.#readings.keys()].filter(known => !names.has(known))) {
 			this.#readings.delete(name);
-			this.#prefixes.forgetHolder(name);
+			this.#prefixes.removeHolder(name);
 		}
 
 		await Promise.all(engines.map(async engine => this.#read(engine)));
@@ -58,7 +58,7 @@
 	 */
 	async confirm(pieceKeys: readonly string[]): Promise<void> {
 		const {clock, endpoints} = this.#context;
-		const believed = this.#prefixes.leadingPieces(pieceKeys);
+		const believed = this.#prefixes.leadingBlocks(pieceKeys);
 		const now = clock.now();
 		const toAsk = endpoints.engines().filter(({name}) => believed.has(name) && this.#isWorthAsking(name, now));
 		if (toAsk.length === 0) {
@@ -106,7 +106,7 @@
 		reading.hasFailed = events.isLeft();
 		events.ifRight(found => {
 			reading.answeredAt = clock.now();
-			this.#prefixes.takeEvents(name, found);
+			this.#prefixes.applyEvents(name, found);
 		});
 	}
 
@@ -115,7 +115,7 @@
 		let reading = this.#readings.get(name);
 		if (reading?.address !== address) {
 			if (reading !== undefined) {
-				this.#prefixes.forgetHolder(name);
+				this.#prefixes.removeHolder(name);
 			}
 
 			reading = {
@@ -125,7 +125,7 @@
 		}
 
 		if (load !== undefined && load.kvTokensCapacity > 0) {
-			this.#prefixes.setRoom(name, Math.max(1, Math.floor(load.kvTokensCapacity / pieceTokens)));
+			this.#prefixes.setCapacity(name, Math.max(1, Math.floor(load.kvTokensCapacity / pieceTokens)));
 		}
 
 		return reading;
--- a/src/entry/kept/kept-context.test.ts
+++ b/src/entry/kept/kept-context.test.ts
@@ -6,7 +6,7 @@
 import {HttpCacheStore} from '../../adapters/http-cache-store.js';
 import {HttpModelEngine} from '../../adapters/http-model-engine.js';
 import {promptBlockKeysOf} from '../../cache/block-keys.js';
-import {KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
+import {CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type LinkEstimate} from '../../decision/routing/link-estimate.js';
 import {LeastLoadedPolicy} from '../../decision/routing/least-loaded-policy.js';
 import {type EndpointView, type RouteRequest} from '../../decision/routing/routing-policy.js';
@@ -36,7 +36,7 @@
 	storeStandIn: StandIn;
 	route: RouteRequest;
 	/** An instance of its own: it shares nothing with another but the store. */
-	instance(): {kept: StoreKeptContext; saver: PieceSaver; prefixes: KeptPrefixes; reader: CacheEventReader};
+	instance(): {kept: StoreKeptContext; saver: PieceSaver; prefixes: CachedPrefixes; reader: CacheEventReader};
 	/** Sends the prompt, or another one; gives how many of its tokens were not computed. */
 	cachedTokensAt(endpoint: EndpointView, sent?: string): Promise<number>;
 };
@@ -77,7 +77,7 @@
 		storeStandIn,
 		route,
 		instance() {
-			const prefixes = new KeptPrefixes();
+			const prefixes = new CachedPrefixes();
 			const stores = new HttpCacheStore();
 			const own = {...entry.context, engine};
 			const saver = new PieceSaver(own, stores, prefixes);
@@ -211,21 +211,21 @@
 	const {kept, prefixes, reader} = scene.instance();
 	scene.entry.reportEngine(scene.first.name);
 	await reader.readAll();
-	assert.equal(prefixes.leadingPieces(scene.route.pieceKeys).get(scene.first.name), pieces);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
 	await scene.cachedTokensAt(scene.first, 'harbour '.repeat(prompt.length / 8));
 	scene.entry.clock.advance(1000);
 	const found = await kept.find(scene.route.pieceKeys);
 	assert.equal(found?.pieces.length, pieces);
-	assert.equal(prefixes.leadingPieces(scene.route.pieceKeys).get(scene.first.name), 1);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), 1);
 });
 
 test('an engine that keeps a prompt still is believed, and the store is not asked', async context => {
 	const scene = await createScene(context);
 	await saveFrom(scene);
 	const {kept, prefixes} = scene.instance();
-	prefixes.learn(scene.first.name, scene.route.pieceKeys);
+	prefixes.add(scene.first.name, scene.route.pieceKeys);
 	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
-	assert.equal(prefixes.leadingPieces(scene.route.pieceKeys).get(scene.first.name), pieces);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
 });
 
 test('an engine that does not tell its events holds up one prompt, and that for a tenth of a second', async context => {
@@ -234,7 +234,7 @@
 	const scene = await createScene(context);
 	await saveFrom(scene);
 	const {kept, prefixes} = scene.instance();
-	prefixes.learn(scene.first.name, scene.route.pieceKeys);
+	prefixes.add(scene.first.name, scene.route.pieceKeys);
 	scene.engines[0]!.faults.slowMilliseconds = 500;
 	const findPrompt = async (): Promise<FoundPieces | undefined> => {
 		const found = await kept.find(scene.route.pieceKeys);
@@ -245,7 +245,7 @@
 	scene.entry.clock.advance(100);
 	assert.equal(await waiting, undefined);
 	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
-	assert.equal(prefixes.leadingPieces(scene.route.pieceKeys).get(scene.first.name), pieces);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
 });
 
 test('a prompt whose store was late when it was asked is saved all the same', async context => {
--- a/src/entry/kept/kept-context.ts
+++ b/src/entry/kept/kept-context.ts
@@ -6,10 +6,10 @@
  * piece, and the store itself is asked, so that a new instance knows as much as one that it replaced. All that is learnt
  * is a hint: a piece that is gone, damaged or late is recomputed.
  */
-import {type KeepingPolicy} from '../../decision/kept/keeping-policy.js';
-import {type KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
-import {SaveAllKeeping} from '../../decision/kept/save-all-keeping.js';
-import {storeOf} from '../../decision/kept/store-of.js';
+import {type SavePolicy} from '../../decision/cache/save-policy.js';
+import {type CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
+import {SaveAllPolicy} from '../../decision/cache/save-all-policy.js';
+import {storeOf} from '../../decision/cache/store-of.js';
 import {LinkEstimate} from '../../decision/routing/link-estimate.js';
 import {
 	type EndpointView, type FetchPlan, type RouteRequest, type RoutingPolicy,
@@ -51,7 +51,7 @@
 
 /** The parts that kept context is made of. */
 export type KeptParts = {
-	prefixes: KeptPrefixes;
+	prefixes: CachedPrefixes;
 	stores: CacheStore;
 	reader: CacheEventReader;
 	saver: PieceSaver;
@@ -64,12 +64,12 @@
 	readonly #parts: KeptParts;
 	readonly #addresses = new Map<string, string>();
 	readonly #suspicion = new StoreSuspicion();
-	#keeping: KeepingPolicy;
+	#keeping: SavePolicy;
 
 	constructor(context: EntryContext, parts: KeptParts) {
 		this.#context = context;
 		this.#parts = parts;
-		this.#keeping = new SaveAllKeeping(parts.prefixes, []);
+		this.#keeping = new SaveAllPolicy(parts.prefixes, []);
 	}
 
 	/** Takes the stores of the platform's list. A store that went is forgotten with all that it was believed to have. */
@@ -80,7 +80,7 @@
 		for (const name of [...links.keys()].filter(known => !names.has(known))) {
 			links.delete(name);
 			this.#addresses.delete(name);
-			prefixes.forgetHolder(name);
+			prefixes.removeHolder(name);
 		}
 
 		for (const {name, address} of live) {
@@ -91,7 +91,7 @@
 			this.#addresses.set(name, address);
 		}
 
-		this.#keeping = new SaveAllKeeping(prefixes, [...names].toSorted());
+		this.#keeping = new SaveAllPolicy(prefixes, [...names].toSorted());
 	}
 
 	async find(pieceKeys: readonly string[]): Promise<FoundPieces | undefined> {
@@ -115,13 +115,13 @@
 		return found.caseOf({
 			Left: () => {
 				this.#suspicion.late(store, clock.now());
-				prefixes.forget(store, pieceKeys);
+				prefixes.remove(store, pieceKeys);
 				return undefined;
 			},
 			Right: pieces => {
 				this.#suspicion.answered(store);
-				prefixes.learn(store, pieceKeys.slice(0, pieces.length));
-				prefixes.forget(store, pieceKeys.slice(pieces.length));
+				prefixes.add(store, pieceKeys.slice(0, pieces.length));
+				prefixes.remove(store, pieceKeys.slice(pieces.length));
 				return {store, pieces};
 			},
 		});
@@ -158,7 +158,7 @@
 
 		const {workspace, pieceKeys} = route;
 		const actions = this.#keeping.prefilled({
-			workspace, endpoint: endpoint.name, pieceKeys, reusedPieces: 0,
+			workspace, endpoint: endpoint.name, pieceKeys, reusedBlocks: 0,
 		}, this.#context.clock.now());
 		// A store that was late for a caller is not passed over here: nobody waits for a save, and a prompt that is not saved
 		// is computed again when it returns. The saver has its own patience.
@@ -209,7 +209,7 @@
 
 	#isKeptByAnEngine(pieceKeys: readonly string[]): boolean {
 		const {prefixes, links} = this.#parts;
-		return [...prefixes.leadingPieces(pieceKeys)].some(([name, pieces]) => !links.has(name) && pieces === pieceKeys.length);
+		return [...prefixes.leadingBlocks(pieceKeys)].some(([name, pieces]) => !links.has(name) && pieces === pieceKeys.length);
 	}
 }
 
--- a/src/entry/kept/piece-saver.test.ts
+++ b/src/entry/kept/piece-saver.test.ts
@@ -4,7 +4,7 @@
 import {test} from 'node:test';
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {type Either, Left, Right} from 'purify-ts/Either';
-import {KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
+import {CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type CacheStore, type CacheStoreFailure, type SealedBlock} from '../../ports/cache-store.js';
 import {type ManualClock} from '../../test/manual-clock.js';
 import {MemoryModelEngine} from '../../test/memory-model-engine.js';
@@ -59,7 +59,7 @@
 function createScene() {
 	const entry = new TestEntry();
 	const stores = new LateStores();
-	const saver = new PieceSaver({...entry.context, engine: new KeepingEngine()}, stores, new KeptPrefixes());
+	const saver = new PieceSaver({...entry.context, engine: new KeepingEngine()}, stores, new CachedPrefixes());
 	const saveTo = async (store: string): Promise<number> => {
 		const order = {
 			store, storeAddress: store, endpointAddress: 'engine-1', pieceKeys,
--- a/src/entry/kept/piece-saver.ts
+++ b/src/entry/kept/piece-saver.ts
@@ -6,7 +6,7 @@
 import {randomUUID} from 'node:crypto';
 import {once} from 'node:events';
 import {type Buffer} from 'node:buffer';
-import {type KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
+import {type CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type CacheStore, type CacheStoreFailure} from '../../ports/cache-store.js';
 import {sealOf} from '../../protocol/cache/block-seal.js';
 import {type Child} from '../../supervisor/supervisor.js';
@@ -43,13 +43,13 @@
 	readonly name = 'piece-saver';
 	readonly #context: EntryContext;
 	readonly #stores: CacheStore;
-	readonly #prefixes: KeptPrefixes;
+	readonly #prefixes: CachedPrefixes;
 	readonly #waiting: SaveOrder[] = [];
 	readonly #arrived = new EventTarget();
 	/** By store, until when nothing is saved to it. */
 	readonly #restUntil = new Map<string, number>();
 
-	constructor(context: EntryContext, stores: CacheStore, prefixes: KeptPrefixes) {
+	constructor(context: EntryContext, stores: CacheStore, prefixes: CachedPrefixes) {
 		this.#context = context;
 		this.#stores = stores;
 		this.#prefixes = prefixes;
@@ -95,7 +95,7 @@
 				break;
 			}
 
-			this.#prefixes.learn(store, [pieceKey]);
+			this.#prefixes.add(store, [pieceKey]);
 			written += outcome === 'written' ? 1 : 0;
 		}
 
--- a/src/gateway/data-path/endpoint-choice.ts
+++ b/src/gateway/data-path/endpoint-choice.ts
@@ -36,7 +36,7 @@
 		const {placement, peerNews} = this.#context;
 		const {permitted} = this.#work;
 		const now = this.#now();
-		this.#choices = placement.choices(this.#request(), this.#usable(now), now, this.#looks);
+		this.#choices = placement.shortlist(this.#request(), this.#usable(now), now, this.#looks);
 		if (permitted.route.carriesPrompt) {
 			await peerNews.refresh(this.#sources().question(this.#choices));
 		}
--- a/src/gateway/data-path/endpoint-try.ts
+++ b/src/gateway/data-path/endpoint-try.ts
@@ -2,7 +2,7 @@
  * One attempt to serve a request at one endpoint: sends the request, classifies the answer by its head, and relays the body
  * as it arrives. What follows a failed attempt is decided in `decision/attempts`.
  */
-import {isRepeatable, type TryOutcome} from '../../decision/attempts/next-step.js';
+import {isRetryable, type AttemptOutcome} from '../../decision/attempts/next-step.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {type AnswerTransfer} from './answer-transfer.js';
 import {type EndpointAnswer, type OpenExchange} from './endpoint-exchange.js';
@@ -16,7 +16,7 @@
 
 /** How an attempt ended. */
 export type TryResult = {
-	outcome: TryOutcome | 'whole' | 'client-left';
+	outcome: AttemptOutcome | 'whole' | 'client-left';
 	/** Whether the endpoint may have received the request. */
 	wasSent: boolean;
 	/** Whether the endpoint may have run the request. */
@@ -106,7 +106,7 @@
 		}
 
 		const answer = answered.unsafeCoerce();
-		this.#context.placement.heard(this.#target.endpoint, this.#now());
+		this.#context.placement.received(this.#target.endpoint, this.#now());
 		this.#learnFrom(answer);
 		const outcome = this.#judge(answer);
 		if (outcome === 'usable') {
@@ -150,7 +150,7 @@
 			return status === 200 ? 'usable' : 'failed';
 		}
 
-		return status >= 500 && status !== 504 && isRepeatable(this.#work.permitted.route.kind) ? 'failed' : 'usable';
+		return status >= 500 && status !== 504 && isRetryable(this.#work.permitted.route.kind) ? 'failed' : 'usable';
 	}
 
 	async #relay(answer: EndpointAnswer): Promise<TryResult> {
@@ -169,7 +169,7 @@
 				}, this.#now());
 			},
 			onBytes: () => {
-				placement.heard(endpoint, this.#now());
+				placement.received(endpoint, this.#now());
 			},
 			onFault(error) {
 				log.record('fault', {
--- a/src/gateway/data-path/given-up-answer.test.ts
+++ b/src/gateway/data-path/given-up-answer.test.ts
@@ -55,7 +55,7 @@
 	});
 	if (trigger === 'silence') {
 		setTimeout(() => {
-			gateway.context.placement.isSilent = () => true;
+			gateway.context.placement.isUnresponsive = () => true;
 		}, 150);
 	}
 
--- a/src/gateway/data-path/prompt-sources.ts
+++ b/src/gateway/data-path/prompt-sources.ts
@@ -1,5 +1,5 @@
 /** Finds the cache stores and engines that hold the blocks of one request's prompt, by what this instance knows. */
-import {type NamedStore, type PartKnowledge} from '../../decision/parts/plan-parts.js';
+import {type NamedStore, type BlockLocator} from '../../decision/blocks/plan-blocks.js';
 import {type Moment} from '../../ports/moment-clock.js';
 import {cacheSalt} from '../../protocol/blocks/cache-salt.js';
 import {blockKey} from '../../protocol/blocks/block-key.js';
@@ -111,7 +111,7 @@
 	}
 
 	/** What is known about the sources that an engine can fetch blocks from. */
-	knowledgeFor(target: EndpointRecord): PartKnowledge {
+	knowledgeFor(target: EndpointRecord): BlockLocator {
 		const {hubView} = this.#context;
 		return {
 			isOpen: store => hubView.isOpen(store, this.#now),
@@ -135,7 +135,7 @@
 		return hubView.enginesWith(key, this.#now)
 			.map(name => endpoints.byName(name))
 			.filter((engine): engine is EndpointRecord => engine?.service === this.#service && engine.state === 'ready'
-				&& !loadingEngines.current.has(engine.name) && !placement.isSilent(engine, this.#now.steady));
+				&& !loadingEngines.current.has(engine.name) && !placement.isUnresponsive(engine, this.#now.steady));
 	}
 
 	/** Keys of all blocks under a weight version, in the order of the prompt. */
--- a/src/gateway/data-path/routed-request.ts
+++ b/src/gateway/data-path/routed-request.ts
@@ -5,7 +5,7 @@
 import {type Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {
-	decideNextStep, type NextStep, type TryOutcome,
+	decideNextStep, type NextStep, type AttemptOutcome,
 } from '../../decision/attempts/next-step.js';
 import {type Placement, type PlacementBasis, type PlacementRequest} from '../../decision/placement/placement.js';
 import {type Moment} from '../../ports/moment-clock.js';
@@ -153,15 +153,15 @@
 		}
 	}
 
-	#stepAfter(outcome: TryOutcome): NextStep {
+	#stepAfter(outcome: AttemptOutcome): NextStep {
 		const {permitted: {route, service}} = this.#work;
 		return decideNextStep(outcome, {
 			kind: route.kind,
 			sends: this.#sends,
-			mostSends: route.maxAttempts,
+			maxSends: route.maxAttempts,
 			mayHaveRun: this.#mayHaveRun,
-			leftMilliseconds: this.#deadline - this.#now(),
-		}, () => this.#context.budget.takeRepeat(service, this.#now()));
+			remainingMilliseconds: this.#deadline - this.#now(),
+		}, () => this.#context.budget.takeRetry(service, this.#now()));
 	}
 
 	/** Carries out the step after a failed attempt. Returns how the request ended, or `undefined` if another attempt follows. */
--- a/src/gateway/data-path/silent-endpoint.test.ts
+++ b/src/gateway/data-path/silent-endpoint.test.ts
@@ -23,7 +23,7 @@
 		response.writeHead(200, {...sealedHeaders(incoming), 'content-length': '10'});
 		response.write('first');
 		await pause(100);
-		gateway.context.placement.isSilent = () => true;
+		gateway.context.placement.isUnresponsive = () => true;
 		await pause(600);
 		response.end('later');
 	};
@@ -44,7 +44,7 @@
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
 		runs++;
 		if (runs === 1) {
-			gateway.context.placement.isSilent = () => runs === 1;
+			gateway.context.placement.isUnresponsive = () => runs === 1;
 			return;
 		}
 
--- a/src/gateway/data-path/try-watch.ts
+++ b/src/gateway/data-path/try-watch.ts
@@ -1,6 +1,6 @@
 /** Watches one attempt at an endpoint and cancels it before the caller's timeout where further waiting is useless. */
-import {isRepeatable} from '../../decision/attempts/next-step.js';
-import {grantEnd} from '../../decision/placement/older-weights.js';
+import {isRetryable} from '../../decision/attempts/next-step.js';
+import {olderWeightsDeadline} from '../../decision/placement/older-weights.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {afterNextPoll} from '../../serving/after-next-poll.js';
 import {type OpenExchange} from './endpoint-exchange.js';
@@ -68,7 +68,7 @@
 	 */
 	#watchForSilence(exchange: OpenExchange): void {
 		const {kind, carriesPrompt} = this.#work.permitted.route;
-		if (!isRepeatable(kind) || !(this.#target.hasNext || carriesPrompt)) {
+		if (!isRetryable(kind) || !(this.#target.hasNext || carriesPrompt)) {
 			return;
 		}
 
@@ -93,7 +93,7 @@
 	#isSilent(): boolean {
 		const {response, cutter} = this.#work;
 		const mayBeGivenUp = !response.headersSent || (cutter !== undefined && !response.writableNeedDrain);
-		return mayBeGivenUp && (this.#context.placement.isSilent(this.#target.endpoint, this.#now()) || this.#isEngineStopped());
+		return mayBeGivenUp && (this.#context.placement.isUnresponsive(this.#target.endpoint, this.#now()) || this.#isEngineStopped());
 	}
 
 	/** While no request waits, only the running streams show that an engine has stopped. */
@@ -108,7 +108,7 @@
 	 */
 	#watchGrantOfWeights(exchange: OpenExchange): void {
 		const {request, endpoint} = this.#target;
-		const end = grantEnd(request, endpoint);
+		const end = olderWeightsDeadline(request, endpoint);
 		if (!Number.isFinite(end)) {
 			return;
 		}
--- a/src/gateway/data-path/weights-grant.test.ts
+++ b/src/gateway/data-path/weights-grant.test.ts
@@ -31,7 +31,7 @@
 	const namedAt = gateway.context.clock.moment();
 	gateway.context.goals.name({model: 'lease', version: 2}, {heardAt: namedAt, namedSince: namedAt});
 	// The engine goes on serving other prompts.
-	gateway.context.placement.isSilent = () => false;
+	gateway.context.placement.isUnresponsive = () => false;
 	let hold: (incoming: IncomingMessage) => void = () => undefined;
 	const holding = new Promise<IncomingMessage>(resolve => {
 		hold = resolve;
--- a/src/gateway/endpoints/endpoint-prober.ts
+++ b/src/gateway/endpoints/endpoint-prober.ts
@@ -38,7 +38,7 @@
 	async #probe(endpoint: EndpointRecord): Promise<void> {
 		const isReached = await reaches(endpoint.address);
 		this.#underWay.delete(endpoint.name);
-		this.#context.placement.probed(endpoint, isReached, this.#context.clock.moment().steady);
+		this.#context.placement.noteProbe(endpoint, isReached, this.#context.clock.moment().steady);
 	}
 }
 
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -1,7 +1,7 @@
 /** The components that the routed data path shares. */
-import {type PartPlanner} from '../decision/parts/plan-parts.js';
+import {type BlockPlanner} from '../decision/blocks/plan-blocks.js';
 import {type PlacementPolicy} from '../decision/placement/placement.js';
-import {type SharedRepeatBudget} from '../decision/limits/shared-repeat-budget.js';
+import {type SharedRetryBudget} from '../decision/limits/shared-retry-budget.js';
 import {type MomentClock} from '../ports/moment-clock.js';
 import {type EventLoopLag} from '../serving/event-loop-lag.js';
 import {type ConfigurationView} from './configuration/configuration-view.js';
@@ -23,13 +23,13 @@
 	configuration: ConfigurationView;
 	endpoints: EndpointRegistry;
 	placement: PlacementPolicy;
-	budget: SharedRepeatBudget;
+	budget: SharedRetryBudget;
 	exchanges: EndpointExchanges;
 	goals: WeightGoals;
 	loadingEngines: LoadingEngines;
 	hubView: HubView;
 	peerNews: PeerNews;
-	partPlanner: PartPlanner;
+	partPlanner: BlockPlanner;
 	eventLoopLag: Pick<EventLoopLag, 'current'>;
 	log: DecisionLog;
 	metrics: GatewayMetrics;
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -9,9 +9,9 @@
 import {H3} from 'h3';
 import {type Either} from 'purify-ts/Either';
 import {HttpListener, defaultListenerBounds} from '../serving/http-listener.js';
-import {PartPlanner} from '../decision/parts/plan-parts.js';
+import {BlockPlanner} from '../decision/blocks/plan-blocks.js';
 import {CostPlacement} from '../decision/placement/cost-placement.js';
-import {SharedRepeatBudget} from '../decision/limits/shared-repeat-budget.js';
+import {SharedRetryBudget} from '../decision/limits/shared-retry-budget.js';
 import {type CacheStoreControl} from '../ports/cache-store-control.js';
 import {type ClockedTable} from '../ports/clocked-table.js';
 import {type EngineControl} from '../ports/engine-control.js';
@@ -110,9 +110,9 @@
 			placement: this.#placement,
 			hubView,
 			peerNews: this.#hubs.news,
-			partPlanner: new PartPlanner(),
+			partPlanner: new BlockPlanner(),
 			eventLoopLag: this.#eventLoopLag,
-			budget: new SharedRepeatBudget({ratio: settings.bounds.repeatRatio, windowMilliseconds: settings.bounds.repeatWindowMilliseconds}),
+			budget: new SharedRetryBudget({ratio: settings.bounds.repeatRatio, windowMilliseconds: settings.bounds.repeatWindowMilliseconds}),
 			exchanges: this.#exchanges,
 			goals: new WeightGoals(settings.bounds.weightsMilliseconds),
 			loadingEngines: new LoadingEngines(() => clock.moment().steady),
