--- a/src/gateway/hub/hub-messages.ts
+++ b/src/gateway/hub/hub-messages.ts
@@ -17,7 +17,7 @@
 /** One day: an upper bound of the time since the last byte, which also stands for an endpoint that has never sent one. */
 const neverHeard = 86_400_000;
 
-export function packLoad({requests, heldTokens, oldestWaitMilliseconds, heardAgoMilliseconds, unreadTokens}: EndpointLoad): PackedLoad {
+export function packLoad({requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: heardAgoMilliseconds, pendingPrefillTokens: unreadTokens}: EndpointLoad): PackedLoad {
 	return [requests, heldTokens, Math.round(oldestWaitMilliseconds), Math.round(Math.min(neverHeard, heardAgoMilliseconds)), ...unreadTokens];
 }
 
@@ -28,7 +28,7 @@
 
 export function unpackLoad([requests = 0, heldTokens = 0, oldestWaitMilliseconds = 0, heardAgoMilliseconds = neverHeard, ...unreadTokens]: PackedLoad): EndpointLoad {
 	return {
-		requests, heldTokens, oldestWaitMilliseconds, heardAgoMilliseconds, unreadTokens,
+		requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: heardAgoMilliseconds, pendingPrefillTokens: unreadTokens,
 	};
 }
 
--- a/src/gateway/hub/load-totals.test.ts
+++ b/src/gateway/hub/load-totals.test.ts
@@ -12,8 +12,8 @@
 	totals.set('i2', {e1: [3, 20, 0, 40, 7, 0, 0]});
 	assert.equal(heard(totals, 'e1', 'i1').requests, 3);
 	assert.equal(heard(totals, 'e1', 'i3').requests, 5);
-	assert.deepEqual(heard(totals, 'e1', 'i3').unreadTokens, [12, 0, 0]);
-	assert.equal(heard(totals, 'e1', 'i3').heardAgoMilliseconds, 40);
+	assert.deepEqual(heard(totals, 'e1', 'i3').pendingPrefillTokens, [12, 0, 0]);
+	assert.equal(heard(totals, 'e1', 'i3').lastByteAgoMilliseconds, 40);
 	assert.equal(totals.requestsAt('e1'), 5);
 	totals.set('i1', {e2: [4, 0, 0, 0, 0, 0, 0]});
 	assert.equal(totals.requestsAt('e1'), 3);
--- a/src/gateway/testing/test-gateway.ts
+++ b/src/gateway/testing/test-gateway.ts
@@ -3,9 +3,9 @@
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {systemMomentClock} from '../../adapters/system-moment-clock.js';
-import {PartPlanner} from '../../decision/parts/plan-parts.js';
+import {BlockPlanner} from '../../decision/blocks/plan-blocks.js';
 import {CostPlacement} from '../../decision/placement/cost-placement.js';
-import {SharedRepeatBudget} from '../../decision/limits/shared-repeat-budget.js';
+import {SharedRetryBudget} from '../../decision/limits/shared-retry-budget.js';
 import {HttpListener} from '../../serving/http-listener.js';
 import {ConfigurationView} from '../configuration/configuration-view.js';
 import {type RoutedConfiguration} from '../../shared/routed-configuration.js';
@@ -59,7 +59,7 @@
 			configuration: view,
 			endpoints: new EndpointRegistry(),
 			placement: new CostPlacement('split'),
-			budget: new SharedRepeatBudget({ratio: 1, windowMilliseconds: 10_000}),
+			budget: new SharedRetryBudget({ratio: 1, windowMilliseconds: 10_000}),
 			exchanges: this.#exchanges,
 			goals: new WeightGoals(10_000),
 			hubView: new HubView(),
@@ -71,7 +71,7 @@
 					// It has no other instances to publish to.
 				},
 			},
-			partPlanner: new PartPlanner(),
+			partPlanner: new BlockPlanner(),
 			loadingEngines: new LoadingEngines(() => systemMomentClock.moment().steady),
 			eventLoopLag: this.#eventLoopLag,
 			log,
--- a/src/gateway/weights/weight-coordinator.ts
+++ b/src/gateway/weights/weight-coordinator.ts
@@ -3,7 +3,7 @@
  * orders. The lease is acquired only while the weights of an engine are outdated, so that no calls to the store are made
  * otherwise.
  */
-import {planRoll, usualLoading, type LoadingEngine} from '../../decision/weights/plan-roll.js';
+import {planRollout, usualLoadCount, type LoadingEngine} from '../../decision/weights/plan-rollout.js';
 import {type ClockedTable} from '../../ports/clocked-table.js';
 import {type EngineControl, type OrderAnswer} from '../../ports/engine-control.js';
 import {type TableService} from '../../ports/table-service.js';
@@ -136,7 +136,7 @@
 		const {boundMilliseconds} = this.#parts;
 		// Weights of unknown age are scheduled as if named when they were observed, since all engines must not load at once.
 		const dueAt = (goal.namedSince ?? goal.heardAt).steady + boundMilliseconds - rollMarginMilliseconds;
-		const next = planRoll(this.#enginesOf(goal), {...goal, dueAt, loadMilliseconds: this.#loadMilliseconds}, [...this.#loading.values()], this.#now());
+		const next = planRollout(this.#enginesOf(goal), {...goal, dueAt, loadMilliseconds: this.#loadMilliseconds}, [...this.#loading.values()], this.#now());
 		if (next.length === 0) {
 			return;
 		}
@@ -242,7 +242,7 @@
 	 * call for still more at a time, until no engine is left to serve.
 	 */
 	#learnLoad(milliseconds: number): void {
-		if (this.#loading.size <= usualLoading(this.#context.endpoints.all().filter(({weightVersions}) => weightVersions.size > 0).length)) {
+		if (this.#loading.size <= usualLoadCount(this.#context.endpoints.all().filter(({weightVersions}) => weightVersions.size > 0).length)) {
 			this.#loadMilliseconds = (newestLoadShare * milliseconds) + ((1 - newestLoadShare) * this.#loadMilliseconds);
 		}
 	}
--- a/src/load/decision-cost/main.ts
+++ b/src/load/decision-cost/main.ts
@@ -4,7 +4,7 @@
  */
 import process from 'node:process';
 import {FairShareAdmission} from '../../decision/admission/fair-share-admission.js';
-import {KeptPrefixes} from '../../decision/kept/kept-prefixes.js';
+import {CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {ExpectedFirstTokenPolicy} from '../../decision/routing/expected-first-token-policy.js';
 import {LinkEstimate} from '../../decision/routing/link-estimate.js';
 import {type EndpointView, type RouteRequest} from '../../decision/routing/routing-policy.js';
@@ -68,9 +68,9 @@
 
 function routingCost(endpoints: number): Cost {
 	const random = new Random(1);
-	const kept = new KeptPrefixes();
+	const kept = new CachedPrefixes();
 	const policy = new ExpectedFirstTokenPolicy(kept, {
-		dataCentre: 'centre-0', links: new Map([['store-0', new LinkEstimate(40)]]), pieceTokens: 2048,
+		dataCentre: 'centre-0', links: new Map([['store-0', new LinkEstimate(40)]]), blockTokens: 2048,
 	});
 	let views = Array.from({length: endpoints}, (_, index) => viewOf(index, 0, random));
 	const times: number[] = [];
@@ -108,7 +108,7 @@
 	const policy = new FairShareAdmission();
 	const times: number[] = [];
 	let running: string[] = [];
-	policy.setCapacity('service', {places: 16, urgentPlaces: 32}, 0);
+	policy.setCapacity('service', {maxRequests: 16, maxUrgentRequests: 32}, 0);
 	for (let index = 0; index < warmUps + decisions; index++) {
 		const now = index * 60;
 		const requestId = `request-${index}`;
--- a/src/load/policies.ts
+++ b/src/load/policies.ts
@@ -2,10 +2,10 @@
 import {type AdmissionPolicy} from '../decision/admission/admission-policy.js';
 import {FairShareAdmission} from '../decision/admission/fair-share-admission.js';
 import {BoundedQueueAdmission} from '../decision/admission/bounded-queue-admission.js';
-import {type KeepingPolicy} from '../decision/kept/keeping-policy.js';
-import {KeptPrefixes} from '../decision/kept/kept-prefixes.js';
-import {NoKeeping} from '../decision/kept/no-keeping.js';
-import {SaveAllKeeping} from '../decision/kept/save-all-keeping.js';
+import {type SavePolicy} from '../decision/cache/save-policy.js';
+import {CachedPrefixes} from '../decision/cache/cached-prefixes.js';
+import {SaveNothingPolicy} from '../decision/cache/save-nothing-policy.js';
+import {SaveAllPolicy} from '../decision/cache/save-all-policy.js';
 import {ExpectedFirstTokenPolicy} from '../decision/routing/expected-first-token-policy.js';
 import {LeastLoadedPolicy} from '../decision/routing/least-loaded-policy.js';
 import {LinkEstimate} from '../decision/routing/link-estimate.js';
@@ -16,10 +16,10 @@
 
 /** What one entry instance decides with. */
 export type EntryPolicies = {
-	prefixes: KeptPrefixes;
+	prefixes: CachedPrefixes;
 	routing: RoutingPolicy;
 	admission: AdmissionPolicy;
-	keeping: KeepingPolicy;
+	keeping: SavePolicy;
 	/** The stores' links by name, as the policies see them; none for policies that do not look. */
 	links: ReadonlyMap<string, LinkEstimate>;
 	/** Whether fetches for work that can wait leave a crowded link to others. */
@@ -31,26 +31,26 @@
 
 export const policies: Readonly<Record<string, (place: EntryPlace) => EntryPolicies>> = {
 	'round-robin': ({index}) => ({
-		prefixes: new KeptPrefixes(), routing: new RoundRobinPolicy(index), admission: new BoundedQueueAdmission(), keeping: new NoKeeping(), isPolite: false, links: new Map(),
+		prefixes: new CachedPrefixes(), routing: new RoundRobinPolicy(index), admission: new BoundedQueueAdmission(), keeping: new SaveNothingPolicy(), isPolite: false, links: new Map(),
 	}),
 	'least-loaded': () => ({
-		prefixes: new KeptPrefixes(), routing: new LeastLoadedPolicy(), admission: new BoundedQueueAdmission(), keeping: new NoKeeping(), isPolite: false, links: new Map(),
+		prefixes: new CachedPrefixes(), routing: new LeastLoadedPolicy(), admission: new BoundedQueueAdmission(), keeping: new SaveNothingPolicy(), isPolite: false, links: new Map(),
 	}),
 	sticky({stores}) {
-		const prefixes = new KeptPrefixes();
+		const prefixes = new CachedPrefixes();
 		return {
-			prefixes, routing: new StickyPolicy(prefixes, stores), admission: new BoundedQueueAdmission(), keeping: new SaveAllKeeping(prefixes, stores), isPolite: false, links: new Map(),
+			prefixes, routing: new StickyPolicy(prefixes, stores), admission: new BoundedQueueAdmission(), keeping: new SaveAllPolicy(prefixes, stores), isPolite: false, links: new Map(),
 		};
 	},
 	chosen({dataCentre, stores, pieceBytes, linkBytesPerSecond}) {
-		const prefixes = new KeptPrefixes();
+		const prefixes = new CachedPrefixes();
 		const idleMilliseconds = 1000 * pieceBytes / linkBytesPerSecond;
 		const links = new Map(stores.map(name => [name, new LinkEstimate(idleMilliseconds)]));
 		return {
 			prefixes,
-			routing: new ExpectedFirstTokenPolicy(prefixes, {dataCentre, links, pieceTokens}),
+			routing: new ExpectedFirstTokenPolicy(prefixes, {dataCentre, links, blockTokens: pieceTokens}),
 			admission: new FairShareAdmission(),
-			keeping: new SaveAllKeeping(prefixes, stores),
+			keeping: new SaveAllPolicy(prefixes, stores),
 			isPolite: true,
 			links,
 		};
--- a/src/load/simulation/run-simulation.ts
+++ b/src/load/simulation/run-simulation.ts
@@ -100,7 +100,7 @@
 		const [entry] = this.#entries;
 		for (const {workspace, pieceKeys} of prompts.values()) {
 			for (const action of entry!.policies.keeping.prefilled({
-				workspace, endpoint: '', pieceKeys, reusedPieces: 0,
+				workspace, endpoint: '', pieceKeys, reusedBlocks: 0,
 			}, 0)) {
 				this.#stores.get(action.store)?.preload(action.pieceKeys);
 			}
@@ -143,7 +143,7 @@
 				index, dataCentre, stores: [...this.#stores.keys()], pieceBytes: workload.stores.pieceBytes, linkBytesPerSecond: workload.stores.linkBytesPerSecond, instances: workload.entries,
 			});
 			for (const engine of this.#engines.values()) {
-				own.prefixes.setRoom(engine.name, Math.floor(engine.report().kvTokensCapacity / pieceTokens));
+				own.prefixes.setCapacity(engine.name, Math.floor(engine.report().kvTokensCapacity / pieceTokens));
 			}
 
 			return new SimulatedEntry({name: `entry-${index}`, dataCentre}, own, {
@@ -185,7 +185,7 @@
 		this.#queue.after(lagMilliseconds, () => {
 			for (const {policies: {prefixes}} of this.#entries) {
 				for (const [name, events] of batches) {
-					prefixes.takeEvents(name, events.filter(() => this.#random.fraction() >= lostShare));
+					prefixes.applyEvents(name, events.filter(() => this.#random.fraction() >= lostShare));
 				}
 			}
 		});
--- a/src/load/simulation/simulated-entry.ts
+++ b/src/load/simulation/simulated-entry.ts
@@ -1,7 +1,7 @@
 /** One entry instance in virtual time: carries out what its own policies decide, with its own knowledge. */
 import {AdmissionWindow} from '../../decision/admission/admission-window.js';
 import {type AdmissionAction} from '../../decision/admission/admission-policy.js';
-import {fetchPause} from '../../decision/kept/fetch-pause.js';
+import {fetchPause} from '../../decision/cache/fetch-pause.js';
 import {type EndpointView, type FetchPlan, type RouteRequest} from '../../decision/routing/routing-policy.js';
 import {hashOf} from '../../shared/hash-of.js';
 import {type EntryPolicies} from '../policies.js';
@@ -72,8 +72,8 @@
 				underWay += isAdmitted && route.service === service && route.priority !== 'urgent' ? 1 : 0;
 			}
 
-			const capacity = window.takeReports(endpoints, {
-				underWay, instances, dither, linkSlowness,
+			const capacity = window.applyReports(endpoints, {
+				inFlight: underWay, instances, dither, linkSlowness,
 			}, queue.now);
 			this.#carryOut(this.policies.admission.setCapacity(service, capacity, queue.now));
 		}
@@ -207,7 +207,7 @@
 	#keep(route: RouteRequest, endpoint: string, cachedTokens: number): void {
 		const {queue, engines, stores} = this.#around;
 		const actions = this.policies.keeping.prefilled({
-			workspace: route.workspace, endpoint, pieceKeys: route.pieceKeys, reusedPieces: cachedTokens / pieceTokens,
+			workspace: route.workspace, endpoint, pieceKeys: route.pieceKeys, reusedBlocks: cachedTokens / pieceTokens,
 		}, queue.now);
 		for (const action of actions) {
 			const engine = engines.get(action.endpoint)!;
