--- a/src/entry/callers/caller-routes.ts
+++ b/src/entry/callers/caller-routes.ts
@@ -7,7 +7,7 @@
 import {promptTextOf} from '../../shared/prompt-text-of.js';
 import {type Refusal, type ServiceItem, type WorkspaceItem} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
-import {hasCallerLeft} from '../../serving/has-caller-left.js';
+import {hasCallerDisconnected} from '../../serving/has-caller-disconnected.js';
 import {readBody} from '../../serving/read-body.js';
 import {refusalBody, sendRefusal} from '../../serving/send-refusal.js';
 import {type AdmissionGate} from './admission-gate.js';
@@ -113,7 +113,7 @@
 			return;
 		}
 
-		if (await hasCallerLeft(request, this.#context.eventLoopLag.current)) {
+		if (await hasCallerDisconnected(request, this.#context.eventLoopLag.current)) {
 			return;
 		}
 
--- a/src/entry/callers/completion-writer.ts
+++ b/src/entry/callers/completion-writer.ts
@@ -7,7 +7,7 @@
 import {type ServerResponse} from 'node:http';
 import {type Refusal} from '../../shared/types.js';
 import {refusalBody, sendRefusal} from '../../serving/send-refusal.js';
-import {breakOffAnswer} from '../../serving/break-off-answer.js';
+import {abortAnswer} from '../../serving/abort-answer.js';
 import {type AnswerSink} from './completion-job.js';
 import {type CompletionRequest} from './completion-request.js';
 
@@ -75,7 +75,7 @@
 	}
 
 	abandon(): void {
-		breakOffAnswer(this.#response);
+		abortAnswer(this.#response);
 	}
 
 	/** Closes a whole answer. */
--- a/src/entry/callers/plain-route.ts
+++ b/src/entry/callers/plain-route.ts
@@ -9,7 +9,7 @@
 import {type NodeExchange} from '../../shared/node-route.js';
 import {type Refusal, type ServiceItem, type WorkspaceItem} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
-import {hasCallerLeft} from '../../serving/has-caller-left.js';
+import {hasCallerDisconnected} from '../../serving/has-caller-disconnected.js';
 import {readBody} from '../../serving/read-body.js';
 import {sendRefusal} from '../../serving/send-refusal.js';
 import {type NeverTwiceRunner} from './never-twice-runner.js';
@@ -59,7 +59,7 @@
 			return;
 		}
 
-		if (await hasCallerLeft(request, this.#context.eventLoopLag.current)) {
+		if (await hasCallerDisconnected(request, this.#context.eventLoopLag.current)) {
 			return;
 		}
 
--- a/src/gateway/data-path/abandoned-body.test.ts
+++ b/src/gateway/data-path/abandoned-body.test.ts
@@ -9,7 +9,7 @@
 import {ownWireNames as names} from './wire-names.js';
 
 /** Far more than the rest of a short body takes, and less than the idle timeout of endpoints. */
-const patienceMilliseconds = 3000;
+const timeoutMilliseconds = 3000;
 const request = rawRequest({
 	method: 'POST', path: '/', headers: {
 		host: 'quay.example', [names.attemptId]: 'a1', [names.deadline]: '2000', connection: 'close',
@@ -42,7 +42,7 @@
 		new Promise<boolean>(resolve => {
 			setTimeout(() => {
 				resolve(false);
-			}, patienceMilliseconds);
+			}, timeoutMilliseconds);
 		}),
 	]);
 	await gateway.close();
--- a/src/gateway/data-path/answer-transfer.test.ts
+++ b/src/gateway/data-path/answer-transfer.test.ts
@@ -3,7 +3,7 @@
 import {exchangeRaw, rawRequest} from '../../test/raw-http.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
 import {answerSealed, type PlayedEndpoint, TestGateway} from '../testing/test-gateway.js';
-import {framingOf, judgeBodyEnd} from './answer-transfer.js';
+import {framingOf, classifyBodyEnd} from './answer-transfer.js';
 import {ownWireNames as names} from './wire-names.js';
 
 const post = rawRequest({
@@ -27,22 +27,22 @@
 
 test('a body is complete only if its own framing proves it', () => {
 	// Node reports the end of a body also after a reset or a cancellation. Each framing has one proof that all of it arrived.
-	const judge = (framing: 'length' | 'chunked' | 'connection', connectionEnd: 'open' | 'in-order' | 'reset' | 'cancelled', bodyBytes = 8, isTorn = false): string => judgeBodyEnd({
-		framing, promisedBytes: 8, isComplete: true, isTorn, connectionEnd,
+	const classify = (framing: 'length' | 'chunked' | 'connection', connectionEnd: 'open' | 'in-order' | 'reset' | 'cancelled', bodyBytes = 8, stopsWithinEvent = false): string => classifyBodyEnd({
+		framing, promisedBytes: 8, isComplete: true, stopsWithinEvent: stopsWithinEvent, connectionEnd,
 	}, bodyBytes);
 	const ends = ['open', 'in-order', 'reset', 'cancelled'] as const;
-	assert.deepEqual(ends.map(end => judge('length', end, 7)), ['short', 'short', 'reset', 'cancelled']);
-	assert.deepEqual(ends.map(end => judge('length', end)), ['in-order', 'in-order', 'in-order', 'in-order']);
-	assert.deepEqual(ends.map(end => judge('chunked', end)), ['in-order', 'in-order', 'in-order', 'cancelled']);
-	assert.deepEqual(ends.map(end => judge('connection', end)), ['short', 'in-order', 'reset', 'cancelled']);
-	assert.deepEqual(ends.map(end => judge('connection', end, 8, true)), ['short', 'short', 'reset', 'cancelled']);
+	assert.deepEqual(ends.map(end => classify('length', end, 7)), ['short', 'short', 'reset', 'cancelled']);
+	assert.deepEqual(ends.map(end => classify('length', end)), ['in-order', 'in-order', 'in-order', 'in-order']);
+	assert.deepEqual(ends.map(end => classify('chunked', end)), ['in-order', 'in-order', 'in-order', 'cancelled']);
+	assert.deepEqual(ends.map(end => classify('connection', end)), ['short', 'in-order', 'reset', 'cancelled']);
+	assert.deepEqual(ends.map(end => classify('connection', end, 8, true)), ['short', 'short', 'reset', 'cancelled']);
 });
 
 test('a body whose end the parser did not find is incomplete with any framing', () => {
 	const ends = ['open', 'in-order', 'reset', 'cancelled'] as const;
 	for (const framing of ['length', 'chunked', 'connection', 'none'] as const) {
-		const judged = ends.map(connectionEnd => judgeBodyEnd({
-			framing, promisedBytes: 8, isComplete: false, isTorn: false, connectionEnd,
+		const judged = ends.map(connectionEnd => classifyBodyEnd({
+			framing, promisedBytes: 8, isComplete: false, stopsWithinEvent: false, connectionEnd,
 		}, 8));
 		assert.deepEqual(judged, ['short', 'short', 'reset', 'cancelled'], framing);
 	}
--- a/src/gateway/data-path/answer-transfer.ts
+++ b/src/gateway/data-path/answer-transfer.ts
@@ -77,7 +77,7 @@
 	/** Whether the parser found the end of the body. */
 	isComplete: boolean;
 	/** Whether it is an event stream that stopped within an event. */
-	isTorn: boolean;
+	stopsWithinEvent: boolean;
 	connectionEnd: ConnectionEnd;
 };
 
@@ -93,20 +93,20 @@
  * @param bodyBytes - How many bytes of the body were relayed.
  * @returns `in-order` if all of the body arrived, otherwise why the rest is missing.
  */
-export function judgeBodyEnd({
-	framing, promisedBytes, isComplete, isTorn, connectionEnd,
+export function classifyBodyEnd({
+	framing, promisedBytes, isComplete, stopsWithinEvent: stopsWithinEvent, connectionEnd,
 }: AnswerEnd, bodyBytes: number): BodyEnd {
 	const isWhole = isComplete && {
 		length: bodyBytes === promisedBytes,
 		chunked: connectionEnd !== 'cancelled',
-		connection: connectionEnd === 'in-order' && !isTorn,
+		connection: connectionEnd === 'in-order' && !stopsWithinEvent,
 		none: true,
 	}[framing];
-	return isWhole ? 'in-order' : brokenBodyEnd(connectionEnd);
+	return isWhole ? 'in-order' : incompleteBodyEnd(connectionEnd);
 }
 
 /** Classifies the end of a body that was not read to its end. */
-export function brokenBodyEnd(connectionEnd: ConnectionEnd): BodyEnd {
+export function incompleteBodyEnd(connectionEnd: ConnectionEnd): BodyEnd {
 	return connectionEnd === 'open' || connectionEnd === 'in-order' ? 'short' : connectionEnd;
 }
 
--- a/src/gateway/data-path/try-watch.ts
+++ b/src/gateway/data-path/attempt-watch.ts
@@ -4,46 +4,46 @@
 import {type GatewayContext} from '../gateway-context.js';
 import {afterNextPoll} from '../../serving/after-next-poll.js';
 import {type OpenExchange} from './endpoint-exchange.js';
-import {type TryTarget, type TryWork} from './try-work.js';
+import {type AttemptTarget, type AttemptWork} from './attempt-work.js';
 
 /** Why an attempt was cancelled early. */
-export type GivenUpFor = 'silence' | 'older-weights';
+export type CancelReason = 'silence' | 'older-weights';
 
 /** How often a waiting request checks whether its endpoint has become unresponsive. */
-const silenceCheckMilliseconds = 200;
+const responsivenessCheckMilliseconds = 200;
 /**
  * An engine that generates answers sends some event every few dozen milliseconds. One that has sent none to any caller for
  * this long has stopped. A load of new weights, during which its runs pause, takes less.
  */
 const stoppedEngineMilliseconds = 1400;
 /** A prompt at an engine with older weights is cancelled this long before the grant ends, so that the engine notices in time. */
-const takeBackMilliseconds = 250;
+const cancelMarginMilliseconds = 250;
 
-export class TryWatch {
+export class AttemptWatch {
 	readonly #context: GatewayContext;
-	readonly #work: TryWork;
-	readonly #target: TryTarget;
-	#silenceCheck: NodeJS.Timeout | undefined;
-	#grantEnd: NodeJS.Timeout | undefined;
+	readonly #work: AttemptWork;
+	readonly #target: AttemptTarget;
+	#responsivenessCheck: NodeJS.Timeout | undefined;
+	#grantTimer: NodeJS.Timeout | undefined;
 	#hasBegun = false;
 	#isStopped = false;
-	#givenUpFor: GivenUpFor | undefined;
+	#cancelReason: CancelReason | undefined;
 
-	constructor(context: GatewayContext, work: TryWork, target: TryTarget) {
+	constructor(context: GatewayContext, work: AttemptWork, target: AttemptTarget) {
 		this.#context = context;
 		this.#work = work;
 		this.#target = target;
 	}
 
 	/** Why the attempt was cancelled early; `undefined` if it was not. */
-	get givenUpFor(): GivenUpFor | undefined {
-		return this.#givenUpFor;
+	get cancelReason(): CancelReason | undefined {
+		return this.#cancelReason;
 	}
 
 	/** Starts to watch a call that was sent. */
 	start(exchange: OpenExchange): void {
-		this.#watchForSilence(exchange);
-		this.#watchGrantOfWeights(exchange);
+		this.#watchResponsiveness(exchange);
+		this.#watchWeightsGrant(exchange);
 	}
 
 	/** Records that the endpoint has begun to answer. */
@@ -53,8 +53,8 @@
 
 	stop(): void {
 		this.#isStopped = true;
-		clearInterval(this.#silenceCheck);
-		clearTimeout(this.#grantEnd);
+		clearInterval(this.#responsivenessCheck);
+		clearTimeout(this.#grantTimer);
 	}
 
 	/**
@@ -66,34 +66,34 @@
 	 * - After the first bytes only a resumable stream is cancelled; any other caller would be left with half of an answer.
 	 * - An endpoint whose answer waits here for a slow caller is not unresponsive: it is this process that does not read.
 	 */
-	#watchForSilence(exchange: OpenExchange): void {
+	#watchResponsiveness(exchange: OpenExchange): void {
 		const {kind, carriesPrompt} = this.#work.permitted.route;
 		if (!isRetryable(kind) || !(this.#target.hasNext || carriesPrompt)) {
 			return;
 		}
 
-		this.#silenceCheck = setInterval(() => {
-			void this.#checkSilence(exchange);
-		}, silenceCheckMilliseconds);
+		this.#responsivenessCheck = setInterval(() => {
+			void this.#checkResponsiveness(exchange);
+		}, responsivenessCheckMilliseconds);
 	}
 
 	/**
 	 * Decides only after the sockets were polled once more. Timers run before sockets are read, so after a pause of this process
 	 * every endpoint would look unresponsive, and every waiting request would run a second time.
 	 */
-	async #checkSilence(exchange: OpenExchange): Promise<void> {
-		if (this.#isSilent()) {
+	async #checkResponsiveness(exchange: OpenExchange): Promise<void> {
+		if (this.#isUnresponsive()) {
 			await afterNextPoll();
-			if (!this.#isStopped && this.#isSilent()) {
-				this.#giveUp(exchange, 'silence');
+			if (!this.#isStopped && this.#isUnresponsive()) {
+				this.#cancel(exchange, 'silence');
 			}
 		}
 	}
 
-	#isSilent(): boolean {
-		const {response, cutter} = this.#work;
-		const mayBeGivenUp = !response.headersSent || (cutter !== undefined && !response.writableNeedDrain);
-		return mayBeGivenUp && (this.#context.placement.isUnresponsive(this.#target.endpoint, this.#now()) || this.#isEngineStopped());
+	#isUnresponsive(): boolean {
+		const {response, splitter: splitter} = this.#work;
+		const mayBeCancelled = !response.headersSent || (splitter !== undefined && !response.writableNeedDrain);
+		return mayBeCancelled && (this.#context.placement.isUnresponsive(this.#target.endpoint, this.#now()) || this.#isEngineStopped());
 	}
 
 	/** While no request waits, only the running streams show that an engine has stopped. */
@@ -106,22 +106,22 @@
 	 * Cancels a prompt that its engine has not begun when the grant ends, the time in which runs may begin on the engine's older
 	 * weights. The prompt waited there longer than its placement expected, and must no longer be answered with those weights.
 	 */
-	#watchGrantOfWeights(exchange: OpenExchange): void {
+	#watchWeightsGrant(exchange: OpenExchange): void {
 		const {request, endpoint} = this.#target;
 		const end = olderWeightsDeadline(request, endpoint);
 		if (!Number.isFinite(end)) {
 			return;
 		}
 
-		this.#grantEnd = setTimeout(() => {
+		this.#grantTimer = setTimeout(() => {
 			if (!this.#hasBegun) {
-				this.#giveUp(exchange, 'older-weights');
+				this.#cancel(exchange, 'older-weights');
 			}
-		}, Math.max(0, end - takeBackMilliseconds - this.#now()));
+		}, Math.max(0, end - cancelMarginMilliseconds - this.#now()));
 	}
 
-	#giveUp(exchange: OpenExchange, reason: GivenUpFor): void {
-		this.#givenUpFor ??= reason;
+	#cancel(exchange: OpenExchange, reason: CancelReason): void {
+		this.#cancelReason ??= reason;
 		exchange.cancel();
 	}
 
--- a/src/gateway/data-path/try-work.ts
+++ b/src/gateway/data-path/attempt-work.ts
@@ -3,24 +3,24 @@
 import {type ServerResponse} from 'node:http';
 import {type PlacementBasis, type PlacementRequest} from '../../decision/placement/placement.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
-import {type EventCutter} from './event-cutter.js';
-import {type PermittedRequest} from './judge-request.js';
+import {type EventSplitter} from './event-splitter.js';
+import {type PermittedRequest} from './validate-request.js';
 import {type RequestHead} from './request-head.js';
 
 /** The request to send, and the response that its answer is written to. */
-export type TryWork = {
+export type AttemptWork = {
 	head: RequestHead;
 	permitted: PermittedRequest;
 	body: Buffer;
 	response: ServerResponse;
 	/** Present for streams that may be resumed. */
-	cutter: EventCutter | undefined;
+	splitter: EventSplitter | undefined;
 	/** When the caller or the route times out, in milliseconds of the steady clock. */
 	deadline: number;
 };
 
 /** The endpoint to send it to, and how that was chosen. */
-export type TryTarget = {
+export type AttemptTarget = {
 	endpoint: EndpointRecord;
 	request: PlacementRequest;
 	/** The estimates by which the endpoint was chosen. */
--- a/src/gateway/data-path/broken-answer.test.ts
+++ b/src/gateway/data-path/broken-answer.test.ts
@@ -38,7 +38,7 @@
 	return {text, wasReset};
 }
 
-function resetBehind(bytes: string): (socket: Socket) => void {
+function resetAfter(bytes: string): (socket: Socket) => void {
 	return socket => {
 		socket.write(bytes, () => {
 			setTimeout(() => {
@@ -49,10 +49,10 @@
 }
 
 const brokenAnswers = [
-	{name: 'without a length that is reset', play: resetBehind(`HTTP/1.1 200 OK\r\n${sealed}connection: close\r\n\r\nhalf`)},
-	{name: 'in chunks without the last chunk', play: resetBehind(`HTTP/1.1 200 OK\r\n${sealed}transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n`)},
-	{name: 'in chunks whose trailer is cut', play: resetBehind(`HTTP/1.1 200 OK\r\n${sealed}transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\nx-sum: 1`)},
-	{name: 'that is a failure without a length and is reset', play: resetBehind(`HTTP/1.1 500 Internal Server Error\r\n${sealed}connection: close\r\n\r\nhalf`)},
+	{name: 'without a length that is reset', play: resetAfter(`HTTP/1.1 200 OK\r\n${sealed}connection: close\r\n\r\nhalf`)},
+	{name: 'in chunks without the last chunk', play: resetAfter(`HTTP/1.1 200 OK\r\n${sealed}transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n`)},
+	{name: 'in chunks whose trailer is cut', play: resetAfter(`HTTP/1.1 200 OK\r\n${sealed}transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n0\r\nx-sum: 1`)},
+	{name: 'that is a failure without a length and is reset', play: resetAfter(`HTTP/1.1 500 Internal Server Error\r\n${sealed}connection: close\r\n\r\nhalf`)},
 ];
 
 for (const {name, play} of brokenAnswers) {
@@ -74,7 +74,7 @@
 
 test('a resumable stream without a length that is reset and cannot be resumed does not look complete', async () => {
 	// The endpoint's host dies after one and a half events. There is no other endpoint to resume the stream.
-	const {text} = await answerTo(post, resetBehind(`HTTP/1.1 200 OK\r\n${sealed}content-type: text/event-stream\r\nconnection: close\r\n\r\nid: 1\ndata: a\n\nid: 2\nda`), 'resumable-stream');
+	const {text} = await answerTo(post, resetAfter(`HTTP/1.1 200 OK\r\n${sealed}content-type: text/event-stream\r\nconnection: close\r\n\r\nid: 1\ndata: a\n\nid: 2\nda`), 'resumable-stream');
 	assert.match(text, /data: a/v);
 	assert.ok(!text.includes('id: 2') && !text.endsWith('0\r\n\r\n'), text);
 });
@@ -129,6 +129,6 @@
 
 test('a final answer that is reset is incomplete even after an interim answer', async () => {
 	// Status 103 is followed by the final head; only the body of the final answer counts.
-	const {text} = await answerTo(post, resetBehind(`HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 200 OK\r\n${sealed}connection: close\r\n\r\nhalf`));
+	const {text} = await answerTo(post, resetAfter(`HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 200 OK\r\n${sealed}connection: close\r\n\r\nhalf`));
 	assert.ok(text.includes('half') && !text.endsWith('0\r\n\r\n'), text);
 });
--- a/src/gateway/data-path/caller-left.test.ts
+++ b/src/gateway/data-path/caller-disconnect.test.ts
@@ -19,7 +19,7 @@
 
 type Stage = {
 	/** Whether the caller waits for the first bytes of its answer before it disconnects. */
-	leavesWithinAnswer: boolean;
+	disconnectsWithinAnswer: boolean;
 	/** Plays the endpoint; `left` resolves when the caller has disconnected. */
 	play(incoming: IncomingMessage, response: ServerResponse, left: Promise<unknown>): void | Promise<void>;
 };
@@ -31,7 +31,7 @@
 			response.writeHead(503, {...sealedHeaders(incoming), [names.notExecuted]: '1', 'content-length': '100'});
 			response.write('full');
 		},
-		leavesWithinAnswer: false,
+		disconnectsWithinAnswer: false,
 	},
 	'before the head of an answer that stalls': {
 		async play(incoming, response, left) {
@@ -39,34 +39,34 @@
 			response.writeHead(200, {...sealedHeaders(incoming), 'content-length': '100'});
 			response.write('half');
 		},
-		leavesWithinAnswer: false,
+		disconnectsWithinAnswer: false,
 	},
 	'before the head of an answer that never arrives': {
 		play() {
 			// The endpoint hangs.
 		},
-		leavesWithinAnswer: false,
+		disconnectsWithinAnswer: false,
 	},
 	'within an answer that stalls': {
 		play(incoming, response) {
 			response.writeHead(200, {...sealedHeaders(incoming), 'content-length': '100'});
 			response.write('half');
 		},
-		leavesWithinAnswer: true,
+		disconnectsWithinAnswer: true,
 	},
 	'within an answer that it does not read': {
 		play(incoming, response) {
 			response.writeHead(200, {...sealedHeaders(incoming), 'content-length': '100000000'});
 			response.write('f'.repeat(50_000_000));
 		},
-		leavesWithinAnswer: true,
+		disconnectsWithinAnswer: true,
 	},
 	'within a failure that stalls': {
 		play(incoming, response) {
 			response.writeHead(500, {...sealedHeaders(incoming), 'content-length': '100'});
 			response.write('half');
 		},
-		leavesWithinAnswer: true,
+		disconnectsWithinAnswer: true,
 	},
 };
 
@@ -82,12 +82,12 @@
 }
 
 for (const kind of ['idempotent', 'non-idempotent', 'stream', 'resumable-stream'] satisfies RouteKind[]) {
-	for (const [stage, {play, leavesWithinAnswer}] of Object.entries(stages)) {
+	for (const [stage, {play, disconnectsWithinAnswer: disconnectsWithinAnswer}] of Object.entries(stages)) {
 		test(`an endpoint's connection is released when the caller disconnects ${stage} (${kind})`, async () => {
 			// Guards against endpoints that run out of connections because each disconnected caller leaks one.
 			const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds, maxAttempts: 1})]})).start();
-			const departure = new AbortController();
-			const left = once(departure.signal, 'abort');
+			const disconnection = new AbortController();
+			const left = once(disconnection.signal, 'abort');
 			let arrive!: (socket: Socket) => void;
 			const arrival = new Promise<Socket>(resolve => {
 				arrive = resolve;
@@ -99,13 +99,13 @@
 			const caller = await openSocket(gateway.address);
 			caller.write(request);
 			const socket = await arrival;
-			if (leavesWithinAnswer) {
+			if (disconnectsWithinAnswer) {
 				await once(caller, 'readable');
 			}
 
 			caller.destroy();
 			await pause(50);
-			departure.abort();
+			disconnection.abort();
 			const isReleased = await isReleasedWithin(socket, releaseMilliseconds);
 			await gateway.close();
 			assert.equal(isReleased, true);
--- a/src/gateway/data-path/given-up-answer.test.ts
+++ b/src/gateway/data-path/cancelled-answer.test.ts
@@ -27,7 +27,7 @@
 };
 
 /** Serves one request whose caller reads nothing until the gateway may have cancelled it; returns what the caller then gets. */
-async function answerOfGivenUp(framing: keyof typeof framings, trigger: 'time-out' | 'silence'): Promise<{answer: string; lines: Array<Record<string, unknown>>}> {
+async function answerOfCancelled(framing: keyof typeof framings, trigger: 'time-out' | 'silence'): Promise<{answer: string; lines: Array<Record<string, unknown>>}> {
 	const {header, wrap, end} = framings[framing];
 	const gateway = await new TestGateway(testConfiguration({
 		routes: [testRoute({kind: 'idempotent', timeoutMilliseconds: trigger === 'time-out' ? 250 : 2000})],
@@ -77,16 +77,16 @@
 		// Guards against an answer without its last part that is framed as a complete one:
 		// 1. The caller does not read, so the answer waits here, received to its end. 2. The gateway cancels the attempt at the
 		// timeout of the route. 3. Node drops what waits and reports the end of the body, which the parser had found.
-		const {answer, lines} = await answerOfGivenUp(framing, 'time-out');
-		const told = lines.findLast(({kind}) => kind === 'try-failed' || kind === 'request-ended');
+		const {answer, lines} = await answerOfCancelled(framing, 'time-out');
+		const failureLine = lines.findLast(({kind}) => kind === 'try-failed' || kind === 'request-ended');
 		assert.notEqual(lines.findLast(({kind}) => kind === 'request-ended')?.outcome, 'whole', JSON.stringify(lines));
-		assert.ok(!answer.endsWith('\r\n0\r\n\r\n'), `${Buffer.byteLength(answer)} bytes, ended as whole; ${JSON.stringify(told)}`);
+		assert.ok(!answer.endsWith('\r\n0\r\n\r\n'), `${Buffer.byteLength(answer)} bytes, ended as whole; ${JSON.stringify(failureLine)}`);
 	});
 
 	test(`an answer framed by ${framing} whose last part waits for a slow caller is not cancelled as unresponsive`, async () => {
 		// The endpoint has sent everything and looks unresponsive, since this process does not read while the caller is slow. A
 		// cancellation would lose the last part of the answer; the caller must get all of it once it reads.
-		const {answer, lines} = await answerOfGivenUp(framing, 'silence');
+		const {answer, lines} = await answerOfCancelled(framing, 'silence');
 		assert.equal(answer.split('f'.repeat(1000)).length - 1, firstPart.length / 1000, JSON.stringify(lines));
 		assert.ok(answer.includes(lastPart), JSON.stringify(lines));
 		assert.deepEqual(lines.filter(({kind}) => kind === 'try-failed'), []);
--- a/src/gateway/data-path/endpoint-agent.ts
+++ b/src/gateway/data-path/endpoint-agent.ts
@@ -16,11 +16,11 @@
 /** Idle timeout where an endpoint states none: its timeout may be anything, so only quick reuse is safe. */
 const unstatedIdleMilliseconds = 700;
 /** Longest idle time, whatever the endpoint allows; an idle connection costs both sides memory. */
-const mostIdleMilliseconds = 10_000;
+const maxIdleMilliseconds = 10_000;
 
 export class EndpointAgent extends Agent {
-	readonly #statedLimits = new WeakMap<Duplex, number>();
-	readonly #watched = new WeakMap<Duplex, () => void>();
+	readonly #idleTimeouts = new WeakMap<Duplex, number>();
+	readonly #idleListeners = new WeakMap<Duplex, () => void>();
 
 	constructor() {
 		// The most recently used connection is reused first, so that spare connections reach their timeout and close.
@@ -36,23 +36,23 @@
 	noteKeepAlive(socket: Duplex, keepAlive: string | string[] | undefined): void {
 		const seconds = /timeout=(?<seconds>\d+)/v.exec(String(keepAlive ?? ''))?.groups?.seconds;
 		const limit = seconds === undefined ? unstatedIdleMilliseconds : (Number(seconds) * 1000) - idleMarginMilliseconds;
-		this.#statedLimits.set(socket, Math.min(mostIdleMilliseconds, limit));
+		this.#idleTimeouts.set(socket, Math.min(maxIdleMilliseconds, limit));
 	}
 
 	/** Called by Node when an answer is complete; returning false closes the connection. */
 	// eslint-disable-next-line @typescript-eslint/strict-void-return -- Node reads the value; its published types do not say so
 	override keepSocketAlive(socket: Duplex): boolean {
-		const limit = this.#statedLimits.get(socket) ?? unstatedIdleMilliseconds;
+		const limit = this.#idleTimeouts.get(socket) ?? unstatedIdleMilliseconds;
 		if (limit <= 0 || socket.destroyed) {
 			return false;
 		}
 
-		const end = (): void => {
+		const idleListener = (): void => {
 			socket.destroy();
 		};
 
-		this.#watched.set(socket, end);
-		socket.on('data', end);
+		this.#idleListeners.set(socket, idleListener);
+		socket.on('data', idleListener);
 		(socket as Socket).setTimeout(limit);
 		return true;
 	}
@@ -61,10 +61,10 @@
 	override reuseSocket(socket: Duplex, request: ClientRequest): void {
 		// Removes the listener that Node added when the connection became idle; otherwise each reuse would leave one behind.
 		super.reuseSocket(socket, request);
-		const end = this.#watched.get(socket);
-		if (end !== undefined) {
-			socket.off('data', end);
-			this.#watched.delete(socket);
+		const idleListener = this.#idleListeners.get(socket);
+		if (idleListener !== undefined) {
+			socket.off('data', idleListener);
+			this.#idleListeners.delete(socket);
 		}
 
 		(socket as Socket).setTimeout(0);
--- a/src/gateway/data-path/endpoint-try.ts
+++ b/src/gateway/data-path/endpoint-attempt.ts
@@ -7,15 +7,15 @@
 import {type AnswerTransfer} from './answer-transfer.js';
 import {type EndpointAnswer, type OpenExchange} from './endpoint-exchange.js';
 import {endpointHeaders} from './endpoint-headers.js';
-import {isPassableHead} from './is-passable-head.js';
-import {orderParts} from './order-parts.js';
+import {isForwardableHead} from './is-forwardable-head.js';
+import {planBlockTransfers} from './plan-block-transfers.js';
 import {parseEndpointLoad} from './parse-endpoint-load.js';
 import {relayAnswer} from './relay-answer.js';
-import {type GivenUpFor, TryWatch} from './try-watch.js';
-import {type TryTarget, type TryWork} from './try-work.js';
+import {type CancelReason, AttemptWatch} from './attempt-watch.js';
+import {type AttemptTarget, type AttemptWork} from './attempt-work.js';
 
 /** How an attempt ended. */
-export type TryResult = {
+export type AttemptResult = {
 	outcome: AttemptOutcome | 'whole' | 'client-left';
 	/** Whether the endpoint may have received the request. */
 	wasSent: boolean;
@@ -27,32 +27,32 @@
 };
 
 /** The `detail` that the log shows for an attempt that was cancelled early. */
-const givenUpDetails: Record<GivenUpFor, string> = {
+const cancelDetails: Record<CancelReason, string> = {
 	silence: 'the endpoint became unresponsive',
 	'older-weights': 'cancelled before it began: the grant of older weights ended',
 };
 
 const rejectionStatuses: ReadonlySet<number> = new Set([421, 429, 503]);
 
-export class EndpointTry {
+export class EndpointAttempt {
 	readonly #context: GatewayContext;
-	readonly #work: TryWork;
-	readonly #target: TryTarget;
-	readonly #watch: TryWatch;
+	readonly #work: AttemptWork;
+	readonly #target: AttemptTarget;
+	readonly #watch: AttemptWatch;
 	#exchange: OpenExchange | undefined;
 	#isCancelled = false;
 
-	constructor(context: GatewayContext, work: TryWork, target: TryTarget) {
+	constructor(context: GatewayContext, work: AttemptWork, target: AttemptTarget) {
 		this.#context = context;
 		this.#work = work;
 		this.#target = target;
-		this.#watch = new TryWatch(context, work, target);
+		this.#watch = new AttemptWatch(context, work, target);
 	}
 
 	/** Sends the request and relays the answer. */
-	async run(): Promise<TryResult> {
+	async run(): Promise<AttemptResult> {
 		const {placement, exchanges, names, metrics} = this.#context;
-		const {head, permitted, body, cutter, deadline} = this.#work;
+		const {head, permitted, body, splitter: splitter, deadline} = this.#work;
 		const {endpoint, request, basis} = this.#target;
 		placement.observe({
 			kind: 'sent', request, endpoint, basis,
@@ -65,10 +65,10 @@
 				head,
 				permitted,
 				endpoint,
-				leftMilliseconds: deadline - this.#now(),
+				remainingMilliseconds: deadline - this.#now(),
 				bodyBytes: body.length,
-				lastEventId: cutter?.lastId,
-				parts: orderParts(this.#context, this.#work, endpoint),
+				lastEventId: splitter?.lastId,
+				blockTransfers: planBlockTransfers(this.#context, this.#work, endpoint),
 			}, names),
 			body,
 			attemptId: head.attemptId,
@@ -78,7 +78,7 @@
 		const result = await this.#awaitResult(this.#exchange);
 		this.#watch.stop();
 		placement.observe({
-			kind: 'ended', request, endpoint, outcome: this.#endOf(result.outcome),
+			kind: 'ended', request, endpoint, outcome: this.#placementOutcomeOf(result.outcome),
 		}, this.#now());
 		metrics.tries.inc({outcome: result.outcome});
 		const {framing, bodyEnd} = result.transfer;
@@ -95,7 +95,7 @@
 		this.#exchange?.cancel();
 	}
 
-	async #awaitResult(exchange: OpenExchange): Promise<TryResult> {
+	async #awaitResult(exchange: OpenExchange): Promise<AttemptResult> {
 		const answered = await exchange.answer;
 		if (answered.isLeft()) {
 			const {kind, connection, detail} = answered.extract();
@@ -107,8 +107,8 @@
 
 		const answer = answered.unsafeCoerce();
 		this.#context.placement.received(this.#target.endpoint, this.#now());
-		this.#learnFrom(answer);
-		const outcome = this.#judge(answer);
+		this.#updateRegistry(answer);
+		const outcome = this.#classify(answer);
 		if (outcome === 'usable') {
 			return this.#relay(answer);
 		}
@@ -124,22 +124,22 @@
 	}
 
 	/** Classifies an answer by its head. Only `usable` answers are relayed. */
-	#judge(answer: EndpointAnswer): 'usable' | 'rejected' | 'failed' | 'unknown' {
+	#classify(answer: EndpointAnswer): 'usable' | 'rejected' | 'failed' | 'unknown' {
 		const {names} = this.#context;
 		const {status} = answer;
-		const hasWord = status === 421 || answer.header(names.notExecuted) !== undefined;
-		if (rejectionStatuses.has(status) && hasWord) {
+		const statesNotExecuted = status === 421 || answer.header(names.notExecuted) !== undefined;
+		if (rejectionStatuses.has(status) && statesNotExecuted) {
 			return 'rejected';
 		}
 
-		if (!isPassableHead(answer)) {
+		if (!isForwardableHead(answer)) {
 			this.#exchange?.cancel();
 			return 'unknown';
 		}
 
 		const isSuccess = status >= 200 && status < 300;
-		const isOwn = answer.header(names.attemptId) === this.#work.head.attemptId;
-		if (isSuccess && (answer.header(names.seal) === undefined || !isOwn)) {
+		const echoesAttemptId = answer.header(names.attemptId) === this.#work.head.attemptId;
+		if (isSuccess && (answer.header(names.seal) === undefined || !echoesAttemptId)) {
 			// Nothing proves that these bytes answer this request; the connection may carry the answer to another one.
 			this.#exchange?.cancel();
 			return 'unknown';
@@ -153,14 +153,14 @@
 		return status >= 500 && status !== 504 && isRetryable(this.#work.permitted.route.kind) ? 'failed' : 'usable';
 	}
 
-	async #relay(answer: EndpointAnswer): Promise<TryResult> {
+	async #relay(answer: EndpointAnswer): Promise<AttemptResult> {
 		const {placement, names, log} = this.#context;
-		const {head, response, cutter} = this.#work;
+		const {head, response, splitter: splitter} = this.#work;
 		const {endpoint, request, onFirstBytes} = this.#target;
 		const {outcome, ...read} = await relayAnswer({
 			answer,
 			response,
-			cutter: answer.status === 200 ? cutter : undefined,
+			splitter: answer.status === 200 ? splitter : undefined,
 			onFirstBytes: () => {
 				this.#watch.noteBegun();
 				onFirstBytes();
@@ -187,16 +187,16 @@
 		this.#exchange?.cancel();
 		// After half of a failure's body, another endpoint's events would be appended to it, and the answer would look complete.
 		// After events without an id no endpoint knows where to resume: it would start over and send the events twice.
-		const mayGoOn = answer.status === 200 && (cutter === undefined || (cutter.lastId ?? '') !== '');
-		const brokenOutcome = mayGoOn ? 'cut' : 'torn';
+		const isResumable = answer.status === 200 && (splitter === undefined || (splitter.lastId ?? '') !== '');
+		const brokenOutcome = isResumable ? 'cut' : 'torn';
 		// Drops the incomplete event of the broken answer; the next endpoint sends that event from its start.
-		cutter?.rest();
+		splitter?.flush();
 		return {
 			outcome: response.headersSent ? brokenOutcome : 'unknown', wasSent: true, mayHaveRun: true, answer, transfer, detail: this.#detailOf('the answer ended before it was complete'),
 		};
 	}
 
-	#learnFrom(answer: EndpointAnswer): void {
+	#updateRegistry(answer: EndpointAnswer): void {
 		const {names, endpoints} = this.#context;
 		const {endpoint} = this.#target;
 		const model = this.#work.head.prompt?.model;
@@ -205,33 +205,33 @@
 			endpoints.noteWeightVersion(endpoint.name, model, version);
 		}
 
-		const answering = answer.header(names.endpointName);
-		if (answer.status === 421 && answering !== undefined && answering !== endpoint.name) {
+		const answeringEndpoint = answer.header(names.endpointName);
+		if (answer.status === 421 && answeringEndpoint !== undefined && answeringEndpoint !== endpoint.name) {
 			endpoints.markLeaving(endpoint.name);
 		}
 	}
 
 	/** Explains why an attempt failed. The endpoint must not be blamed for an attempt that this process cancelled. */
-	#detailOf(seen: string): string {
-		const {givenUpFor} = this.#watch;
-		if (givenUpFor !== undefined) {
-			return givenUpDetails[givenUpFor];
+	#detailOf(observedDetail: string): string {
+		const {cancelReason: cancelReason} = this.#watch;
+		if (cancelReason !== undefined) {
+			return cancelDetails[cancelReason];
 		}
 
-		return this.#isCancelled ? 'cancelled: the caller disconnected or the timeout passed' : seen;
+		return this.#isCancelled ? 'cancelled: the caller disconnected or the timeout passed' : observedDetail;
 	}
 
-	#endOf(outcome: TryResult['outcome']): 'whole' | 'rejected' | 'failed' | 'unreachable' | 'cancelled' {
+	#placementOutcomeOf(outcome: AttemptResult['outcome']): 'whole' | 'rejected' | 'failed' | 'unreachable' | 'cancelled' {
 		if (outcome === 'whole' || outcome === 'rejected') {
 			return outcome;
 		}
 
-		const {givenUpFor} = this.#watch;
-		if (this.#isCancelled || givenUpFor === 'older-weights' || outcome === 'client-left') {
+		const {cancelReason: cancelReason} = this.#watch;
+		if (this.#isCancelled || cancelReason === 'older-weights' || outcome === 'client-left') {
 			return 'cancelled';
 		}
 
-		return outcome === 'not-sent' || givenUpFor === 'silence' ? 'unreachable' : 'failed';
+		return outcome === 'not-sent' || cancelReason === 'silence' ? 'unreachable' : 'failed';
 	}
 
 	#now(): number {
--- a/src/gateway/data-path/endpoint-choice.ts
+++ b/src/gateway/data-path/endpoint-choice.ts
@@ -5,26 +5,26 @@
 import {type Placement, type PlacementRequest} from '../../decision/placement/placement.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {type PermittedRequest} from './judge-request.js';
+import {type PermittedRequest} from './validate-request.js';
 import {placementRequestOf} from './placement-request.js';
-import {PromptSources} from './prompt-sources.js';
+import {PromptBlockSources} from './prompt-block-sources.js';
 import {type RequestHead} from './request-head.js';
 
 /** Samples of candidates that are checked for capacity before the service counts as overloaded. */
-const mostLooks = 3;
+const maxRounds = 3;
 
 export class EndpointChoice {
 	readonly #context: GatewayContext;
 	readonly #work: {head: RequestHead; permitted: PermittedRequest};
-	readonly #tried: ReadonlySet<string>;
-	#choices: readonly EndpointRecord[] = [];
-	#looks = 0;
+	readonly #attempted: ReadonlySet<string>;
+	#candidates: readonly EndpointRecord[] = [];
+	#rounds = 0;
 
-	/** @param tried - The endpoints that the request was already sent to; the caller may add to it. */
-	constructor(context: GatewayContext, work: {head: RequestHead; permitted: PermittedRequest}, tried: ReadonlySet<string>) {
+	/** @param attempted - The endpoints that the request was already sent to; the caller may add to it. */
+	constructor(context: GatewayContext, work: {head: RequestHead; permitted: PermittedRequest}, attempted: ReadonlySet<string>) {
 		this.#context = context;
 		this.#work = work;
-		this.#tried = tried;
+		this.#attempted = attempted;
 	}
 
 	/**
@@ -32,13 +32,13 @@
 	 * coordinator for the load from other instances there and for the locations of the prompt's cached blocks. A plain call is
 	 * placed without a query.
 	 */
-	async look(): Promise<void> {
+	async selectCandidates(): Promise<void> {
 		const {placement, peerNews} = this.#context;
 		const {permitted} = this.#work;
 		const now = this.#now();
-		this.#choices = placement.shortlist(this.#request(), this.#usable(now), now, this.#looks);
+		this.#candidates = placement.shortlist(this.#request(), this.#usable(now), now, this.#rounds);
 		if (permitted.route.carriesPrompt) {
-			await peerNews.refresh(this.#sources().question(this.#choices));
+			await peerNews.refresh(this.#sources().query(this.#candidates));
 		}
 	}
 
@@ -46,24 +46,24 @@
 	place(): {request: PlacementRequest; placement: Placement} {
 		const now = this.#now();
 		const request = this.#request();
-		const keepers = request.prompt === undefined ? [] : this.#sources().keepers();
-		const names = new Set([...this.#choices, ...keepers].map(({name}) => name));
+		const cachingEngines = request.prompt === undefined ? [] : this.#sources().cachingEngines();
+		const names = new Set([...this.#candidates, ...cachingEngines].map(({name}) => name));
 		const known = this.#usable(now).filter(({name}) => names.has(name));
 		return {request, placement: this.#context.placement.place(request, known, now)};
 	}
 
 	/** Moves to the next sample of candidates. Returns false after the last round, or if all usable endpoints were candidates. */
-	mayLookFurther(): boolean {
-		this.#looks++;
-		return this.#looks < mostLooks && this.#choices.length < this.#usable(this.#now()).length;
+	nextRound(): boolean {
+		this.#rounds++;
+		return this.#rounds < maxRounds && this.#candidates.length < this.#usable(this.#now()).length;
 	}
 
 	#request(): PlacementRequest {
-		return placementRequestOf(this.#context, this.#work, this.#tried);
+		return placementRequestOf(this.#context, this.#work, this.#attempted);
 	}
 
-	#sources(): PromptSources {
-		return new PromptSources(this.#context, this.#work.head, this.#work.permitted);
+	#sources(): PromptBlockSources {
+		return new PromptBlockSources(this.#context, this.#work.head, this.#work.permitted);
 	}
 
 	#usable(now: number): EndpointRecord[] {
--- a/src/gateway/data-path/endpoint-exchange.ts
+++ b/src/gateway/data-path/endpoint-exchange.ts
@@ -129,7 +129,7 @@
 
 	async #awaitAnswer(outgoing: ClientRequest, call: EndpointCall, {noteEnd, connectionEnd}: ConnectionNotes): Promise<Either<ExchangeFailure, EndpointAnswer>> {
 		let isConnected = false;
-		const failure = (detail: string): Either<ExchangeFailure, never> => Left({kind: isConnected ? 'unknown' : 'not-sent', connection: useOf(outgoing), detail});
+		const failure = (detail: string): Either<ExchangeFailure, never> => Left({kind: isConnected ? 'unknown' : 'not-sent', connection: connectionUseOf(outgoing), detail});
 		return new Promise(resolve => {
 			outgoing.once('socket', socket => {
 				const noteSocketEnd = (): void => {
@@ -184,7 +184,7 @@
 				resolve(Right({
 					...answerOf(response),
 					framing: framingOf(response, call.method),
-					connection: useOf(outgoing),
+					connection: connectionUseOf(outgoing),
 					connectionEnd,
 					discard(withinMilliseconds = discardMilliseconds) {
 						discardBody(response, outgoing, withinMilliseconds);
@@ -217,7 +217,7 @@
 	body.resume();
 }
 
-function useOf(outgoing: ClientRequest): ConnectionUse {
+function connectionUseOf(outgoing: ClientRequest): ConnectionUse {
 	return outgoing.reusedSocket ? 'kept' : 'new';
 }
 
--- a/src/gateway/data-path/endpoint-headers.test.ts
+++ b/src/gateway/data-path/endpoint-headers.test.ts
@@ -17,10 +17,10 @@
 			route: testRoute({carriesPrompt: true}), service: 'desk', grant: {name: 'split', isIsolated}, rank: 12, configurationVersion: 1,
 		},
 		endpoint: testEndpoint({name: 'e1', weightVersions: new Map([['permit', 3]])}),
-		leftMilliseconds: 812.7,
+		remainingMilliseconds: 812.7,
 		bodyBytes: 7,
 		lastEventId: undefined,
-		parts: undefined,
+		blockTransfers: undefined,
 	};
 }
 
@@ -46,7 +46,7 @@
 	const plan = planWith([]);
 	const parts = [{id: 'p1', tokens: 5}, {id: 'p2', tokens: 3}, {id: 'own', tokens: 2}];
 	const headers = endpointHeaders({
-		...plan, head: {...plan.head, prompt: {...plan.head.prompt!, blocks: parts}}, parts: {fetchFrom: ['10.0.0.1:1', undefined], saveTo: [undefined, '10.0.0.2:1'], fetchUntil: 5000.7},
+		...plan, head: {...plan.head, prompt: {...plan.head.prompt!, blocks: parts}}, blockTransfers: {fetchFrom: ['10.0.0.1:1', undefined], saveTo: [undefined, '10.0.0.2:1'], fetchUntil: 5000.7},
 	}, names);
 	assert.deepEqual(valuesOf(headers, names.fetchFrom), ['10.0.0.1:1,-,-']);
 	assert.deepEqual(valuesOf(headers, names.saveTo), ['-,10.0.0.2:1,-']);
--- a/src/gateway/data-path/endpoint-headers.ts
+++ b/src/gateway/data-path/endpoint-headers.ts
@@ -1,13 +1,13 @@
 /** Builds the headers of a request to an endpoint: the client's, without those that only the system may set, and the system's. */
 import {cacheSalt} from '../../protocol/blocks/cache-salt.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
-import {type PermittedRequest} from './judge-request.js';
+import {type PermittedRequest} from './validate-request.js';
 import {withoutHopByHop} from './hop-by-hop.js';
 import {type RequestHead} from './request-head.js';
 import {type WireNames} from './wire-names.js';
 
 /** Addresses for each block of the prompt, by index. Unfinished fetches are abandoned at `fetchUntil`, by the engines' clock. */
-export type PartOrders = {
+export type BlockTransfers = {
 	fetchFrom: ReadonlyArray<string | undefined>;
 	saveTo: ReadonlyArray<string | undefined>;
 	fetchUntil: number;
@@ -19,16 +19,16 @@
 	permitted: PermittedRequest;
 	endpoint: EndpointRecord;
 	/** Time until the deadline of the caller or the timeout of the route. */
-	leftMilliseconds: number;
+	remainingMilliseconds: number;
 	bodyBytes: number;
 	/** Id of the event after which a resumed stream continues. */
 	lastEventId: string | undefined;
 	/** The blocks that the engine fetches and saves; `undefined` for none. */
-	parts: PartOrders | undefined;
+	blockTransfers: BlockTransfers | undefined;
 };
 
 /** The least urgent rank at engines; less urgent declared ranks are clamped to it. */
-const lastEngineRank = 9;
+const maxEngineRank = 9;
 
 /**
  * Builds the headers of one send.
@@ -49,7 +49,7 @@
 		headers.push(name, value);
 	};
 
-	add(names.deadline, String(Math.max(1, Math.floor(plan.leftMilliseconds))));
+	add(names.deadline, String(Math.max(1, Math.floor(plan.remainingMilliseconds))));
 	add(names.expectedEndpoint, endpoint.name);
 	if (permitted.grant !== undefined) {
 		add(names.workspace, permitted.grant.name);
@@ -74,7 +74,7 @@
  * The salt names both, and the engine rejects the request if it no longer has those weights, so no block under this salt was
  * computed otherwise.
  */
-function addPromptHeaders({head, permitted, endpoint, parts}: SendPlan, names: WireNames, add: (name: string, value: string) => void): void {
+function addPromptHeaders({head, permitted, endpoint, blockTransfers: blockTransfers}: SendPlan, names: WireNames, add: (name: string, value: string) => void): void {
 	if (head.prompt === undefined || !permitted.route.carriesPrompt) {
 		return;
 	}
@@ -86,19 +86,19 @@
 
 	// With unknown weights nothing may be shared, so the request gets a unique salt.
 	add(names.cacheSalt, version === undefined ? `once-${head.attemptId}` : cacheSalt(cacheScopeOf(permitted), version));
-	add(names.engineRank, String(Math.min(lastEngineRank, permitted.rank)));
-	if (parts?.fetchFrom.some(address => address !== undefined)) {
-		add(names.fetchFrom, partList(parts.fetchFrom, head.prompt.blocks.length));
-		add(names.fetchUntil, String(Math.floor(parts.fetchUntil)));
+	add(names.engineRank, String(Math.min(maxEngineRank, permitted.rank)));
+	if (blockTransfers?.fetchFrom.some(address => address !== undefined)) {
+		add(names.fetchFrom, addressList(blockTransfers.fetchFrom, head.prompt.blocks.length));
+		add(names.fetchUntil, String(Math.floor(blockTransfers.fetchUntil)));
 	}
 
-	if (parts?.saveTo.some(address => address !== undefined)) {
-		add(names.saveTo, partList(parts.saveTo, head.prompt.blocks.length));
+	if (blockTransfers?.saveTo.some(address => address !== undefined)) {
+		add(names.saveTo, addressList(blockTransfers.saveTo, head.prompt.blocks.length));
 	}
 }
 
 /** Formats one entry for each block of the prompt. */
-function partList(addresses: ReadonlyArray<string | undefined>, length: number): string {
+function addressList(addresses: ReadonlyArray<string | undefined>, length: number): string {
 	return Array.from({length}, (_, index) => addresses[index] ?? '-').join(',');
 }
 
--- a/src/gateway/data-path/event-end.ts
+++ b/src/gateway/data-path/event-boundary-tracker.ts
@@ -8,19 +8,19 @@
 import {Buffer} from 'node:buffer';
 
 /** The end of an event is two line feeds, two carriage returns, or two pairs of carriage return and line feed. */
-const longestEventEnd = 4;
+const maxEventEndBytes = 4;
 
-export class EventEnd {
+export class EventBoundaryTracker {
 	#tail = Buffer.alloc(0);
 
 	/** Whether the bytes so far end within an event; false if there are none. */
-	get isTorn(): boolean {
+	get stopsWithinEvent(): boolean {
 		const text = this.#tail.toString('latin1');
 		return text !== '' && !/(?:\n\r?\n|\r\r)$/v.test(text);
 	}
 
 	/** Adds bytes in the order of their arrival. */
-	take(chunk: Buffer): void {
-		this.#tail = Buffer.concat([this.#tail, chunk.subarray(-longestEventEnd)]).subarray(-longestEventEnd);
+	push(chunk: Buffer): void {
+		this.#tail = Buffer.concat([this.#tail, chunk.subarray(-maxEventEndBytes)]).subarray(-maxEventEndBytes);
 	}
 }
--- a/src/gateway/data-path/event-cutter.ts
+++ b/src/gateway/data-path/event-splitter.ts
@@ -5,7 +5,7 @@
 import {Buffer} from 'node:buffer';
 
 /** Complete events, as bytes, and the id of the last one that had an id. */
-export type WholeEvents = {
+export type CompleteEvents = {
 	bytes: Buffer;
 	count: number;
 	lastId: string | undefined;
@@ -14,8 +14,8 @@
 const lineFeed = 0x0A;
 const carriageReturn = 0x0D;
 
-export class EventCutter {
-	#held: Buffer = Buffer.alloc(0);
+export class EventSplitter {
+	#incomplete: Buffer = Buffer.alloc(0);
 	#lastId: string | undefined;
 
 	/** The id of the last complete event so far that had one. */
@@ -25,14 +25,14 @@
 
 	/** Whether the bytes so far end with a complete event. */
 	get isAtBoundary(): boolean {
-		return this.#held.length === 0;
+		return this.#incomplete.length === 0;
 	}
 
 	/** Adds bytes; returns the events that they complete. */
-	take(chunk: Buffer): WholeEvents {
-		const bytes = this.#held.length === 0 ? chunk : Buffer.concat([this.#held, chunk]);
+	push(chunk: Buffer): CompleteEvents {
+		const bytes = this.#incomplete.length === 0 ? chunk : Buffer.concat([this.#incomplete, chunk]);
 		const end = lastBoundaryOf(bytes);
-		this.#held = bytes.subarray(end);
+		this.#incomplete = bytes.subarray(end);
 		const whole = bytes.subarray(0, end);
 		const text = whole.toString('latin1');
 		let count = 0;
@@ -45,10 +45,10 @@
 	}
 
 	/** Returns and clears the bytes after the last complete event. */
-	rest(): Buffer {
-		const rest = this.#held;
-		this.#held = Buffer.alloc(0);
-		return rest;
+	flush(): Buffer {
+		const remainder = this.#incomplete;
+		this.#incomplete = Buffer.alloc(0);
+		return remainder;
 	}
 }
 
--- a/src/gateway/data-path/request-ending.ts
+++ b/src/gateway/data-path/failure-responder.ts
@@ -1,11 +1,11 @@
 /** Ends a routed request that gets no complete answer: sends a typed refusal, or aborts an answer that has begun. */
 import {type ServerResponse} from 'node:http';
-import {breakOffAnswer} from '../../serving/break-off-answer.js';
+import {abortAnswer} from '../../serving/abort-answer.js';
 import {type Refusal} from '../../shared/types.js';
 import {type Refuse} from './refuse.js';
-import {type RoutedEnd} from './report-end.js';
+import {type RequestOutcome} from './report-end.js';
 
-export class RequestEnding {
+export class FailureResponder {
 	/** Status of the last refusal; `undefined` if none was sent. */
 	status: number | undefined;
 	readonly #response: ServerResponse;
@@ -22,9 +22,9 @@
 	 * @param refusal - Sent if the request cannot have run.
 	 * @param mayHaveRun - Whether an attempt may have run.
 	 */
-	giveUp(refusal: Refusal, mayHaveRun: boolean): RoutedEnd {
+	fail(refusal: Refusal, mayHaveRun: boolean): RequestOutcome {
 		if (this.#response.headersSent) {
-			breakOffAnswer(this.#response);
+			abortAnswer(this.#response);
 			return 'broken-off';
 		}
 
@@ -42,9 +42,9 @@
 	 *
 	 * @param mayHaveRun - Whether an attempt may have run.
 	 */
-	expire(mayHaveRun: boolean): RoutedEnd {
+	expire(mayHaveRun: boolean): RequestOutcome {
 		if (this.#response.headersSent) {
-			breakOffAnswer(this.#response);
+			abortAnswer(this.#response);
 		} else if (mayHaveRun) {
 			this.#write({reason: 'timeout', ran: 'unknown', message: 'the request was not answered in time'});
 		} else {
--- a/src/gateway/data-path/gateway-front.ts
+++ b/src/gateway/data-path/gateway-request-handler.ts
@@ -3,11 +3,11 @@
 import {readBody} from '../../serving/read-body.js';
 import {type Refusal} from '../../shared/types.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {judgeRequest, type PermittedRequest} from './judge-request.js';
+import {validateRequest, type PermittedRequest} from './validate-request.js';
 import {readRequestHead, type RequestHead} from './request-head.js';
 import {RoutedRequest} from './routed-request.js';
 
-export class GatewayFront {
+export class GatewayRequestHandler {
 	readonly #context: GatewayContext;
 	#open = 0;
 
@@ -25,7 +25,7 @@
 		this.#open++;
 		this.#context.metrics.open.set(this.#open);
 		try {
-			await this.#judgeAndRun(request, response);
+			await this.#validateAndRun(request, response);
 		} catch (error) {
 			// An exception in one request must not end the process; the listener answers the request or closes its connection.
 			this.#context.log.record('fault', {path: 'request', error: String(error)});
@@ -36,17 +36,17 @@
 		}
 	}
 
-	async #judgeAndRun(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	async #validateAndRun(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const {configuration, clock, names} = this.#context;
 		const arrivedAt = clock.moment();
 		const head = readRequestHead(request, names);
-		const verdict = judgeRequest(head, configuration, arrivedAt);
-		if (verdict.isLeft()) {
-			this.#refuse(response, head, verdict.extract());
+		const validation = validateRequest(head, configuration, arrivedAt);
+		if (validation.isLeft()) {
+			this.#refuse(response, head, validation.extract());
 			return;
 		}
 
-		const permitted = verdict.extract() as PermittedRequest;
+		const permitted = validation.extract() as PermittedRequest;
 		const body = await readBody(request, configuration.current!.limits.bodyBytes);
 		if (body.isLeft()) {
 			this.#refuse(response, head, body.extract());
--- a/src/gateway/data-path/hop-by-hop.ts
+++ b/src/gateway/data-path/hop-by-hop.ts
@@ -37,15 +37,15 @@
  * @returns Alternating names and values.
  */
 export function withoutHopByHop(rawHeaders: readonly string[], connection: string | undefined, dropped: ReadonlySet<string> = new Set()): string[] {
-	const left = hopByHopNamesOf(connection);
-	const kept: string[] = [];
+	const hopByHop = hopByHopNamesOf(connection);
+	const forwarded: string[] = [];
 	for (let index = 0; index < rawHeaders.length; index += 2) {
 		const name = rawHeaders[index]!;
 		const lower = name.toLowerCase();
-		if (!left.has(lower) && !dropped.has(lower)) {
-			kept.push(name, rawHeaders[index + 1]!);
+		if (!hopByHop.has(lower) && !dropped.has(lower)) {
+			forwarded.push(name, rawHeaders[index + 1]!);
 		}
 	}
 
-	return kept;
+	return forwarded;
 }
--- a/src/gateway/data-path/is-passable-head.ts
+++ b/src/gateway/data-path/is-forwardable-head.ts
@@ -7,8 +7,8 @@
  */
 import {type EndpointAnswer} from './endpoint-exchange.js';
 
-const leastStatus = 200;
-const mostStatus = 599;
+const minStatus = 200;
+const maxStatus = 599;
 /** The bytes allowed in a reason phrase or header value, each as one character, by RFC 9112 and RFC 9110. */
 const fieldBytes = /^[\t\u0020-\u007E\u0080-\u00FF]*$/v;
 
@@ -18,6 +18,6 @@
  * @param answer - The head of a final answer; interim answers are handled earlier, so a status below 200 is invalid.
  * @returns False if the answer must not be forwarded; it then proves nothing about the request.
  */
-export function isPassableHead({status, statusText, rawHeaders}: Pick<EndpointAnswer, 'status' | 'statusText' | 'rawHeaders'>): boolean {
-	return status >= leastStatus && status <= mostStatus && [statusText, ...rawHeaders].every(text => fieldBytes.test(text));
+export function isForwardableHead({status, statusText, rawHeaders}: Pick<EndpointAnswer, 'status' | 'statusText' | 'rawHeaders'>): boolean {
+	return status >= minStatus && status <= maxStatus && [statusText, ...rawHeaders].every(text => fieldBytes.test(text));
 }
--- a/src/gateway/data-path/malformed-head.test.ts
+++ b/src/gateway/data-path/malformed-head.test.ts
@@ -17,7 +17,7 @@
 });
 
 /** The status that a caller gets if the first endpoint answers with a given head, and the second one with a valid answer. */
-async function statusBehind(statusLine: string, header: string, kind: RouteKind): Promise<number> {
+async function statusAfter(statusLine: string, header: string, kind: RouteKind): Promise<number> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 	let isFirst = true;
 	const play: PlayedEndpoint = (request, response) => {
@@ -51,13 +51,13 @@
 		// Guards against the end of the process, at which all callers of the instance lose their connections:
 		// 1. An endpoint answers with a head that Node's parser accepts. 2. Node refuses to write the same head to the caller,
 		// with an exception in a listener of the body, where nothing catches it.
-		assert.equal(await statusBehind(statusLine, header, 'non-idempotent'), 502);
-		assert.equal(await statusBehind(statusLine, header, 'idempotent'), 200);
+		assert.equal(await statusAfter(statusLine, header, 'non-idempotent'), 502);
+		assert.equal(await statusAfter(statusLine, header, 'idempotent'), 200);
 	});
 }
 
 test('a reason phrase and a header with letters outside ASCII are forwarded', async () => {
-	assert.equal(await statusBehind('200 \u00E9t\u00E9', 'x-note: \u00E9\t\u0080\r\n', 'non-idempotent'), 200);
+	assert.equal(await statusAfter('200 \u00E9t\u00E9', 'x-note: \u00E9\t\u0080\r\n', 'non-idempotent'), 200);
 });
 
 test('a head that cannot be written ends the relay as cut, and another answer can still be sent', async () => {
@@ -71,7 +71,7 @@
 			status: 200, statusText: 'O\u0001K', rawHeaders: [], body, framing: 'length', connection: 'new', header: () => undefined, connectionEnd: () => 'open', discard: () => undefined,
 		},
 		response,
-		cutter: undefined,
+		splitter: undefined,
 		onFirstBytes() {
 			// Not used in this test.
 		},
--- a/src/gateway/data-path/parse-endpoint-load.ts
+++ b/src/gateway/data-path/parse-endpoint-load.ts
@@ -10,6 +10,6 @@
  */
 export function parseEndpointLoad(text: string | undefined): ReportedLoad | undefined {
 	const [running, waiting, slots] = (text ?? '').split(',').map(Number);
-	const isWhole = (value: number | undefined): value is number => value !== undefined && Number.isInteger(value) && value >= 0;
-	return isWhole(running) && isWhole(waiting) && isWhole(slots) ? {running, waiting, slots} : undefined;
+	const isCount = (value: number | undefined): value is number => value !== undefined && Number.isInteger(value) && value >= 0;
+	return isCount(running) && isCount(waiting) && isCount(slots) ? {running, waiting, slots} : undefined;
 }
--- a/src/gateway/data-path/placement-request.ts
+++ b/src/gateway/data-path/placement-request.ts
@@ -2,8 +2,8 @@
 import {type PlacementRequest} from '../../decision/placement/placement.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {cacheScopeOf} from './endpoint-headers.js';
-import {type PermittedRequest} from './judge-request.js';
-import {PromptSources} from './prompt-sources.js';
+import {type PermittedRequest} from './validate-request.js';
+import {PromptBlockSources} from './prompt-block-sources.js';
 import {type RequestHead} from './request-head.js';
 
 /**
@@ -11,10 +11,10 @@
  *
  * @param context - The state of this instance.
  * @param work - The request.
- * @param tried - The endpoints that the request was already sent to.
+ * @param attempted - The endpoints that the request was already sent to.
  */
-export function placementRequestOf(context: GatewayContext, {head, permitted}: {head: RequestHead; permitted: PermittedRequest}, tried: ReadonlySet<string>): PlacementRequest {
-	const sources = new PromptSources(context, head, permitted);
+export function placementRequestOf(context: GatewayContext, {head, permitted}: {head: RequestHead; permitted: PermittedRequest}, attempted: ReadonlySet<string>): PlacementRequest {
+	const sources = new PromptBlockSources(context, head, permitted);
 	const now = context.clock.moment();
 	const goal = context.goals.goalFor(head.prompt?.model ?? '');
 	return {
@@ -25,10 +25,10 @@
 		prompt: permitted.route.carriesPrompt ? head.prompt : undefined,
 		cacheScope: cacheScopeOf(permitted),
 		engine: context.configuration.current?.services.get(permitted.service)?.engine,
-		attempted: tried,
+		attempted: attempted,
 		fetchableUnder: version => sources.fetchableUnder(version),
 		isSourceNear: endpoint => sources.isSourceNear(endpoint),
-		cachedTokensAt: endpoint => sources.keptAt(endpoint),
+		cachedTokensAt: endpoint => sources.cachedTokensAt(endpoint),
 		wantedVersion: goal?.version,
 		olderWeightsUntil: weightVersion => goal === undefined ? Number.POSITIVE_INFINITY : now.steady + context.goals.leftOf(goal, now, weightVersion),
 		loading: context.loadingEngines.current,
--- a/src/gateway/data-path/prompt-sources.ts
+++ b/src/gateway/data-path/prompt-block-sources.ts
@@ -9,17 +9,17 @@
 import {type GatewayContext} from '../gateway-context.js';
 import {type PlaceQuestion} from '../hub/hub-messages.js';
 import {cacheScopeOf} from './endpoint-headers.js';
-import {type PermittedRequest} from './judge-request.js';
+import {type PermittedRequest} from './validate-request.js';
 import {type RequestHead} from './request-head.js';
 
 export type SourceContext = Pick<GatewayContext, 'clock' | 'configuration' | 'endpoints' | 'hubView' | 'loadingEngines' | 'placement'>;
 
 /** Blocks are queried under this many versions of the weights; while new weights are loaded, engines have two. */
-const mostVersions = 2;
+const maxVersions = 2;
 
-export class PromptSources {
+export class PromptBlockSources {
 	readonly #context: SourceContext;
-	readonly #parts: readonly PromptBlock[];
+	readonly #blocks: readonly PromptBlock[];
 	readonly #model: string;
 	readonly #service: string;
 	readonly #scope: string;
@@ -29,7 +29,7 @@
 	/** Answers for the moment of its construction; a request that is placed again needs a new instance. */
 	constructor(context: SourceContext, head: RequestHead, permitted: PermittedRequest) {
 		this.#context = context;
-		this.#parts = head.prompt?.blocks ?? [];
+		this.#blocks = head.prompt?.blocks ?? [];
 		this.#model = head.prompt?.model ?? '';
 		this.#service = permitted.service;
 		this.#scope = cacheScopeOf(permitted);
@@ -37,8 +37,8 @@
 	}
 
 	/** All blocks but the last, which belongs to this request alone. */
-	get sharedParts(): readonly PromptBlock[] {
-		return this.#parts.slice(0, -1);
+	get sharedBlocks(): readonly PromptBlock[] {
+		return this.#blocks.slice(0, -1);
 	}
 
 	get stores(): NamedStore[] {
@@ -59,7 +59,7 @@
 		}
 
 		const {stores} = this;
-		const fetchable = this.sharedParts.map(({id}) => {
+		const fetchable = this.sharedBlocks.map(({id}) => {
 			const key = blockKey({salt: this.saltUnder(version), id});
 			return stores.some(({name}) => this.#context.hubView.holds(name, key, this.#now)) || this.#enginesWith(key).length > 0;
 		});
@@ -69,13 +69,13 @@
 
 	/** Whether the last shared block can be fetched within the engine's data centre. The blocks before it are short. */
 	isSourceNear({dataCentre, weightVersions}: EndpointRecord): boolean {
-		const part = this.sharedParts.at(-1);
+		const block = this.sharedBlocks.at(-1);
 		const version = weightVersions.get(this.#model);
-		if (part === undefined || version === undefined) {
+		if (block === undefined || version === undefined) {
 			return false;
 		}
 
-		const key = blockKey({salt: this.saltUnder(version), id: part.id});
+		const key = blockKey({salt: this.saltUnder(version), id: block.id});
 		const holder = this.stores.find(({name}) => this.#context.hubView.holds(name, key, this.#now));
 		return holder === undefined
 			? this.#enginesWith(key).some(engine => engine.dataCentre === dataCentre)
@@ -83,35 +83,35 @@
 	}
 
 	/** Tokens of each block that an engine caches, by the engine's cache events; `undefined` while those are not known. */
-	keptAt({name, weightVersions}: EndpointRecord): readonly number[] | undefined {
+	cachedTokensAt({name, weightVersions}: EndpointRecord): readonly number[] | undefined {
 		const version = weightVersions.get(this.#model);
 		if (version === undefined) {
 			return undefined;
 		}
 
-		const kept = this.#keysUnder(version).map(key => this.#context.hubView.tokensAt(name, key, this.#now));
-		return kept.includes(undefined) ? undefined : kept as number[];
+		const cachedTokens = this.#keysUnder(version).map(key => this.#context.hubView.tokensAt(name, key, this.#now));
+		return cachedTokens.includes(undefined) ? undefined : cachedTokens as number[];
 	}
 
 	/** The query to send before the prompt is placed on one of some endpoints. */
-	question(endpoints: readonly EndpointRecord[]): PlaceQuestion {
+	query(endpoints: readonly EndpointRecord[]): PlaceQuestion {
 		const engines = this.#context.endpoints.usable(this.#service, this.#now.steady);
 		const versions = new Set(engines.map(({weightVersions}) => weightVersions.get(this.#model)).filter(version => version !== undefined));
-		const newest = [...versions].toSorted((one, other) => other - one).slice(0, mostVersions);
+		const newest = [...versions].toSorted((one, other) => other - one).slice(0, maxVersions);
 		return {
-			endpoints: endpoints.map(({name}) => name), keys: newest.flatMap(version => this.#keysUnder(version)), partCount: this.#parts.length,
+			endpoints: endpoints.map(({name}) => name), keys: newest.flatMap(version => this.#keysUnder(version)), partCount: this.#blocks.length,
 		};
 	}
 
 	/** Engines that are known to cache a block of the prompt. */
-	keepers(): EndpointRecord[] {
+	cachingEngines(): EndpointRecord[] {
 		const {endpoints, hubView} = this.#context;
-		const names = new Set(this.question([]).keys.flatMap(key => hubView.enginesWith(key, this.#now)));
+		const names = new Set(this.query([]).keys.flatMap(key => hubView.enginesWith(key, this.#now)));
 		return endpoints.usable(this.#service, this.#now.steady).filter(({name}) => names.has(name));
 	}
 
 	/** What is known about the sources that an engine can fetch blocks from. */
-	knowledgeFor(target: EndpointRecord): BlockLocator {
+	blockLocatorFor(target: EndpointRecord): BlockLocator {
 		const {hubView} = this.#context;
 		return {
 			isOpen: store => hubView.isOpen(store, this.#now),
@@ -140,6 +140,6 @@
 
 	/** Keys of all blocks under a weight version, in the order of the prompt. */
 	#keysUnder(version: number): string[] {
-		return this.#parts.map(({id}) => blockKey({salt: this.saltUnder(version), id}));
+		return this.#blocks.map(({id}) => blockKey({salt: this.saltUnder(version), id}));
 	}
 }
--- a/src/gateway/data-path/relay-answer.ts
+++ b/src/gateway/data-path/relay-answer.ts
@@ -1,10 +1,10 @@
 /** Relays an endpoint's answer to the caller as it arrives. */
 import {type Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
-import {brokenBodyEnd, judgeBodyEnd, type BodyEnd} from './answer-transfer.js';
+import {incompleteBodyEnd, classifyBodyEnd, type BodyEnd} from './answer-transfer.js';
 import {type EndpointAnswer} from './endpoint-exchange.js';
-import {type EventCutter} from './event-cutter.js';
-import {EventEnd} from './event-end.js';
+import {type EventSplitter} from './event-splitter.js';
+import {EventBoundaryTracker} from './event-boundary-tracker.js';
 import {withoutHopByHop} from './hop-by-hop.js';
 
 /** How a relayed answer ended. `cut`: it ended before it was complete, or could not be relayed. */
@@ -23,7 +23,7 @@
 	answer: EndpointAnswer;
 	response: ServerResponse;
 	/** Present for streams that may be resumed: only complete events are relayed. */
-	cutter: EventCutter | undefined;
+	splitter: EventSplitter | undefined;
 	/** Called when the first bytes of the body arrive, or at the end of an empty body. */
 	onFirstBytes(): void;
 	/** Called for each chunk of the body. */
@@ -42,18 +42,18 @@
  * @param relay - The answer and the response to the caller.
  * @returns How it ended. After `whole` the response is ended, otherwise it is left open.
  */
-export async function relayAnswer({answer, response, cutter, onFirstBytes, onBytes, onFault}: Relay): Promise<Relayed> {
+export async function relayAnswer({answer, response, splitter: splitter, onFirstBytes, onBytes, onFault}: Relay): Promise<Relayed> {
 	const {body} = answer;
-	const eventEnd = new EventEnd();
+	const boundaryTracker = new EventBoundaryTracker();
 	const isEventStream = answer.header('content-type')?.toLowerCase().startsWith('text/event-stream') ?? false;
 	return new Promise(resolve => {
 		let hasBytes = false;
 		let bodyBytes = 0;
 		let isDone = false;
-		let isLeft = false;
+		let hasCallerDisconnected = false;
 		const bodyEndNow = (): BodyEnd => {
 			const connectionEnd = answer.connectionEnd();
-			return isLeft && connectionEnd === 'open' ? 'cancelled' : brokenBodyEnd(connectionEnd);
+			return hasCallerDisconnected && connectionEnd === 'open' ? 'cancelled' : incompleteBodyEnd(connectionEnd);
 		};
 
 		const finish = (outcome: RelayOutcome): void => {
@@ -62,8 +62,8 @@
 			}
 
 			isDone = true;
-			response.off('close', leave).off('drain', resume);
-			body.off('data', takeGuarded).off('end', endGuarded).off('close', cut);
+			response.off('close', onCallerClose).off('drain', resume);
+			body.off('data', guardedOnData).off('end', guardedOnEnd).off('close', onClose);
 			body.on('error', ignore);
 			resolve({outcome, bodyBytes, bodyEnd: outcome === 'whole' ? 'in-order' : bodyEndNow()});
 		};
@@ -72,39 +72,39 @@
 			body.resume();
 		};
 
-		const leave = (): void => {
-			isLeft = true;
+		const onCallerClose = (): void => {
+			hasCallerDisconnected = true;
 			finish('client-left');
 		};
 
-		const pass = (bytes: Buffer): void => {
-			writeHeadOnce(answer, response, cutter !== undefined);
+		const writeBytes = (bytes: Buffer): void => {
+			writeHeadOnce(answer, response, splitter !== undefined);
 			if (bytes.length > 0 && !response.write(bytes)) {
 				body.pause();
 			}
 		};
 
-		const take = (chunk: Buffer): void => {
+		const onData = (chunk: Buffer): void => {
 			onBytes();
 			bodyBytes += chunk.length;
-			eventEnd.take(chunk);
-			const bytes = cutter === undefined ? chunk : cutter.take(chunk).bytes;
+			boundaryTracker.push(chunk);
+			const bytes = splitter === undefined ? chunk : splitter.push(chunk).bytes;
 			if (!hasBytes && bytes.length > 0) {
 				hasBytes = true;
 				onFirstBytes();
 			}
 
 			if (bytes.length > 0) {
-				pass(bytes);
+				writeBytes(bytes);
 			}
 		};
 
-		const end = (): void => {
-			const bodyEnd = judgeBodyEnd({
+		const onEnd = (): void => {
+			const bodyEnd = classifyBodyEnd({
 				framing: answer.framing,
 				promisedBytes: Number(answer.header('content-length')),
 				isComplete: body.complete,
-				isTorn: isEventStream && eventEnd.isTorn,
+				stopsWithinEvent: isEventStream && boundaryTracker.stopsWithinEvent,
 				connectionEnd: answer.connectionEnd(),
 			}, bodyBytes);
 			if (bodyEnd !== 'in-order') {
@@ -116,12 +116,12 @@
 				onFirstBytes();
 			}
 
-			writeHeadOnce(answer, response, cutter !== undefined);
-			response.end(cutter?.rest());
+			writeHeadOnce(answer, response, splitter !== undefined);
+			response.end(splitter?.flush());
 			finish('whole');
 		};
 
-		const cut = (): void => {
+		const onClose = (): void => {
 			finish('cut');
 		};
 
@@ -135,15 +135,15 @@
 			}
 		};
 
-		const takeGuarded = guarded(take);
-		const endGuarded = guarded(end);
-		response.on('close', leave).on('drain', resume);
-		body.on('data', takeGuarded).once('end', endGuarded).once('close', cut).once('error', cut);
+		const guardedOnData = guarded(onData);
+		const guardedOnEnd = guarded(onEnd);
+		response.on('close', onCallerClose).on('drain', resume);
+		body.on('data', guardedOnData).once('end', guardedOnEnd).once('close', onClose).once('error', onClose);
 	});
 }
 
 /** A resumed stream ends with another endpoint's events, so the length that the first endpoint states would be wrong. */
-const unpromisedInResumable: ReadonlySet<string> = new Set(['content-length']);
+const droppedIfResumable: ReadonlySet<string> = new Set(['content-length']);
 
 function writeHeadOnce(answer: EndpointAnswer, response: ServerResponse, mayBeResumed: boolean): void {
 	if (response.headersSent) {
@@ -151,7 +151,7 @@
 	}
 
 	try {
-		response.writeHead(answer.status, answer.statusText, withoutHopByHop(answer.rawHeaders, answer.header('connection'), mayBeResumed ? unpromisedInResumable : undefined));
+		response.writeHead(answer.status, answer.statusText, withoutHopByHop(answer.rawHeaders, answer.header('connection'), mayBeResumed ? droppedIfResumable : undefined));
 	} catch (error) {
 		// Node keeps the reason phrase that it refused, and would refuse the head of a replacement answer because of it.
 		response.statusMessage = '';
--- a/src/gateway/data-path/pass-on-failure.ts
+++ b/src/gateway/data-path/relay-failure.ts
@@ -3,11 +3,11 @@
 import {type DecisionLog} from '../observability/decision-log.js';
 import {type AnswerTransfer} from './answer-transfer.js';
 import {type EndpointAnswer} from './endpoint-exchange.js';
-import {transferOf} from './endpoint-try.js';
+import {transferOf} from './endpoint-attempt.js';
 import {relayAnswer, type RelayOutcome} from './relay-answer.js';
 
 /** The failure to relay, and the response to write it to. */
-export type FailureWork = {
+export type FailureRelay = {
 	id: string;
 	answer: EndpointAnswer;
 	response: ServerResponse;
@@ -21,7 +21,7 @@
  * @returns How the relay ended, and how the failure was transferred. If the caller already has part of another answer, the
  * outcome is `cut` and nothing is relayed.
  */
-export async function passOnFailure({id, answer, response, log}: FailureWork): Promise<{outcome: RelayOutcome; transfer?: AnswerTransfer}> {
+export async function relayFailure({id, answer, response, log}: FailureRelay): Promise<{outcome: RelayOutcome; transfer?: AnswerTransfer}> {
 	if (response.headersSent) {
 		answer.body.resume();
 		return {outcome: 'cut'};
@@ -30,7 +30,7 @@
 	const {outcome, ...read} = await relayAnswer({
 		answer,
 		response,
-		cutter: undefined,
+		splitter: undefined,
 		onFirstBytes: ignore,
 		onBytes: ignore,
 		onFault(error) {
--- a/src/gateway/data-path/report-end.test.ts
+++ b/src/gateway/data-path/report-end.test.ts
@@ -3,15 +3,15 @@
 import {type Route} from '../../shared/routed-configuration.js';
 import {testRoute} from '../testing/test-configuration.js';
 import {type AnswerTransfer} from './answer-transfer.js';
-import {endLine, type EndFacts, type EndLine} from './report-end.js';
+import {endLogLine, type EndFacts, type EndLogLine} from './report-end.js';
 
 const basis = {
 	keptTokens: 131, fetchTokens: 1004, readTokens: 184, occupancy: 17, unreadBefore: undefined, costMilliseconds: 122.6,
 };
 
 /** The line of a request that arrived at 1000 ms and ended at 1200 ms, normally unless `changes` say otherwise. */
-function lineOf(changes: {route?: Partial<Route>; facts?: Partial<EndFacts>}): EndLine {
-	return endLine({
+function lineOf(changes: {route?: Partial<Route>; facts?: Partial<EndFacts>}): EndLogLine {
+	return endLogLine({
 		head: {attemptId: 'a1'},
 		permitted: {route: testRoute(changes.route), service: 'desk', configurationVersion: 7},
 		arrivedAt: {steady: 1000, wall: 0},
@@ -59,12 +59,12 @@
 	assert.deepEqual([fields.objectiveMilliseconds, fields.milliseconds, fields.transfer], [150, 200, endedByConnection]);
 });
 
-const extraordinary: Record<string, Partial<EndFacts>> = {
+const abnormalEnds: Record<string, Partial<EndFacts>> = {
 	refused: {
 		end: 'refused', status: 503, endpoints: [], sends: 0,
 	},
 	'aborted early': {end: 'broken-off'},
-	repeated: {sends: 2, endpoints: ['desk-1', 'desk-2']},
+	retried: {sends: 2, endpoints: ['desk-1', 'desk-2']},
 	'sent to another endpoint after an unreachable one': {endpoints: ['desk-1', 'desk-2']},
 	'answered with a failure': {status: 500},
 	'retried and ended only with its connection': {
@@ -77,7 +77,7 @@
 		transfer: {connection: 'kept'},
 	},
 };
-for (const [name, facts] of Object.entries(extraordinary)) {
+for (const [name, facts] of Object.entries(abnormalEnds)) {
 	test(`a request that was ${name} has a full line`, () => {
 		const {kind, fields} = lineOf({facts});
 		assert.equal(kind, 'request-ended');
--- a/src/gateway/data-path/report-end.ts
+++ b/src/gateway/data-path/report-end.ts
@@ -13,15 +13,15 @@
 import {type GatewayContext} from '../gateway-context.js';
 import {type DecisionFields, type DecisionKind} from '../observability/decision-log.js';
 import {type AnswerTransfer} from './answer-transfer.js';
-import {type PermittedRequest} from './judge-request.js';
+import {type PermittedRequest} from './validate-request.js';
 import {type RequestHead} from './request-head.js';
 
 /** How a routed request ended. */
-export type RoutedEnd = 'whole' | 'refused' | 'failed' | 'failure-passed-on' | 'broken-off' | 'client-left' | 'timeout';
+export type RequestOutcome = 'whole' | 'refused' | 'failed' | 'failure-passed-on' | 'broken-off' | 'client-left' | 'timeout';
 
 /** What is reported about a request that ended. */
 export type EndFacts = {
-	end: RoutedEnd;
+	end: RequestOutcome;
 	status: number;
 	/** In the order of the attempts. */
 	endpoints: string[];
@@ -41,7 +41,7 @@
 export type EndedRequest = {head: Pick<RequestHead, 'attemptId'>; permitted: Pick<PermittedRequest, 'route' | 'service' | 'configurationVersion'>; arrivedAt: Moment};
 
 /** A line of the log. */
-export type EndLine = {kind: DecisionKind; fields: DecisionFields};
+export type EndLogLine = {kind: DecisionKind; fields: DecisionFields};
 
 /** From this status on an answer means that the request was not served, whether by the gateway or by the endpoint. */
 const firstFailureStatus = 400;
@@ -64,7 +64,7 @@
 		metrics.firstByte.observe({kind}, (firstByteAt - arrivedAt.steady) / 1000);
 	}
 
-	const line = endLine(work, facts, now);
+	const line = endLogLine(work, facts, now);
 	log.record(line.kind, line.fields);
 }
 
@@ -75,8 +75,8 @@
  * @param facts - How it ended.
  * @param now - Milliseconds of the steady clock.
  */
-export function endLine(work: EndedRequest, facts: EndFacts, now: number): EndLine {
-	if (!isAsItShould(work, facts, now)) {
+export function endLogLine(work: EndedRequest, facts: EndFacts, now: number): EndLogLine {
+	if (!isNormalEnd(work, facts, now)) {
 		return endedLine(work, facts, now);
 	}
 
@@ -85,15 +85,15 @@
 		return servedLine(work, facts, now);
 	}
 
-	return isEndedByConnection(transfer) ? unmarkedLine(work, facts, transfer, now) : endedLine(work, facts, now);
+	return isEndedByConnection(transfer) ? endedByConnectionLine(work, facts, transfer, now) : endedLine(work, facts, now);
 }
 
 /** Whether a request ended normally: completely, at the first endpoint, within the route's objective. */
-function isAsItShould({permitted: {route}, arrivedAt}: EndedRequest, facts: EndFacts, now: number): boolean {
+function isNormalEnd({permitted: {route}, arrivedAt}: EndedRequest, facts: EndFacts, now: number): boolean {
 	const {end, status, sends, endpoints, firstByteAt} = facts;
-	const isServedAtOnce = end === 'whole' && status < firstFailureStatus && sends === 1 && endpoints.length === 1;
-	const promptAt = isStream(route) ? firstByteAt ?? now : now;
-	return isServedAtOnce && promptAt - arrivedAt.steady <= route.objectiveMilliseconds;
+	const isServedDirectly = end === 'whole' && status < firstFailureStatus && sends === 1 && endpoints.length === 1;
+	const respondedAt = isStream(route) ? firstByteAt ?? now : now;
+	return isServedDirectly && respondedAt - arrivedAt.steady <= route.objectiveMilliseconds;
 }
 
 /** Whether only the orderly end of its connection shows that an answer is complete. */
@@ -101,7 +101,7 @@
 	return framing === 'connection' && bodyEnd === 'in-order';
 }
 
-function servedLine({head, permitted, arrivedAt}: EndedRequest, {endpoints, placedBy}: EndFacts, now: number): EndLine {
+function servedLine({head, permitted, arrivedAt}: EndedRequest, {endpoints, placedBy}: EndFacts, now: number): EndLogLine {
 	return {
 		kind: 'request-served',
 		fields: {
@@ -123,7 +123,7 @@
  * it ended, which distinguish half an answer from a complete one. Some services send only such answers, so the line holds
  * little more than that: 365 bytes with a prompt's placement, where the full line of the same request has 562.
  */
-function unmarkedLine({head, permitted, arrivedAt}: EndedRequest, {endpoints, placedBy}: EndFacts, transfer: AnswerTransfer, now: number): EndLine {
+function endedByConnectionLine({head, permitted, arrivedAt}: EndedRequest, {endpoints, placedBy}: EndFacts, transfer: AnswerTransfer, now: number): EndLogLine {
 	return {
 		kind: 'request-ended',
 		fields: {
@@ -139,7 +139,7 @@
 	};
 }
 
-function endedLine({head, permitted, arrivedAt}: EndedRequest, facts: EndFacts, now: number): EndLine {
+function endedLine({head, permitted, arrivedAt}: EndedRequest, facts: EndFacts, now: number): EndLogLine {
 	const {end, placedBy, firstByteAt, sentAt, ...counts} = facts;
 	return {
 		kind: 'request-ended',
--- a/src/gateway/data-path/request-head.ts
+++ b/src/gateway/data-path/request-head.ts
@@ -43,36 +43,36 @@
 		deadlineMilliseconds: Number.isFinite(deadline) && deadline >= 0 ? deadline : undefined,
 		key: textOf(names.workspaceKey),
 		lastEventId: textOf(names.lastEventId),
-		prompt: readPrompt(textOf(names.model), textOf(names.tokenCount), textOf(names.promptParts)),
+		prompt: parsePrompt(textOf(names.model), textOf(names.tokenCount), textOf(names.promptParts)),
 	};
 }
 
-function readPrompt(model: string | undefined, tokenCount: string | undefined, promptParts: string | undefined): PromptShape | undefined {
+function parsePrompt(model: string | undefined, tokenCount: string | undefined, promptBlocks: string | undefined): PromptShape | undefined {
 	if (model === undefined || tokenCount === undefined) {
 		return undefined;
 	}
 
-	const [promptTokens = Number.NaN, mostOutputTokens = 0] = tokenCount.split(',').map(Number);
-	if (!Number.isFinite(promptTokens) || !Number.isFinite(mostOutputTokens)) {
+	const [promptTokens = Number.NaN, maxOutputTokens = 0] = tokenCount.split(',').map(Number);
+	if (!Number.isFinite(promptTokens) || !Number.isFinite(maxOutputTokens)) {
 		return undefined;
 	}
 
 	return {
-		model, promptTokens, maxOutputTokens: mostOutputTokens, blocks: readParts(promptParts ?? ''),
+		model, promptTokens, maxOutputTokens: maxOutputTokens, blocks: parseBlocks(promptBlocks ?? ''),
 	};
 }
 
-function readParts(text: string): PromptBlock[] {
-	const parts: PromptBlock[] = [];
+function parseBlocks(text: string): PromptBlock[] {
+	const blocks: PromptBlock[] = [];
 	for (const entry of text.split(',')) {
 		const [id = '', count = ''] = entry.split(':');
 		const tokens = Number(count);
 		if (id.trim() === '' || !Number.isFinite(tokens)) {
-			return parts;
+			return blocks;
 		}
 
-		parts.push({id: id.trim(), tokens});
+		blocks.push({id: id.trim(), tokens});
 	}
 
-	return parts;
+	return blocks;
 }
--- a/src/gateway/data-path/resumed-stream.test.ts
+++ b/src/gateway/data-path/resumed-stream.test.ts
@@ -13,7 +13,7 @@
 	}, body: 'x',
 });
 
-async function streamBreaks(kind: 'stream' | 'resumable-stream', breakOff: (response: ServerResponse) => void): Promise<{answer: string; askedBehind: string[]}> {
+async function breakStream(kind: 'stream' | 'resumable-stream', abort: (response: ServerResponse) => void): Promise<{answer: string; askedBehind: string[]}> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 	const askedBehind: string[] = [];
 	let isFirst = true;
@@ -24,7 +24,7 @@
 			response.writeHead(200, {...sealedHeaders(incoming), 'content-type': 'text/event-stream'});
 			response.write(eventText(1) + eventText(2));
 			setTimeout(() => {
-				breakOff(response);
+				abort(response);
 			}, 30);
 			return;
 		}
@@ -50,7 +50,7 @@
 test('a stream that breaks within an event is resumed elsewhere without a duplicate, incomplete or missing event', async () => {
 	// The endpoint crashes after half of event 3. Complete events were relayed, the half was held back. Another endpoint
 	// continues after event 2; the half must not be sent before its first event.
-	const {answer, askedBehind} = await streamBreaks('resumable-stream', response => {
+	const {answer, askedBehind} = await breakStream('resumable-stream', response => {
 		response.write('id: 3\ndata: pie', () => {
 			response.destroy();
 		});
@@ -61,7 +61,7 @@
 });
 
 test('a stream that may not be resumed ends visibly incomplete', async () => {
-	const {answer, askedBehind} = await streamBreaks('stream', response => {
+	const {answer, askedBehind} = await breakStream('stream', response => {
 		response.destroy();
 	});
 	assert.deepEqual(askedBehind, ['start']);
--- a/src/gateway/data-path/routed-request.ts
+++ b/src/gateway/data-path/routed-request.ts
@@ -10,17 +10,17 @@
 import {type Placement, type PlacementBasis, type PlacementRequest} from '../../decision/placement/placement.js';
 import {type Moment} from '../../ports/moment-clock.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {breakOffAnswer} from '../../serving/break-off-answer.js';
-import {hasCallerLeft} from '../../serving/has-caller-left.js';
+import {abortAnswer} from '../../serving/abort-answer.js';
+import {hasCallerDisconnected} from '../../serving/has-caller-disconnected.js';
 import {unusualTransfer, type AnswerTransfer} from './answer-transfer.js';
 import {EndpointChoice} from './endpoint-choice.js';
 import {type EndpointAnswer} from './endpoint-exchange.js';
-import {EndpointTry, type TryResult} from './endpoint-try.js';
-import {EventCutter} from './event-cutter.js';
-import {type PermittedRequest} from './judge-request.js';
-import {passOnFailure} from './pass-on-failure.js';
-import {reportEnd, type RoutedEnd} from './report-end.js';
-import {RequestEnding} from './request-ending.js';
+import {EndpointAttempt, type AttemptResult} from './endpoint-attempt.js';
+import {EventSplitter} from './event-splitter.js';
+import {type PermittedRequest} from './validate-request.js';
+import {relayFailure} from './relay-failure.js';
+import {reportEnd, type RequestOutcome} from './report-end.js';
+import {FailureResponder} from './failure-responder.js';
 import {type RequestHead} from './request-head.js';
 
 /** A permitted request with its body, and the response to write. */
@@ -39,61 +39,61 @@
 	readonly #context: GatewayContext;
 	readonly #work: RoutedWork;
 	readonly #deadline: number;
-	readonly #tried = new Set<string>();
+	readonly #attempted = new Set<string>();
 	readonly #choice: EndpointChoice;
-	readonly #cutter: EventCutter | undefined;
-	readonly #ending: RequestEnding;
-	#current: EndpointTry | undefined;
+	readonly #splitter: EventSplitter | undefined;
+	readonly #failureResponder: FailureResponder;
+	#currentAttempt: EndpointAttempt | undefined;
 	#sends = 0;
 	#mayHaveRun = false;
-	#hasLeft = false;
+	#hasCallerDisconnected = false;
 	#isExpired = false;
 	#firstByteAt: number | undefined;
 	#sentAt: number | undefined;
 	#basis: PlacementBasis | undefined;
 	#status = 0;
 	/** How the last answer was transferred; unset once a log line has reported it. */
-	#untoldTransfer: AnswerTransfer | undefined;
+	#unreportedTransfer: AnswerTransfer | undefined;
 
 	constructor(context: GatewayContext, work: RoutedWork) {
 		this.#context = context;
 		this.#work = work;
-		this.#choice = new EndpointChoice(context, work, this.#tried);
+		this.#choice = new EndpointChoice(context, work, this.#attempted);
 		const {route} = work.permitted;
-		const patience = work.head.deadlineMilliseconds ?? Number.POSITIVE_INFINITY;
-		this.#deadline = work.arrivedAt.steady + Math.min(route.timeoutMilliseconds, patience);
-		this.#cutter = route.kind === 'resumable-stream' ? new EventCutter() : undefined;
-		this.#ending = new RequestEnding(work.response, context.refuse);
+		const callerTimeoutMilliseconds = work.head.deadlineMilliseconds ?? Number.POSITIVE_INFINITY;
+		this.#deadline = work.arrivedAt.steady + Math.min(route.timeoutMilliseconds, callerTimeoutMilliseconds);
+		this.#splitter = route.kind === 'resumable-stream' ? new EventSplitter() : undefined;
+		this.#failureResponder = new FailureResponder(work.response, context.refuse);
 	}
 
 	/** Serves the request to its end. The response is always ended or closed when this resolves. */
-	async run(): Promise<RoutedEnd> {
+	async run(): Promise<RequestOutcome> {
 		const {response} = this.#work;
 		const onClose = (): void => {
-			this.#leave();
+			this.#handleDisconnect();
 		};
 
 		if (response.destroyed) {
-			this.#leave();
+			this.#handleDisconnect();
 		}
 
 		response.once('close', onClose);
 		const timer = setTimeout(() => {
 			this.#isExpired = true;
-			this.#current?.cancel();
+			this.#currentAttempt?.cancel();
 		}, Math.max(0, this.#deadline - this.#now()));
 		try {
-			const end = await this.#tryUntilDone();
+			const end = await this.#attemptUntilDone();
 			reportEnd(this.#context, this.#work, {
 				end,
-				status: this.#ending.status ?? this.#status,
-				endpoints: [...this.#tried],
+				status: this.#failureResponder.status ?? this.#status,
+				endpoints: [...this.#attempted],
 				sends: this.#sends,
 				mayHaveRun: this.#mayHaveRun,
 				placedBy: this.#basis,
 				firstByteAt: this.#firstByteAt,
 				sentAt: this.#sentAt,
-				...unusualTransfer(this.#untoldTransfer),
+				...unusualTransfer(this.#unreportedTransfer),
 			}, this.#now());
 			return end;
 		} finally {
@@ -102,26 +102,26 @@
 		}
 	}
 
-	async #tryUntilDone(): Promise<RoutedEnd> {
+	async #attemptUntilDone(): Promise<RequestOutcome> {
 		for (;;) {
-			await this.#choice.look();
+			await this.#choice.selectCandidates();
 
-			const hasLeft = await hasCallerLeft(this.#work.request, this.#context.eventLoopLag.current);
-			if (hasLeft || this.#hasLeft) {
+			const isDisconnected = await hasCallerDisconnected(this.#work.request, this.#context.eventLoopLag.current);
+			if (isDisconnected || this.#hasCallerDisconnected) {
 				return 'client-left';
 			}
 
 			if (this.#isExpired || this.#now() >= this.#deadline) {
-				return this.#ending.expire(this.#mayHaveRun);
+				return this.#failureResponder.expire(this.#mayHaveRun);
 			}
 
 			const {request, placement} = this.#choice.place();
-			if (placement.kind === 'none' && placement.reason === 'overloaded' && this.#choice.mayLookFurther()) {
+			if (placement.kind === 'none' && placement.reason === 'overloaded' && this.#choice.nextRound()) {
 				continue;
 			}
 
 			if (placement.kind === 'none') {
-				return this.#ending.giveUp({
+				return this.#failureResponder.fail({
 					reason: placement.reason, ran: 'not-run', message: 'no endpoint of the service can accept the request now', retryAfterMilliseconds: placement.retryAfterMilliseconds,
 				}, this.#mayHaveRun);
 			}
@@ -131,13 +131,13 @@
 				return 'whole';
 			}
 
-			if (result.outcome === 'client-left' || this.#hasLeft) {
+			if (result.outcome === 'client-left' || this.#hasCallerDisconnected) {
 				this.#discardUnread(result);
 				return 'client-left';
 			}
 
 			if (this.#isExpired) {
-				return this.#ending.expire(this.#mayHaveRun);
+				return this.#failureResponder.expire(this.#mayHaveRun);
 			}
 
 			const {outcome} = result;
@@ -145,7 +145,7 @@
 			this.#context.log.record('try-failed', {
 				id: this.#work.head.attemptId, endpoint: placement.endpoint.name, outcome, step, sends: this.#sends, detail: result.detail, status: result.answer?.status, transfer: result.transfer,
 			});
-			this.#untoldTransfer = undefined;
+			this.#unreportedTransfer = undefined;
 			const end = await this.#carryOut(step, result.answer);
 			if (end !== undefined) {
 				return end;
@@ -165,7 +165,7 @@
 	}
 
 	/** Carries out the step after a failed attempt. Returns how the request ended, or `undefined` if another attempt follows. */
-	async #carryOut(step: NextStep, answer: EndpointAnswer | undefined): Promise<RoutedEnd | undefined> {
+	async #carryOut(step: NextStep, answer: EndpointAnswer | undefined): Promise<RequestOutcome | undefined> {
 		switch (step) {
 			case 'repeat':
 			case 'resume': {
@@ -174,34 +174,34 @@
 			}
 
 			case 'pass-on': {
-				return this.#passOnFailure(answer!);
+				return this.#relayFailure(answer!);
 			}
 
 			case 'break-off': {
-				breakOffAnswer(this.#work.response);
+				abortAnswer(this.#work.response);
 				return 'broken-off';
 			}
 
 			case 'refuse':
 			case 'fail': {
 				answer?.discard();
-				return this.#ending.giveUp({
+				return this.#failureResponder.fail({
 					reason: 'no-endpoint', ran: 'not-run', message: 'no endpoint accepted the request', retryAfterMilliseconds: rejectedRetryMilliseconds,
 				}, this.#mayHaveRun);
 			}
 		}
 	}
 
-	async #send(request: PlacementRequest, {endpoint, basis}: Placement & {kind: 'send'}): Promise<TryResult> {
+	async #send(request: PlacementRequest, {endpoint, basis}: Placement & {kind: 'send'}): Promise<AttemptResult> {
 		const {head, permitted, body, response} = this.#work;
-		this.#tried.add(endpoint.name);
+		this.#attempted.add(endpoint.name);
 		this.#basis = basis;
 		if (this.#sends === 0) {
 			this.#context.budget.countRequest(permitted.service, this.#now());
 		}
 
-		this.#current = new EndpointTry(this.#context, {
-			head, permitted, body, response, cutter: this.#cutter, deadline: this.#deadline,
+		this.#currentAttempt = new EndpointAttempt(this.#context, {
+			head, permitted, body, response, splitter: this.#splitter, deadline: this.#deadline,
 		}, {
 			endpoint,
 			request,
@@ -212,42 +212,42 @@
 			},
 		});
 		this.#sentAt = this.#now();
-		const running = this.#current.run();
+		const running = this.#currentAttempt.run();
 		if (request.prompt !== undefined) {
 			this.#context.peerNews.tell();
 		}
 
 		const result = await running;
 		// The body of a failure may still be relayed; the timeout and a disconnect of the caller must be able to cancel that too.
-		this.#current = result.outcome === 'failed' ? this.#current : undefined;
+		this.#currentAttempt = result.outcome === 'failed' ? this.#currentAttempt : undefined;
 		this.#sends += result.wasSent ? 1 : 0;
 		this.#mayHaveRun ||= result.mayHaveRun;
-		this.#untoldTransfer = result.transfer;
+		this.#unreportedTransfer = result.transfer;
 		this.#status = result.answer?.status ?? this.#status;
 		return result;
 	}
 
-	async #passOnFailure(answer: EndpointAnswer): Promise<RoutedEnd> {
+	async #relayFailure(answer: EndpointAnswer): Promise<RequestOutcome> {
 		const {head, response} = this.#work;
-		const {outcome, transfer} = await passOnFailure({
+		const {outcome, transfer} = await relayFailure({
 			id: head.attemptId, answer, response, log: this.#context.log,
 		});
 		if (transfer !== undefined) {
-			this.#untoldTransfer = transfer;
+			this.#unreportedTransfer = transfer;
 			this.#status = answer.status;
 		}
 
 		if (outcome !== 'whole') {
 			// The rest of the body is not read, so an endpoint that has stalled would hold its connection indefinitely.
-			this.#current?.cancel();
+			this.#currentAttempt?.cancel();
 		}
 
 		if (outcome === 'cut' && this.#isExpired) {
-			return this.#ending.expire(this.#mayHaveRun);
+			return this.#failureResponder.expire(this.#mayHaveRun);
 		}
 
 		if (outcome === 'cut') {
-			breakOffAnswer(response);
+			abortAnswer(response);
 			return 'broken-off';
 		}
 
@@ -255,7 +255,7 @@
 	}
 
 	/** Releases the connection of an answer whose caller has disconnected; an endpoint that stalls would hold it indefinitely. */
-	#discardUnread({outcome, answer}: TryResult): void {
+	#discardUnread({outcome, answer}: AttemptResult): void {
 		if (outcome === 'rejected') {
 			answer?.discard();
 		} else {
@@ -268,14 +268,14 @@
 	 * Handles a disconnect of the caller. Idempotent requests and streams are cancelled, since nobody reads their answers. A
 	 * non-idempotent call is left to finish, since cancelling it would leave it half done and save little.
 	 */
-	#leave(): void {
+	#handleDisconnect(): void {
 		if (this.#work.response.writableFinished) {
 			return;
 		}
 
-		this.#hasLeft = true;
+		this.#hasCallerDisconnected = true;
 		if (this.#work.permitted.route.kind !== 'non-idempotent') {
-			this.#current?.cancel();
+			this.#currentAttempt?.cancel();
 		}
 	}
 
--- a/src/gateway/data-path/stalled-failure.test.ts
+++ b/src/gateway/data-path/stalled-failure.test.ts
@@ -9,7 +9,7 @@
 
 const routeMilliseconds = 300;
 /** Far longer than the timeout of the route, far shorter than that of the test. */
-const patienceMilliseconds = 3000;
+const timeoutMilliseconds = 3000;
 
 const post = rawRequest({
 	method: 'POST', path: '/', headers: {
@@ -37,8 +37,8 @@
 		return true;
 	}
 
-	const patience = AbortSignal.timeout(patienceMilliseconds);
-	return once(socket, 'close', {signal: patience}).then(() => true, () => false);
+	const timeout = AbortSignal.timeout(timeoutMilliseconds);
+	return once(socket, 'close', {signal: timeout}).then(() => true, () => false);
 }
 
 test('a failure whose body stalls ends at the timeout of the route', async context => {
--- a/src/gateway/data-path/judge-request.test.ts
+++ b/src/gateway/data-path/validate-request.test.ts
@@ -3,7 +3,7 @@
 import {type Moment} from '../../ports/moment-clock.js';
 import {ConfigurationView} from '../configuration/configuration-view.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
-import {judgeRequest} from './judge-request.js';
+import {validateRequest} from './validate-request.js';
 import {type RequestHead} from './request-head.js';
 
 const bounds = {freshMilliseconds: 3000, leaseMilliseconds: 4800};
@@ -35,7 +35,7 @@
 	return view;
 }
 
-const reasonOf = (head: RequestHead, view: ConfigurationView, now: number): string => judgeRequest(head, view, at(now)).caseOf({Left: ({reason}) => reason, Right: () => 'permitted'});
+const reasonOf = (head: RequestHead, view: ConfigurationView, now: number): string => validateRequest(head, view, at(now)).caseOf({Left: ({reason}) => reason, Right: () => 'permitted'});
 
 test('a key is accepted while the configuration is valid, and refused as not run afterwards', () => {
 	// The store is unreachable and an operator removes the key at second 1. At second 4.9 the key may have been removed for
--- a/src/gateway/data-path/judge-request.ts
+++ b/src/gateway/data-path/validate-request.ts
@@ -20,7 +20,7 @@
 };
 
 /** `Retry-After` of an instance that lost the store: by then the load balancer has taken it out of rotation. */
-const untrustedRetryMilliseconds = 1000;
+const staleRetryMilliseconds = 1000;
 
 /**
  * Validates a request: the size of its headers, its route and its key.
@@ -33,7 +33,7 @@
  * @param now - The present moment.
  * @returns The permitted request, or the refusal.
  */
-export function judgeRequest(head: RequestHead, view: ConfigurationView, now: Moment): Either<Refusal, PermittedRequest> {
+export function validateRequest(head: RequestHead, view: ConfigurationView, now: Moment): Either<Refusal, PermittedRequest> {
 	const {current} = view;
 	if (current === undefined) {
 		return Left(staleRefusal('no configuration has been read yet'));
@@ -51,7 +51,7 @@
 			: staleRefusal('no route matches, but the configuration of this instance may be stale'));
 	}
 
-	return judgeKey(route, head, {current, view, now}).map(grant => ({
+	return checkKey(route, head, {current, view, now}).map(grant => ({
 		route,
 		service: chooseTarget(route.targets, head.attemptId),
 		grant,
@@ -60,15 +60,15 @@
 	}));
 }
 
-type Knowledge = {current: ConfigurationInForce; view: ConfigurationView; now: Moment};
+type ValidationContext = {current: ConfigurationInForce; view: ConfigurationView; now: Moment};
 
-function judgeKey(route: Route, head: RequestHead, {current, view, now}: Knowledge): Either<Refusal, WorkspaceGrant | undefined> {
+function checkKey(route: Route, head: RequestHead, {current, view, now}: ValidationContext): Either<Refusal, WorkspaceGrant | undefined> {
 	if (!route.requiresKey || current.grants === undefined) {
 		return Right(undefined);
 	}
 
-	const trust = view.trustAt(now);
-	if (trust === 'lapsed') {
+	const validity = view.trustAt(now);
+	if (validity === 'lapsed') {
 		return Left(staleRefusal('the key cannot be checked: this instance has not reached the store for too long'));
 	}
 
@@ -77,7 +77,7 @@
 		return Right(grant);
 	}
 
-	return Left(trust === 'fresh'
+	return Left(validity === 'fresh'
 		? {reason: 'unauthorized', ran: 'not-run', message: 'the key is missing or not known'}
 		: staleRefusal('the key is not known, but the configuration of this instance may be stale'));
 }
@@ -103,6 +103,6 @@
 
 function staleRefusal(message: string): Refusal {
 	return {
-		reason: 'stale-configuration', ran: 'not-run', message, retryAfterMilliseconds: untrustedRetryMilliseconds,
+		reason: 'stale-configuration', ran: 'not-run', message, retryAfterMilliseconds: staleRetryMilliseconds,
 	};
 }
--- a/src/gateway/data-path/weights-grant.test.ts
+++ b/src/gateway/data-path/weights-grant.test.ts
@@ -47,10 +47,10 @@
 		response.end('id: 1\ndata: new\n\n');
 	}, {weightVersions: new Map([['lease', 2]])});
 	const answer = await answering;
-	const closedBehind = await closed;
+	const closedAfterMilliseconds = await closed;
 	await gateway.close();
 	assert.equal(statusOf(answer), 200);
 	assert.match(answer, /data: new/v);
-	assert.ok(closedBehind < boundMilliseconds, `closed ${closedBehind} ms after the naming`);
+	assert.ok(closedAfterMilliseconds < boundMilliseconds, `closed ${closedAfterMilliseconds} ms after the naming`);
 	assert.equal(gateway.lines.find(({kind}) => kind === 'try-failed')?.detail, 'cancelled before it began: the grant of older weights ended');
 });
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -24,7 +24,7 @@
 import {EventLoopLag} from '../serving/event-loop-lag.js';
 import {ConfigurationView} from './configuration/configuration-view.js';
 import {HttpEndpointExchanges} from './data-path/endpoint-exchange.js';
-import {GatewayFront} from './data-path/gateway-front.js';
+import {GatewayRequestHandler} from './data-path/gateway-request-handler.js';
 import {createRefuse} from './data-path/refuse.js';
 import {type WireNames} from './data-path/wire-names.js';
 import {EndpointProber} from './endpoints/endpoint-prober.js';
@@ -71,7 +71,7 @@
 	readonly #settings: GatewaySettings;
 	readonly #context: GatewayContext;
 	readonly #placement: CostPlacement;
-	readonly #front: GatewayFront;
+	readonly #front: GatewayRequestHandler;
 	readonly #callers: HttpListener;
 	readonly #ready: HttpListener;
 	readonly #metricsListener: HttpListener;
@@ -119,11 +119,11 @@
 			metrics,
 			refuse: createRefuse(metrics),
 		};
-		this.#front = new GatewayFront(this.#context);
+		this.#front = new GatewayRequestHandler(this.#context);
 		this.#callers = new HttpListener('callers', async (request, response) => {
 			this.#applyLimits();
 			await this.#front.serve(request, response);
-		}, settings.listenCallers, {...defaultListenerBounds, largestHeaderBytes: parserHeaderBytes});
+		}, settings.listenCallers, {...defaultListenerBounds, maxHeaderBytes: parserHeaderBytes});
 		this.#ready = new HttpListener('ready', this.#readyApp(), settings.listenReady);
 		this.#metricsListener = new HttpListener('metrics', this.#metricsApp(), settings.listenMetrics);
 		this.#feeds = new TableFeeds(this.#context, {...ports, isReader: () => this.#hubs.isReader, isStandby: () => this.#hubs.isDeputy}, timings);
--- a/src/gateway/observability/failures-among-others.test.ts
+++ b/src/gateway/observability/failures-among-others.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {endLine, type EndFacts, type EndLine} from '../data-path/report-end.js';
+import {endLogLine, type EndFacts, type EndLogLine} from '../data-path/report-end.js';
 import {testRoute} from '../testing/test-configuration.js';
 import {DecisionLog} from './decision-log.js';
 
@@ -17,19 +17,19 @@
 } as const;
 
 /** The line of a request with this duration. */
-function lineOf(id: string, facts: EndFacts, milliseconds: number): EndLine {
-	return endLine({
+function lineOf(id: string, facts: EndFacts, milliseconds: number): EndLogLine {
+	return endLogLine({
 		head: {attemptId: id},
 		permitted: {route: testRoute({objectiveMilliseconds, carriesPrompt: true}), service: 'quay-desk', configurationVersion: 1207},
 		arrivedAt: {steady: 0, wall: 0},
 	}, facts, milliseconds);
 }
 
-function repeatedEnd(id: string): EndLine {
+function repeatedEnd(id: string): EndLogLine {
 	return lineOf(id, {...whole, sends: 2, endpoints: ['quay-desk-zone-1-3', 'quay-desk-zone-1-12']}, 900);
 }
 
-const wholeEnds: Record<string, (id: string) => EndLine> = {
+const wholeEnds: Record<string, (id: string) => EndLogLine> = {
 	ordinary: id => lineOf(id, whole, 900),
 	late: id => lineOf(id, whole, 1600),
 	repeated: repeatedEnd,
--- a/src/gateway/testing/test-gateway.ts
+++ b/src/gateway/testing/test-gateway.ts
@@ -10,7 +10,7 @@
 import {ConfigurationView} from '../configuration/configuration-view.js';
 import {type RoutedConfiguration} from '../../shared/routed-configuration.js';
 import {HttpEndpointExchanges} from '../data-path/endpoint-exchange.js';
-import {GatewayFront} from '../data-path/gateway-front.js';
+import {GatewayRequestHandler} from '../data-path/gateway-request-handler.js';
 import {createRefuse} from '../data-path/refuse.js';
 import {ownWireNames} from '../data-path/wire-names.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
@@ -78,7 +78,7 @@
 			metrics,
 			refuse: createRefuse(metrics),
 		};
-		const front = new GatewayFront(this.context);
+		const front = new GatewayRequestHandler(this.context);
 		this.#listener = new HttpListener('callers', async (request, response) => front.serve(request, response), '127.0.0.1:0');
 	}
 
--- a/src/serving/break-off-answer.ts
+++ b/src/serving/abort-answer.ts
@@ -10,7 +10,7 @@
  *
  * @param response - The answer, of which a part may have been sent.
  */
-export function breakOffAnswer(response: ServerResponse): void {
+export function abortAnswer(response: ServerResponse): void {
 	const {socket} = response;
 	if (response.useChunkedEncodingByDefault || socket === null) {
 		response.destroy();
--- a/src/serving/connection-refusal.ts
+++ b/src/serving/connection-refusal.ts
@@ -16,7 +16,7 @@
  * @param code - The code of the error.
  * @returns The refusal; `undefined` if the peer has disconnected and nobody reads an answer.
  */
-export function judgeConnectionError(code = ''): ConnectionRefusal | undefined {
+export function classifyConnectionError(code = ''): ConnectionRefusal | undefined {
 	switch (code) {
 		case 'ECONNRESET':
 		case 'EPIPE': {
--- a/src/serving/has-caller-left.ts
+++ b/src/serving/has-caller-disconnected.ts
@@ -2,7 +2,7 @@
 import {afterNextPoll} from './after-next-poll.js';
 
 /** After a longer lag, the close that follows a request may still wait in the request's socket. */
-const closeMayWaitMilliseconds = 100;
+const pollAgainLagMilliseconds = 100;
 
 /**
  * Checks whether the caller of a request has disconnected. A process that was paused reads a request before the close that
@@ -11,8 +11,8 @@
  * @param request - The request.
  * @param lagMilliseconds - The present lag of the event loop.
  */
-export async function hasCallerLeft({socket}: IncomingMessage, lagMilliseconds: number): Promise<boolean> {
-	if (lagMilliseconds > closeMayWaitMilliseconds) {
+export async function hasCallerDisconnected({socket}: IncomingMessage, lagMilliseconds: number): Promise<boolean> {
+	if (lagMilliseconds > pollAgainLagMilliseconds) {
 		await afterNextPoll();
 	}
 
--- a/src/serving/http-listener.ts
+++ b/src/serving/http-listener.ts
@@ -11,8 +11,8 @@
 import {type Duplex} from 'node:stream';
 import {type H3, toNodeHandler} from 'h3';
 import {type Child} from '../supervisor/supervisor.js';
-import {connectionRefusalBytes, judgeConnectionError} from './connection-refusal.js';
-import {breakOffAnswer} from './break-off-answer.js';
+import {connectionRefusalBytes, classifyConnectionError} from './connection-refusal.js';
+import {abortAnswer} from './abort-answer.js';
 import {sendRefusal} from './send-refusal.js';
 
 /** Limits for a client until its request has arrived. */
@@ -22,14 +22,14 @@
 	requestTimeoutMilliseconds: number;
 	/** How often the two timeouts are checked. */
 	checkMilliseconds: number;
-	largestHeaderBytes: number;
+	maxHeaderBytes: number;
 };
 
 export const defaultListenerBounds: ListenerBounds = {
 	headersTimeoutMilliseconds: 10_000,
 	requestTimeoutMilliseconds: 60_000,
 	checkMilliseconds: 1000,
-	largestHeaderBytes: 32_768,
+	maxHeaderBytes: 32_768,
 };
 
 /**
@@ -40,13 +40,13 @@
 const outstandingBodyMilliseconds = 2000;
 
 /** Handles a request from `node:http`. */
-export type NodeHandle = (request: IncomingMessage, response: ServerResponse) => unknown;
+export type NodeHandler = (request: IncomingMessage, response: ServerResponse) => unknown;
 
 export class HttpListener implements Child {
 	readonly name: string;
 	readonly #server: Server;
 	readonly #address: {host: string; port: number};
-	readonly #handle: NodeHandle;
+	readonly #handle: NodeHandler;
 	/** The open connections, each with its unfinished answers. */
 	readonly #connections = new Map<Duplex, Set<ServerResponse>>();
 	#draining = false;
@@ -58,7 +58,7 @@
 	 * @param address - `IP:port`; port 0 selects a free one.
 	 * @param bounds - Limits for a client until its request has arrived.
 	 */
-	constructor(name: string, app: H3 | NodeHandle, address: string, bounds = defaultListenerBounds) {
+	constructor(name: string, app: H3 | NodeHandler, address: string, bounds = defaultListenerBounds) {
 		this.name = name;
 		const separator = address.lastIndexOf(':');
 		this.#address = {host: address.slice(0, separator), port: Number(address.slice(separator + 1))};
@@ -67,7 +67,7 @@
 			headersTimeout: bounds.headersTimeoutMilliseconds,
 			requestTimeout: bounds.requestTimeoutMilliseconds,
 			connectionsCheckingInterval: bounds.checkMilliseconds,
-			maxHeaderSize: bounds.largestHeaderBytes,
+			maxHeaderSize: bounds.maxHeaderBytes,
 			noDelay: true,
 		});
 		// By default Node silently drops headers after the 2,000th; a dropped Idempotency-Key would let a booking run twice.
@@ -168,7 +168,7 @@
 			}
 		});
 		response.once('finish', () => {
-			closeIfOutstanding(request);
+			closeIfBodyOutstanding(request);
 		});
 		if (this.#draining || this.#closesConnections) {
 			response.setHeader('connection', 'close');
@@ -183,7 +183,7 @@
 		} catch {
 			// An exception in one request must not end the process and all other answers.
 			if (response.headersSent) {
-				breakOffAnswer(response);
+				abortAnswer(response);
 			} else {
 				sendRefusal(response, {reason: 'internal', ran: 'unknown', message: 'the request could not be served'});
 			}
@@ -195,21 +195,21 @@
 	 * once, the refusal would replace that answer or land within it; so the connection is closed after the answer instead.
 	 */
 	#refuseConnection(connection: Duplex, code: string | undefined): void {
-		const refusal = judgeConnectionError(code);
+		const refusal = classifyConnectionError(code);
 		if (refusal === undefined || !connection.writable) {
 			connection.destroy();
 			return;
 		}
 
-		const owed = [...this.#connections.get(connection) ?? []].findLast(response => response.headersSent || response.req.complete);
-		if (owed === undefined) {
+		const pendingAnswer = [...this.#connections.get(connection) ?? []].findLast(response => response.headersSent || response.req.complete);
+		if (pendingAnswer === undefined) {
 			connection.end(connectionRefusalBytes(refusal), () => {
 				connection.destroy();
 			});
 			return;
 		}
 
-		owed.once('close', () => {
+		pendingAnswer.once('close', () => {
 			connection.end();
 		});
 	}
@@ -228,7 +228,7 @@
 }
 
 /** Closes the connection of an answered request unless the rest of its body arrives soon. */
-function closeIfOutstanding(request: IncomingMessage): void {
+function closeIfBodyOutstanding(request: IncomingMessage): void {
 	const {socket} = request;
 	if (request.complete) {
 		return;
--- a/src/serving/read-body.ts
+++ b/src/serving/read-body.ts
@@ -23,15 +23,15 @@
 	const chunks: Buffer[] = [];
 	let length = 0;
 	return new Promise(resolve => {
-		const end = (result: Either<Refusal, Buffer>): void => {
-			request.off('data', take).off('end', finish).off('close', cut);
+		const settle = (result: Either<Refusal, Buffer>): void => {
+			request.off('data', onData).off('end', onEnd).off('close', onClose);
 			resolve(result);
 		};
 
-		const take = (chunk: Buffer): void => {
+		const onData = (chunk: Buffer): void => {
 			length += chunk.length;
 			if (length > limitBytes) {
-				end(Left(tooLarge));
+				settle(Left(tooLarge));
 				request.resume();
 				return;
 			}
@@ -39,14 +39,14 @@
 			chunks.push(chunk);
 		};
 
-		const finish = (): void => {
-			end(Right(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)));
+		const onEnd = (): void => {
+			settle(Right(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)));
 		};
 
-		const cut = (): void => {
-			end(Left({reason: 'bad-request', ran: 'not-run', message: 'the body was cut off'}));
+		const onClose = (): void => {
+			settle(Left({reason: 'bad-request', ran: 'not-run', message: 'the body was cut off'}));
 		};
 
-		request.on('data', take).once('end', finish).once('close', cut);
+		request.on('data', onData).once('end', onEnd).once('close', onClose);
 	});
 }
