--- a/src/gateway/hub/part-directory.ts
+++ b/src/gateway/coordinator/block-directory.ts
@@ -8,31 +8,31 @@
  */
 import {type BlockChanges} from '../../protocol/blocks/store-inventory.js';
 import {
-	engineHolder, type KeptParts, type PartsAnswer, type PlaceQuestion,
-} from './hub-messages.js';
+	engineHolder, type CachedBlocks, type BlocksAnswer, type PlacementQuery,
+} from './coordinator-messages.js';
 
 /** How many engines an answer names beside the queried ones, for the blocks that they hold. */
-const mostKeepers = 8;
+const maxExtraEngines = 8;
 /** A block with more holders than this adds no further engines to an answer: some of the queried ones hold it as well. */
-const widelyKept = 24;
+const commonBlockHolders = 24;
 
 /** What the directory has to know about holders. */
-export type Holders = {
+export type HolderStates = {
 	/** Stores whose blocks may be offered. */
 	stores: readonly string[];
 	/** Whether the known blocks of an engine are up to date. */
-	isKnown: (engine: string) => boolean;
+	isUpToDate: (engine: string) => boolean;
 	/** Requests in flight at an engine. */
 	requestsAt: (engine: string) => number;
 };
 
 const enginePrefix = engineHolder('');
 
-export class PartDirectory {
+export class BlockDirectory {
 	readonly #holders = new Map<string, Map<string, number>>();
 
 	/** Applies the changes of what a holder has cached. */
-	take(holder: string, {added, removed}: BlockChanges): void {
+	apply(holder: string, {added, removed}: BlockChanges): void {
 		for (const key of removed) {
 			const holders = this.#holders.get(key);
 			if (holders?.delete(holder) && holders.size === 0) {
@@ -48,21 +48,21 @@
 	}
 
 	/** Answers a query about the blocks of one prompt. */
-	answer({endpoints, keys, partCount}: PlaceQuestion, {stores, isKnown, requestsAt}: Holders): PartsAnswer {
+	answer({endpoints, keys, partCount}: PlacementQuery, {stores, isUpToDate: isUpToDate, requestsAt}: HolderStates): BlocksAnswer {
 		if (keys.length === 0) {
 			return {kept: [], engines: [], unknown: []};
 		}
 
-		const engines = [...new Set([...endpoints, ...this.#keepers(keys, partCount, requestsAt)])];
+		const engines = [...new Set([...endpoints, ...this.#enginesWithDeepestBlocks(keys, partCount, requestsAt)])];
 		const holders = [...stores, ...engines.map(engine => engineHolder(engine))];
 		return {
-			kept: holders.map((holder): [string, KeptParts] => [holder, this.#keptAt(holder, keys)]).filter(([, parts]) => parts.length > 0),
+			kept: holders.map((holder): [string, CachedBlocks] => [holder, this.#cachedAt(holder, keys)]).filter(([, blocks]) => blocks.length > 0),
 			engines,
-			unknown: engines.filter(engine => !isKnown(engine)),
+			unknown: engines.filter(engine => !isUpToDate(engine)),
 		};
 	}
 
-	#keptAt(holder: string, keys: readonly string[]): KeptParts {
+	#cachedAt(holder: string, keys: readonly string[]): CachedBlocks {
 		return keys.flatMap((key, index) => {
 			const tokens = this.#holders.get(key)?.get(holder);
 			return tokens === undefined ? [] : [[index, tokens] as [number, number]];
@@ -70,24 +70,24 @@
 	}
 
 	/** Engines that hold the deepest blocks, those with the fewest requests first. */
-	#keepers(keys: readonly string[], partCount: number, requestsAt: (engine: string) => number): Set<string> {
-		const keepers = new Set<string>();
-		for (let depth = partCount - 1; depth >= 0 && keepers.size < mostKeepers; depth--) {
+	#enginesWithDeepestBlocks(keys: readonly string[], partCount: number, requestsAt: (engine: string) => number): Set<string> {
+		const engines = new Set<string>();
+		for (let depth = partCount - 1; depth >= 0 && engines.size < maxExtraEngines; depth--) {
 			const found = this.#enginesWith(keys.filter((_key, index) => index % partCount === depth))
 				.map(engine => ({engine, requests: requestsAt(engine)}))
 				.toSorted((one, other) => one.requests - other.requests);
-			for (const {engine} of found.slice(0, mostKeepers - keepers.size)) {
-				keepers.add(engine);
+			for (const {engine} of found.slice(0, maxExtraEngines - engines.size)) {
+				engines.add(engine);
 			}
 		}
 
-		return keepers;
+		return engines;
 	}
 
 	#enginesWith(keys: readonly string[]): string[] {
 		return keys
 			.map(key => this.#holders.get(key))
-			.filter(holders => holders !== undefined && holders.size <= widelyKept)
+			.filter(holders => holders !== undefined && holders.size <= commonBlockHolders)
 			.flatMap(holders => [...holders!.keys()])
 			.filter(holder => holder.startsWith(enginePrefix))
 			.map(holder => holder.slice(enginePrefix.length));
--- a/src/gateway/hub/store-keepers.test.ts
+++ b/src/gateway/coordinator/cache-store-managers.test.ts
@@ -6,27 +6,27 @@
 import {withdrawalMilliseconds} from '../../protocol/blocks/block-times.js';
 import {type StoreTraits} from '../../shared/routed-configuration.js';
 import {DecisionLog} from '../observability/decision-log.js';
-import {StoreKeepers} from './store-keepers.js';
+import {CacheStoreManagers} from './cache-store-managers.js';
 
 const stores: Array<[string, StoreTraits]> = [['cache', {
 	address: '127.0.0.1:1', dataCentre: 'split', capacityTokens: 10_000, linkMegabitsPerSecond: 1, transferLatencyMilliseconds: 1, isManaged: true,
 }]];
 
 /** Managers whose clock the test sets; pauses pass at once. */
-function keepersThatTellNobody(control: CacheStoreControl, now: () => number): StoreKeepers {
+function managersWithoutFollowers(control: CacheStoreControl, now: () => number): CacheStoreManagers {
 	const clock: MomentClock = {
 		moment: () => ({steady: now(), wall: now()}),
 		sleep: async () => new Promise(resolve => {
 			setImmediate(resolve);
 		}),
 	};
-	return new StoreKeepers({
+	return new CacheStoreManagers({
 		control,
 		clock,
 		log: new DecisionLog({writableLength: 0, write: () => true}, {}, now),
-		mayAct: () => true,
-		isDead: () => false,
-		tell() {
+		holdsLease: () => true,
+		isExpired: () => false,
+		publish() {
 			// No followers in this test.
 		},
 	});
@@ -56,24 +56,24 @@
 		events: async () => Left('not called in this test'),
 		free: async () => Right(undefined),
 	};
-	const told = new Set<string>();
-	const keepers = new StoreKeepers({
+	const published = new Set<string>();
+	const keepers = new CacheStoreManagers({
 		control,
 		clock,
 		log: new DecisionLog({writableLength: 0, write: () => true}, {}, () => now),
-		mayAct: () => true,
-		isDead: () => false,
-		tell(_store, {added, removed}) {
+		holdsLease: () => true,
+		isExpired: () => false,
+		publish(_store, {added, removed}) {
 			for (const key of removed) {
-				told.delete(key);
+				published.delete(key);
 			}
 
 			for (const [key] of added) {
-				told.add(key);
+				published.add(key);
 			}
 		},
 	});
-	keepers.keep(stores, 1);
+	keepers.manage(stores, 1);
 	while (asked.length === 0) {
 		await new Promise(resolve => {
 			setImmediate(resolve);
@@ -87,7 +87,7 @@
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
-	assert.deepEqual([...told], []);
+	assert.deepEqual([...published], []);
 });
 
 test('the manager that replaces a failed one waits until nothing published by it can be in use', async context => {
@@ -115,29 +115,29 @@
 		},
 		free: async () => Right(undefined),
 	};
-	const keepers = keepersThatTellNobody(control, () => now);
+	const keepers = managersWithoutFollowers(control, () => now);
 	context.after(() => {
 		keepers.close();
 	});
-	const keepAt = async (milliseconds: number): Promise<void> => {
+	const manageAt = async (milliseconds: number): Promise<void> => {
 		now = milliseconds;
-		keepers.keep(stores, 1);
+		keepers.manage(stores, 1);
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
 	};
 
-	await keepAt(0);
+	await manageAt(0);
 	keepers.close();
 	const backAt = 10 * withdrawalMilliseconds;
-	await keepAt(backAt);
+	await manageAt(backAt);
 	assert.deepEqual(listedAt, [backAt]);
 	fails = true;
-	await keepAt(backAt + 100);
+	await manageAt(backAt + 100);
 	fails = false;
-	await keepAt(backAt + 200);
+	await manageAt(backAt + 200);
 	assert.deepEqual(listedAt, [backAt], 'the next manager lists the store at once');
-	await keepAt(backAt + 200 + withdrawalMilliseconds);
+	await manageAt(backAt + 200 + withdrawalMilliseconds);
 	keepers.close();
 	assert.equal(listedAt.length, 2);
 });
@@ -156,11 +156,11 @@
 		events: async () => Left('not called in this test'),
 		free: async () => Right(undefined),
 	};
-	const keepers = keepersThatTellNobody(control, () => now);
-	const listsBehind = async (milliseconds: number, fencingNumber: number): Promise<boolean> => {
+	const keepers = managersWithoutFollowers(control, () => now);
+	const listsAfter = async (milliseconds: number, fencingNumber: number): Promise<boolean> => {
 		now += milliseconds;
 		listings = 0;
-		keepers.keep(stores, fencingNumber);
+		keepers.manage(stores, fencingNumber);
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
@@ -168,14 +168,14 @@
 		return listings > 0;
 	};
 
-	assert.equal(await listsBehind(0, 1), false, 'a new coordinator lists the store too soon');
-	assert.equal(await listsBehind(withdrawalMilliseconds, 1), true);
-	assert.equal(await listsBehind(withdrawalMilliseconds - 1, 1), false, 'what it published may still be in use');
-	assert.equal(await listsBehind(withdrawalMilliseconds, 3), false, 'another coordinator held the lease meanwhile');
+	assert.equal(await listsAfter(0, 1), false, 'a new coordinator lists the store too soon');
+	assert.equal(await listsAfter(withdrawalMilliseconds, 1), true);
+	assert.equal(await listsAfter(withdrawalMilliseconds - 1, 1), false, 'what it published may still be in use');
+	assert.equal(await listsAfter(withdrawalMilliseconds, 3), false, 'another coordinator held the lease meanwhile');
 });
 
 /** Returns when managers with a handover first offer a store that lists one block, in steps of 100 ms. */
-async function firstOffer(epoch: number, inherited: Record<string, number>): Promise<number> {
+async function firstOffer(epoch: number, handover: Record<string, number>): Promise<number> {
 	let now = 0;
 	const control: CacheStoreControl = {
 		list: async () => Right({
@@ -186,9 +186,9 @@
 		}),
 		free: async () => Right(undefined),
 	};
-	const keepers = keepersThatTellNobody(control, () => now);
-	keepers.keep(stores, 2, inherited);
-	while (keepers.open().length === 0 && now < 10_000) {
+	const managers = managersWithoutFollowers(control, () => now);
+	managers.manage(stores, 2, handover);
+	while (managers.openStores().length === 0 && now < 10_000) {
 		for (let turn = 0; turn < 20; turn++) {
 			await new Promise(resolve => {
 				setImmediate(resolve);
@@ -198,7 +198,7 @@
 		now += 100;
 	}
 
-	keepers.close();
+	managers.close();
 	return now;
 }
 
@@ -215,7 +215,7 @@
 	let now = 0;
 	let hasFailed = false;
 	const epoch = 7;
-	const keepers = keepersThatTellNobody({
+	const keepers = managersWithoutFollowers({
 		list: async () => Right({
 			epoch, next: 1, parts: [{salt: 's', id: 'p', tokens: 800}], partial: [],
 		}),
@@ -239,12 +239,12 @@
 		}
 	};
 
-	keepers.keep(stores, 2, {cache: epoch});
+	keepers.manage(stores, 2, {cache: epoch});
 	await turns();
 	assert.equal(hasFailed, true);
 	const failedAt = now;
-	while (keepers.open().length === 0 && now < 10_000) {
-		keepers.keep(stores, 2, {cache: epoch});
+	while (keepers.openStores().length === 0 && now < 10_000) {
+		keepers.manage(stores, 2, {cache: epoch});
 		await turns();
 		now += 100;
 	}
--- a/src/gateway/hub/hub-client.test.ts
+++ b/src/gateway/coordinator/coordinator-client.test.ts
@@ -11,13 +11,13 @@
 import {startScriptedServer} from '../../test/scripted-server.js';
 import {standStill} from '../../test/separate-callers.js';
 import {testFollower} from '../testing/test-follower.js';
-import {HubClient} from './hub-client.js';
-import {type FollowerFrame, type HubFrame, noQuestion} from './hub-messages.js';
-import {HubView} from './hub-view.js';
-import {NewsSources} from './news-sources.js';
+import {CoordinatorClient} from './coordinator-client.js';
+import {type FollowerFrame, type CoordinatorFrame, emptyQuery} from './coordinator-messages.js';
+import {CoordinatorView} from './coordinator-view.js';
+import {PeerUpdateSources} from './peer-update-sources.js';
 
 /** An empty answer; each test adds what it is about. */
-const emptyAnswer: HubFrame = {
+const emptyAnswer: CoordinatorFrame = {
 	kind: 'answer', number: 1, isDeputy: false, dataCentre: 'split', isLapsed: false, open: [], loads: {}, parts: {kept: [], engines: [], unknown: []}, tables: [], mostCores: 1, instances: 1,
 };
 
@@ -28,9 +28,9 @@
  * A coordinator that answers each query, with as many requests at engine `e1` as it has received frames, and a client with a
  * clock of its own. Each answer arrives `roundTripMilliseconds` of that clock after its query.
  */
-async function playHub(context: TestContext, waitMilliseconds = foreverMilliseconds) {
+async function startFakeCoordinator(context: TestContext, waitMilliseconds = foreverMilliseconds) {
 	const played = {
-		now: 1000, roundTripMilliseconds: 1, isSilent: false, heard: [] as FollowerFrame[], address: '',
+		now: 1000, roundTripMilliseconds: 1, isUnresponsive: false, received: [] as FollowerFrame[], address: '',
 	};
 	const clock: MomentClock = {
 		moment: () => ({steady: played.now, wall: played.now}),
@@ -40,8 +40,8 @@
 	};
 	const sockets = new Set<Socket>();
 	const answer = (socket: Socket, number: number): void => {
-		const frame: HubFrame = {
-			...emptyAnswer, number, loads: {e1: [played.heard.length, 0, 0, 0, 0, 0, 0]},
+		const frame: CoordinatorFrame = {
+			...emptyAnswer, number, loads: {e1: [played.received.length, 0, 0, 0, 0, 0, 0]},
 		};
 		socket.write(encodeFrame(frame));
 	};
@@ -51,8 +51,8 @@
 		sockets.add(socket);
 		socket.on('data', bytes => {
 			for (const frame of reader.read(Buffer.from(bytes)).unsafeCoerce() as FollowerFrame[]) {
-				played.heard.push(frame);
-				if (frame.kind === 'ask' && !played.isSilent) {
+				played.received.push(frame);
+				if (frame.kind === 'ask' && !played.isUnresponsive) {
 					played.now += played.roundTripMilliseconds;
 					answer(socket, frame.number);
 				}
@@ -61,8 +61,8 @@
 	}).listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	played.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-	const view = new HubView();
-	const client = new HubClient(view, testFollower({
+	const view = new CoordinatorView();
+	const client = new CoordinatorClient(view, testFollower({
 		closed() {
 			view.reset();
 		},
@@ -76,7 +76,7 @@
 	});
 	const meet = async (): Promise<void> => {
 		client.dial(played.address);
-		client.ask();
+		client.poll();
 		await until(() => view.isFresh(clock.moment()));
 	};
 
@@ -96,63 +96,63 @@
 test('the view is fresh when a prompt is placed, and the placement is reported at once', async context => {
 	// Callers arrive in bursts. With a view that is some hundred milliseconds old, all instances choose the engine that looked
 	// idle then, and it gets a second's worth of prompts to prefill.
-	const {played, view, client, clock, meet} = await playHub(context);
+	const {played, view, client, clock, meet} = await startFakeCoordinator(context);
 	await meet();
 	for (let use = 0; use < 3; use++) {
-		const heardBefore = played.heard.length;
-		await client.refresh(noQuestion);
-		assert.equal(view.othersAt('e1', clock.moment())?.requests, heardBefore + 1);
-		client.tell();
-		await until(() => played.heard.length === heardBefore + 2);
-		assert.equal(played.heard.at(-1)?.kind, 'tell');
+		const receivedBefore = played.received.length;
+		await client.refresh(emptyQuery);
+		assert.equal(view.peerLoadAt('e1', clock.moment())?.requests, receivedBefore + 1);
+		client.report();
+		await until(() => played.received.length === receivedBefore + 2);
+		assert.equal(played.received.at(-1)?.kind, 'tell');
 	}
 });
 
 test('no caller waits for a coordinator that is not connected, unresponsive, or far away', async context => {
-	const {played, client, meet} = await playHub(context);
-	await client.refresh(noQuestion);
+	const {played, client, meet} = await startFakeCoordinator(context);
+	await client.refresh(emptyQuery);
 	await meet();
-	played.isSilent = true;
+	played.isUnresponsive = true;
 	played.now += 600;
-	await client.refresh(noQuestion);
-	assert.equal(played.heard.length, 1);
-	played.isSilent = false;
+	await client.refresh(emptyQuery);
+	assert.equal(played.received.length, 1);
+	played.isUnresponsive = false;
 	played.roundTripMilliseconds = 160;
 	await meet();
-	await client.refresh(noQuestion);
-	assert.equal(played.heard.length, 2);
+	await client.refresh(emptyQuery);
+	assert.equal(played.received.length, 2);
 });
 
 test('a caller that waits for an answer is resumed when the connection closes', async context => {
-	const {played, client, meet} = await playHub(context);
+	const {played, client, meet} = await startFakeCoordinator(context);
 	await meet();
-	played.isSilent = true;
-	const waiting = client.refresh(noQuestion);
+	played.isUnresponsive = true;
+	const waiting = client.refresh(emptyQuery);
 	client.close();
 	await waiting;
 });
 
 test('while the coordinator does not answer, the standby is queried', async context => {
 	// Guards against instances without each other's loads for the seconds until another one may be the coordinator.
-	const hub = await playHub(context, 50);
-	const deputy = await playHub(context);
+	const hub = await startFakeCoordinator(context, 50);
+	const standby = await startFakeCoordinator(context);
 	await hub.meet();
-	await deputy.meet();
-	const sources = new NewsSources([hub.client, deputy.client]);
-	await sources.refresh(noQuestion);
-	assert.deepEqual([hub.played.heard.length, deputy.played.heard.length], [2, 1]);
-	hub.played.isSilent = true;
-	await sources.refresh(noQuestion);
-	assert.deepEqual([hub.played.heard.length, deputy.played.heard.length], [3, 2]);
+	await standby.meet();
+	const sources = new PeerUpdateSources([hub.client, standby.client]);
+	await sources.refresh(emptyQuery);
+	assert.deepEqual([hub.played.received.length, standby.played.received.length], [2, 1]);
+	hub.played.isUnresponsive = true;
+	await sources.refresh(emptyQuery);
+	assert.deepEqual([hub.played.received.length, standby.played.received.length], [3, 2]);
 	hub.played.now += 600;
-	await sources.refresh(noQuestion);
-	sources.tell();
-	await until(() => deputy.played.heard.length === 4);
-	assert.deepEqual([hub.played.heard.length, deputy.played.heard.at(-1)?.kind], [3, 'tell']);
+	await sources.refresh(emptyQuery);
+	sources.report();
+	await until(() => standby.played.received.length === 4);
+	assert.deepEqual([hub.played.received.length, standby.played.received.at(-1)?.kind], [3, 'tell']);
 });
 
 /** A coordinator that sends an answer five times a second. */
-const hubProgram = `
+const coordinatorProgram = `
 	const {parentPort, workerData: bytes} = require('node:worker_threads');
 	const {createServer} = require('node:net');
 	const server = createServer(socket => {
@@ -165,12 +165,12 @@
 	// Guards against instances that drop their view of all others after a pause, although the coordinator's answers wait in the
 	// socket.
 	const bytes = encodeFrame(emptyAnswer);
-	const hub = new Worker(hubProgram, {eval: true, workerData: bytes});
+	const hub = new Worker(coordinatorProgram, {eval: true, workerData: bytes});
 	const [port] = await once(hub, 'message') as [number];
-	const client = new HubClient(new HubView(), testFollower(), systemMomentClock);
+	const client = new CoordinatorClient(new CoordinatorView(), testFollower(), systemMomentClock);
 	client.dial(`127.0.0.1:${port}`);
 	const asking = setInterval(() => {
-		client.ask();
+		client.poll();
 	}, 200);
 	context.after(async () => {
 		clearInterval(asking);
@@ -196,10 +196,10 @@
 			clearInterval(dripping);
 		});
 	});
-	const client = new HubClient(new HubView(), testFollower(), systemMomentClock);
+	const client = new CoordinatorClient(new CoordinatorView(), testFollower(), systemMomentClock);
 	client.dial(server.address);
 	const asking = setInterval(() => {
-		client.ask();
+		client.poll();
 	}, 200);
 	context.after(() => {
 		clearInterval(asking);
--- a/src/gateway/hub/hub-client.ts
+++ b/src/gateway/coordinator/coordinator-client.ts
@@ -10,29 +10,29 @@
 import {afterNextPoll} from '../../serving/after-next-poll.js';
 import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
 import {
-	type FollowerFrame, type HubFrame, idleTimeoutMilliseconds, noQuestion, type PackedLoad, type PlaceQuestion,
-} from './hub-messages.js';
-import {type HubView} from './hub-view.js';
+	type FollowerFrame, type CoordinatorFrame, idleTimeoutMilliseconds, emptyQuery, type PackedLoad, type PlacementQuery,
+} from './coordinator-messages.js';
+import {type CoordinatorView} from './coordinator-view.js';
 
 /** Queries at this interval keep the view fresh also when one answer is late. */
-export const askMilliseconds = 0.375 * reportValidityMilliseconds;
+export const queryIntervalMilliseconds = 0.375 * reportValidityMilliseconds;
 /** A query about a prompt that was sent less than this before replaces a regular one. */
-const recentMilliseconds = askMilliseconds / 2;
+const minQueryGapMilliseconds = queryIntervalMilliseconds / 2;
 /**
  * Before a prompt is placed, the coordinator is queried for where its blocks are cached and how loaded the engines are, if a
  * round trip takes no longer than this. A round trip within a region takes a few milliseconds, between small machines under
  * load some dozens; prefilling a long prompt again takes an engine some hundred, and delays all requests that wait there.
  */
-const longestRoundTripMilliseconds = 100;
+const maxRoundTripMilliseconds = 100;
 /** A caller waits no longer than this for the answer; the prompt is then placed by what is known. */
-const mostWaitMilliseconds = 120;
+const maxWaitMilliseconds = 120;
 /** A coordinator that has not answered two queries in a row is not waited for. */
-const longestSilenceMilliseconds = 1.9 * askMilliseconds;
+const maxAnswerAgeMilliseconds = 1.9 * queryIntervalMilliseconds;
 /** Weight of the newest round trip in the moving average. */
 const newestShare = 0.3;
 
 /** The local instance: what the client reports about it, and where the client delivers what it receives. */
-export type FollowerSelf = {
+export type LocalFollower = {
 	instance: string;
 	/** CPU cores that its machine gives it. */
 	cores: number;
@@ -42,47 +42,47 @@
 	/** Called when the connection has ended. */
 	closed(): void;
 	/** Endpoints whose loads come with the regular queries, so that a request to them needs no query of its own. */
-	watched(): string[];
+	watchedEndpoints(): string[];
 	/** The position in each table that it follows. */
-	places(): Record<string, FeedPlace>;
+	cursors(): Record<string, FeedPlace>;
 	/** Applies table changes from the answer to a query that was sent at `queriedAt`. */
-	takeTables(news: readonly FeedNews[], askedAt: Moment): void;
+	applyTableUpdates(updates: readonly FeedNews[], queriedAt: Moment): void;
 };
 
 /** A query in flight. */
-type Asked = {at: Moment; about: PlaceQuestion};
+type PendingQuery = {sentAt: Moment; query: PlacementQuery};
 
 /** Exchanges state with the other instances, so that it is fresh at the time of a decision. */
-export interface PeerNews {
+export interface PeerUpdates {
 	/** Queries the state of the other instances, and waits for the answer if that takes only a short time. */
-	refresh(question: PlaceQuestion): Promise<void>;
+	refresh(query: PlacementQuery): Promise<void>;
 	/** Reports this instance's requests in flight. */
-	tell(): void;
+	report(): void;
 }
 
-export class HubClient {
-	readonly #view: HubView;
-	readonly #self: FollowerSelf;
+export class CoordinatorClient {
+	readonly #view: CoordinatorView;
+	readonly #follower: LocalFollower;
 	readonly #clock: MomentClock;
 	#socket: Socket | undefined;
 	#address: string | undefined;
 	#reader = new FrameReader();
 	#number = 0;
-	#asked = new Map<number, Asked>();
-	#heardAt = 0;
-	#askedAt = Number.NEGATIVE_INFINITY;
-	#mostCores = 0;
+	#pending = new Map<number, PendingQuery>();
+	#lastAnswerAt = 0;
+	#lastQueryAt = Number.NEGATIVE_INFINITY;
+	#maxCores = 0;
 	#instances = 0;
 	#isLapsed = false;
 	#dataCentre: string | undefined;
-	readonly #waiting = new Map<number, (isAnswered: boolean) => void>();
+	readonly #waiters = new Map<number, (isAnswered: boolean) => void>();
 	#roundTripMilliseconds = Number.POSITIVE_INFINITY;
 
 	readonly #waitMilliseconds: number;
 
-	constructor(view: HubView, self: FollowerSelf, clock: MomentClock, waitMilliseconds = mostWaitMilliseconds) {
+	constructor(view: CoordinatorView, follower: LocalFollower, clock: MomentClock, waitMilliseconds = maxWaitMilliseconds) {
 		this.#view = view;
-		this.#self = self;
+		this.#follower = follower;
 		this.#clock = clock;
 		this.#waitMilliseconds = waitMilliseconds;
 	}
@@ -92,8 +92,8 @@
 	}
 
 	/** CPU cores of the largest machine that a coordinator has reported; 0 before. */
-	get mostCores(): number {
-		return this.#mostCores;
+	get maxCores(): number {
+		return this.#maxCores;
 	}
 
 	/** Whether the lease of the connected coordinator has lapsed. */
@@ -108,8 +108,8 @@
 
 	/** Whether an answer is likely to arrive soon enough to wait for it. */
 	get isResponsive(): boolean {
-		const silence = this.#clock.moment().steady - this.#heardAt;
-		return this.#socket !== undefined && this.#roundTripMilliseconds <= longestRoundTripMilliseconds && silence <= longestSilenceMilliseconds;
+		const answerAgeMilliseconds = this.#clock.moment().steady - this.#lastAnswerAt;
+		return this.#socket !== undefined && this.#roundTripMilliseconds <= maxRoundTripMilliseconds && answerAgeMilliseconds <= maxAnswerAgeMilliseconds;
 	}
 
 	/** How many instances report to the coordinator, by its last answer; 0 before. */
@@ -130,8 +130,8 @@
 		this.#socket = socket;
 		this.#address = address;
 		this.#reader = new FrameReader();
-		this.#heardAt = this.#clock.moment().steady;
-		this.#askedAt = Number.NEGATIVE_INFINITY;
+		this.#lastAnswerAt = this.#clock.moment().steady;
+		this.#lastQueryAt = Number.NEGATIVE_INFINITY;
 		const end = (): void => {
 			if (this.#socket === socket) {
 				this.close();
@@ -143,7 +143,7 @@
 				Left: end,
 				Right: frames => {
 					for (const frame of frames) {
-						this.#take(frame as HubFrame);
+						this.#handleAnswer(frame as CoordinatorFrame);
 					}
 				},
 			});
@@ -152,7 +152,7 @@
 	}
 
 	/** Sends a query if one is due, or closes a connection that has been idle for too long. */
-	ask(): void {
+	poll(): void {
 		if (this.#socket === undefined) {
 			return;
 		}
@@ -162,65 +162,65 @@
 			return;
 		}
 
-		if (this.#clock.moment().steady - this.#askedAt >= recentMilliseconds) {
-			this.#ask({...noQuestion, endpoints: this.#self.watched()});
+		if (this.#clock.moment().steady - this.#lastQueryAt >= minQueryGapMilliseconds) {
+			this.#sendQuery({...emptyQuery, endpoints: this.#follower.watchedEndpoints()});
 		}
 	}
 
 	/** Sends a query, and waits for the answer if that takes only a short time; returns whether it arrived. */
-	async refresh(question: PlaceQuestion): Promise<boolean> {
+	async refresh(query: PlacementQuery): Promise<boolean> {
 		if (!this.isResponsive) {
 			return false;
 		}
 
-		this.#ask(question);
+		this.#sendQuery(query);
 		const number = this.#number;
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
-				this.#answered(number, false);
+				this.#resumeCaller(number, false);
 			}, this.#waitMilliseconds);
-			this.#waiting.set(number, isAnswered => {
+			this.#waiters.set(number, isAnswered => {
 				clearTimeout(timer);
 				resolve(isAnswered);
 			});
 		});
 	}
 
-	tell(): void {
+	report(): void {
 		const frame: FollowerFrame = {
-			kind: 'tell', instance: this.#self.instance, cores: this.#self.cores, uses: this.#self.takeUses(), loads: this.#self.loads(),
+			kind: 'tell', instance: this.#follower.instance, cores: this.#follower.cores, uses: this.#follower.takeUses(), loads: this.#follower.loads(),
 		};
 		this.#socket?.write(encodeFrame(frame));
 	}
 
 	close(): void {
-		for (const number of this.#waiting.keys()) {
-			this.#answered(number, false);
+		for (const number of this.#waiters.keys()) {
+			this.#resumeCaller(number, false);
 		}
 
 		this.#roundTripMilliseconds = Number.POSITIVE_INFINITY;
 		this.#socket?.destroy();
 		this.#socket = undefined;
-		this.#asked = new Map();
+		this.#pending = new Map();
 		this.#isLapsed = false;
 		this.#dataCentre = undefined;
-		this.#self.closed();
+		this.#follower.closed();
 	}
 
-	#ask(about: PlaceQuestion): void {
+	#sendQuery(query: PlacementQuery): void {
 		const now = this.#clock.moment();
 		this.#number++;
-		this.#askedAt = now.steady;
-		this.#asked.set(this.#number, {at: now, about});
-		const {instance, cores} = this.#self;
+		this.#lastQueryAt = now.steady;
+		this.#pending.set(this.#number, {sentAt: now, query: query});
+		const {instance, cores} = this.#follower;
 		const frame: FollowerFrame = {
-			kind: 'ask', number: this.#number, instance, cores, uses: this.#self.takeUses(), loads: this.#self.loads(), about, places: this.#self.places(),
+			kind: 'ask', number: this.#number, instance, cores, uses: this.#follower.takeUses(), loads: this.#follower.loads(), about: query, places: this.#follower.cursors(),
 		};
 		this.#socket?.write(encodeFrame(frame));
 	}
 
 	#isIdle(): boolean {
-		return this.#clock.moment().steady - this.#heardAt > idleTimeoutMilliseconds;
+		return this.#clock.moment().steady - this.#lastAnswerAt > idleTimeoutMilliseconds;
 	}
 
 	/** Reads what arrived while this process was paused first; otherwise each pause would close the connection. */
@@ -231,22 +231,22 @@
 		}
 	}
 
-	#take(frame: HubFrame): void {
+	#handleAnswer(frame: CoordinatorFrame): void {
 		const now = this.#clock.moment();
-		this.#heardAt = now.steady;
-		const asked = this.#asked.get(frame.number);
-		this.#asked.delete(frame.number);
-		if (asked !== undefined) {
-			this.#noteRoundTrip(now.steady - asked.at.steady);
-			this.#view.takeAnswer(frame, asked.about, asked.at, now);
-			this.#mostCores = Math.max(this.#mostCores, frame.mostCores);
+		this.#lastAnswerAt = now.steady;
+		const pending = this.#pending.get(frame.number);
+		this.#pending.delete(frame.number);
+		if (pending !== undefined) {
+			this.#noteRoundTrip(now.steady - pending.sentAt.steady);
+			this.#view.applyAnswer(frame, pending.query, pending.sentAt, now);
+			this.#maxCores = Math.max(this.#maxCores, frame.mostCores);
 			this.#instances = frame.instances;
 			this.#isLapsed = frame.isLapsed;
 			this.#dataCentre = frame.dataCentre;
-			this.#self.takeTables(frame.tables, asked.at);
+			this.#follower.applyTableUpdates(frame.tables, pending.sentAt);
 		}
 
-		this.#answered(frame.number, asked !== undefined);
+		this.#resumeCaller(frame.number, pending !== undefined);
 	}
 
 	#noteRoundTrip(milliseconds: number): void {
@@ -255,9 +255,9 @@
 	}
 
 	/** Resumes the caller that waits for an answer. */
-	#answered(number: number, isAnswered: boolean): void {
-		const go = this.#waiting.get(number);
-		this.#waiting.delete(number);
-		go?.(isAnswered);
+	#resumeCaller(number: number, isAnswered: boolean): void {
+		const resume = this.#waiters.get(number);
+		this.#waiters.delete(number);
+		resume?.(isAnswered);
 	}
 }
--- a/src/gateway/hub/hub-messages.ts
+++ b/src/gateway/coordinator/coordinator-messages.ts
@@ -12,13 +12,13 @@
  */
 export type PackedLoad = number[];
 export const oldestWaitIndex = 2;
-export const heardAgoIndex = 3;
+export const lastByteAgoIndex = 3;
 
 /** One day: an upper bound of the time since the last byte, which also stands for an endpoint that has never sent one. */
-const neverHeard = 86_400_000;
+const maxLastByteAgoMilliseconds = 86_400_000;
 
-export function packLoad({requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: heardAgoMilliseconds, pendingPrefillTokens: unreadTokens}: EndpointLoad): PackedLoad {
-	return [requests, heldTokens, Math.round(oldestWaitMilliseconds), Math.round(Math.min(neverHeard, heardAgoMilliseconds)), ...unreadTokens];
+export function packLoad({requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: lastByteAgoMilliseconds, pendingPrefillTokens: pendingPrefillTokens}: EndpointLoad): PackedLoad {
+	return [requests, heldTokens, Math.round(oldestWaitMilliseconds), Math.round(Math.min(maxLastByteAgoMilliseconds, lastByteAgoMilliseconds)), ...pendingPrefillTokens];
 }
 
 /** Packs loads by the name of their endpoint. */
@@ -26,9 +26,9 @@
 	return Object.fromEntries([...loads].map(([endpoint, load]) => [endpoint, packLoad(load)]));
 }
 
-export function unpackLoad([requests = 0, heldTokens = 0, oldestWaitMilliseconds = 0, heardAgoMilliseconds = neverHeard, ...unreadTokens]: PackedLoad): EndpointLoad {
+export function unpackLoad([requests = 0, heldTokens = 0, oldestWaitMilliseconds = 0, lastByteAgoMilliseconds = maxLastByteAgoMilliseconds, ...pendingPrefillTokens]: PackedLoad): EndpointLoad {
 	return {
-		requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: heardAgoMilliseconds, pendingPrefillTokens: unreadTokens,
+		requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: lastByteAgoMilliseconds, pendingPrefillTokens: pendingPrefillTokens,
 	};
 }
 
@@ -38,7 +38,7 @@
 }
 
 /** What a follower queries before it places a request. The size of the answer is bounded, whatever the number of endpoints. */
-export type PlaceQuestion = {
+export type PlacementQuery = {
 	/** Candidates for the request. */
 	endpoints: string[];
 	/** The blocks of the prompt as `salt|id`, from its start; one run of them for each salt. */
@@ -48,18 +48,18 @@
 };
 
 /** A query for the shared state only, without endpoints and blocks. */
-export const noQuestion: PlaceQuestion = {endpoints: [], keys: [], partCount: 0};
+export const emptyQuery: PlacementQuery = {endpoints: [], keys: [], partCount: 0};
 
 /** The blocks that a holder has cached: their index in the query, and their tokens. */
-export type KeptParts = Array<[index: number, tokens: number]>;
+export type CachedBlocks = Array<[index: number, tokens: number]>;
 
 /** Which of the queried blocks are cached where. */
-export type PartsAnswer = {
+export type BlocksAnswer = {
 	/**
 	 * By holder: a store, or an engine as `engineHolder` names it. A covered holder that is missing here has none of the
 	 * blocks.
 	 */
-	kept: Array<[holder: string, parts: KeptParts]>;
+	kept: Array<[holder: string, parts: CachedBlocks]>;
 	/** Engines that the answer covers: the queried ones, and some that hold the deepest blocks. */
 	engines: string[];
 	/** Those of them whose cached blocks are unknown at present. */
@@ -67,7 +67,7 @@
 };
 
 /** What a follower reports about itself. */
-type FollowerNews = {
+type FollowerReport = {
 	instance: string;
 	/** CPU cores that its machine gives it. */
 	cores: number;
@@ -79,17 +79,17 @@
 
 /** A frame that a follower sends. */
 export type FollowerFrame
-	= | FollowerNews & {
+	= | FollowerReport & {
 		kind: 'ask';
 		number: number;
-		about: PlaceQuestion;
+		about: PlacementQuery;
 		/** Its position in each table that it follows. */
 		places: Record<string, FeedPlace>;
 	}
-	| FollowerNews & {kind: 'tell'};
+	| FollowerReport & {kind: 'tell'};
 
 /** A frame that the coordinator sends. */
-export type HubFrame = {
+export type CoordinatorFrame = {
 	kind: 'answer';
 	number: number;
 	/** The engines' clock in milliseconds; absent while it is unknown. */
@@ -107,7 +107,7 @@
 	open: Array<[store: string, heldTokens: number]>;
 	/** The load of all other instances, at the queried endpoints and at those where the follower has requests itself. */
 	loads: Record<string, PackedLoad>;
-	parts: PartsAnswer;
+	parts: BlocksAnswer;
 	/** Changes in the tables that the follower follows. */
 	tables: FeedNews[];
 	/** CPU cores of the largest machine that the coordinator knows. */
--- a/src/gateway/hub/hub-pair.test.ts
+++ b/src/gateway/coordinator/coordinator-pair.test.ts
@@ -12,8 +12,8 @@
 import {DecisionLog} from '../observability/decision-log.js';
 import {testFollower} from '../testing/test-follower.js';
 import {FeedFollower} from '../watchers/feed-follower.js';
-import {HubPair} from './hub-pair.js';
-import {HubView} from './hub-view.js';
+import {CoordinatorPair} from './coordinator-pair.js';
+import {CoordinatorView} from './coordinator-view.js';
 
 /** A store with a growing table; its feed answers when there are changes, or when the wait is over. */
 class GrowingStore extends MemoryTable implements TableFeed {
@@ -63,29 +63,29 @@
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
 	const stop = new AbortController();
 	const heard: FeedRow[] = [];
-	const take = (rows: readonly FeedRow[]): void => {
+	const record = (rows: readonly FeedRow[]): void => {
 		heard.push(...rows);
 	};
 
-	const pair: HubPair = new HubPair({
+	const pair: CoordinatorPair = new CoordinatorPair({
 		clock, log, configuration: new ConfigurationView({freshMilliseconds: 1000, leaseMilliseconds: 1000}), dataCentre: 'split', endpoints: new EndpointRegistry(),
 	}, {
 		store,
 		control: {list: async () => Left('none'), events: async () => Left('none'), free: async () => Left('none')},
-		view: new HubView(),
+		view: new CoordinatorView(),
 		addresses: {hub: await freeAddress(), 'hub-deputy': await freeAddress()},
-		self: testFollower({
+		follower: testFollower({
 			instance: name,
-			places: () => follower.place === undefined ? {} : {list: follower.place},
-			takeTables(news, askedAt) {
-				for (const one of news) {
-					follower.takeRelayed(one, askedAt);
+			cursors: () => follower.place === undefined ? {} : {list: follower.place},
+			applyTableUpdates(updates, queriedAt) {
+				for (const one of updates) {
+					follower.takeRelayed(one, queriedAt);
 				}
 			},
 		}),
-		tableNews(places) {
-			const news = places.list === undefined ? undefined : follower.newsFor(places.list);
-			return news === undefined ? [] : [news];
+		tableUpdates(cursors) {
+			const update = cursors.list === undefined ? undefined : follower.newsFor(cursors.list);
+			return update === undefined ? [] : [update];
 		},
 	});
 	const follower = new FeedFollower({
@@ -97,13 +97,13 @@
 	}, {
 		table: 'list', waitMilliseconds: 2000, readerWaitMilliseconds: 300, relayLapseMilliseconds: 1200,
 	}, {
-		takeWhole: take,
-		takeChanges: take,
+		takeWhole: record,
+		takeChanges: record,
 		takeFailure() {
 			// The store does not fail here.
 		},
 	}, {
-		clock, log, random: () => 0, isReader: () => pair.isReader, isStandby: () => pair.isDeputy,
+		clock, log, random: () => 0, isReader: () => pair.isReader, isStandby: () => pair.isStandby,
 	});
 	for (const child of [follower, ...pair.children()]) {
 		void child.run(stop.signal);
@@ -129,25 +129,25 @@
 		}
 	});
 	await until('all instances report to a coordinator', () => instances.every(({pair}) => pair.instances === instances.length), 8000);
-	const rowOfDeputy = async (): Promise<string | undefined> => {
+	const readStandby = async (): Promise<string | undefined> => {
 		const read = await store.read({table: 'leases', key: 'hub-deputy'});
 		return (read.unsafeCoerce()?.value as {holder: string} | undefined)?.holder;
 	};
 
 	const giveUpAt = clock.moment().steady + 8000;
-	while (await rowOfDeputy() === undefined && clock.moment().steady < giveUpAt) {
+	while (await readStandby() === undefined && clock.moment().steady < giveUpAt) {
 		await pause(20);
 	}
 
 	return {
-		store, instances, hub: instances.find(({pair}) => pair.isHub)!, deputyName: await rowOfDeputy(),
+		store, instances, hub: instances.find(({pair}) => pair.isCoordinator)!, deputyName: await readStandby(),
 	};
 }
 
 test('all instances receive the rows as the store has them, by calls of one', async context => {
 	// Guards against calls that grow with the number of instances, and against rows that are altered by the relay.
 	const {store, instances, hub, deputyName} = await startInstances(context);
-	assert.equal(instances.filter(({pair}) => pair.isHub).length, 1);
+	assert.equal(instances.filter(({pair}) => pair.isCoordinator).length, 1);
 	assert.notEqual(deputyName, undefined);
 	assert.notEqual(deputyName, hub.name);
 	await pause(2200);
@@ -182,5 +182,5 @@
 	store.add({key: 'late', content: 1, isDeleted: false});
 	await until('the others have the row', () => others.every(({heard}) => heard.some(({key}) => key === 'late')), 1500);
 	assert.deepEqual([...store.callers], [deputyName]);
-	assert.equal(others.some(({pair}) => pair.isHub), false, 'another instance is the coordinator too soon');
+	assert.equal(others.some(({pair}) => pair.isCoordinator), false, 'another instance is the coordinator too soon');
 });
--- /dev/null
+++ b/src/gateway/coordinator/coordinator-pair.ts
@@ -0,0 +1,123 @@
+/** The coordinator and its standby at one instance, which is a follower of both and may hold either lease. */
+import {type CacheStoreControl} from '../../ports/cache-store-control.js';
+import {type ClockedTable} from '../../ports/clocked-table.js';
+import {type TableService} from '../../ports/table-service.js';
+import {type Child} from '../../supervisor/supervisor.js';
+import {LeaderElection} from '../leadership/leader-election.js';
+import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
+import {Coordinator, type CoordinatorContext, type CoordinatorRole} from './coordinator.js';
+import {type LocalFollower, CoordinatorClient} from './coordinator-client.js';
+import {type CoordinatorView} from './coordinator-view.js';
+import {PeerUpdateSources} from './peer-update-sources.js';
+
+/** Table of leases that no instance follows. */
+const coordinatorLeaseTable = 'leases';
+/**
+ * The coordinator's lease may be shorter than that of orders to engines: its orders to free blocks are void after a fraction of
+ * a second. While a failed coordinator holds its lease, no store is used, and prompts are prefilled again.
+ */
+const leaseMilliseconds = 1500;
+/** How long a grant lasts: a table that is unavailable for less goes unnoticed. */
+const grantMilliseconds = 1500;
+
+/** Settings and dependencies of both roles. */
+export type CoordinatorPairDependencies = {
+	store: TableService & ClockedTable;
+	control: CacheStoreControl;
+	view: CoordinatorView;
+	/** Where other instances connect, `IP:port` each. */
+	addresses: Record<CoordinatorRole, string>;
+	/** The local instance, as both clients report it. */
+	follower: Omit<LocalFollower, 'takeUses' | 'closed'>;
+	/** Table changes of this instance for a follower at the given positions. */
+	tableUpdates: (cursors: Record<string, FeedPlace>) => FeedNews[];
+};
+
+export class CoordinatorPair {
+	/** Exchanges state through the coordinator, or through the standby while the coordinator does not answer. */
+	readonly peerUpdates: PeerUpdateSources;
+	readonly #clients: Record<CoordinatorRole, CoordinatorClient>;
+	readonly #coordinators: Record<CoordinatorRole, Coordinator>;
+
+	constructor(context: CoordinatorContext, dependencies: CoordinatorPairDependencies) {
+		const {view, follower: follower} = dependencies;
+		this.#clients = {
+			hub: new CoordinatorClient(view, {
+				...follower,
+				takeUses: () => view.takeUses(),
+				closed() {
+					view.reset();
+				},
+			}, context.clock),
+			'hub-deputy': new CoordinatorClient(view, {
+				...follower,
+				// Only the coordinator manages stores and needs to know which blocks were used.
+				takeUses: () => [],
+				closed() {
+					// The coordinator's answers stay valid.
+				},
+			}, context.clock),
+		};
+		this.peerUpdates = new PeerUpdateSources([this.#clients.hub, this.#clients['hub-deputy']]);
+		this.#coordinators = {
+			hub: this.#create('hub', context, dependencies),
+			'hub-deputy': this.#create('hub-deputy', context, dependencies),
+		};
+	}
+
+	/** Whether this instance is the coordinator. */
+	get isCoordinator(): boolean {
+		return this.#coordinators.hub.holdsLease();
+	}
+
+	/** Whether this instance is the standby. */
+	get isStandby(): boolean {
+		return this.#coordinators['hub-deputy'].holdsLease();
+	}
+
+	/**
+	 * Whether this instance reads the tables for all: as the coordinator, or as the standby while the coordinator does not
+	 * answer.
+	 */
+	get isReader(): boolean {
+		return this.isCoordinator || (this.isStandby && !this.#clients.hub.isResponsive);
+	}
+
+	/** How many instances report to the coordinator; 0 before it has answered. */
+	get instances(): number {
+		return this.#clients.hub.instances;
+	}
+
+	children(): Child[] {
+		return Object.values(this.#coordinators).flatMap(coordinator => [coordinator, coordinator.server]);
+	}
+
+	/** Releases both leases and does not acquire them again. */
+	async resign(): Promise<void> {
+		await Promise.all(Object.values(this.#coordinators).map(async coordinator => coordinator.resign()));
+	}
+
+	#create(role: CoordinatorRole, context: CoordinatorContext, {store, control, addresses, follower: follower, tableUpdates: tableUpdates}: CoordinatorPairDependencies): Coordinator {
+		const {instance, cores} = follower;
+		const other: CoordinatorRole = role === 'hub' ? 'hub-deputy' : 'hub';
+		const address = addresses[role];
+		const election = new LeaderElection({
+			table: coordinatorLeaseTable, lease: role, instance, address, leaseMilliseconds, grantMilliseconds: grantMilliseconds, acquisitionDelayMilliseconds: (): number => coordinator.acquisitionDelayMilliseconds(),
+		}, {store, clock: context.clock, log: context.log});
+		const coordinator: Coordinator = new Coordinator(context, {
+			role,
+			instance,
+			address,
+			election: election,
+			client: this.#clients[role],
+			control,
+			cores,
+			tableUpdates: tableUpdates,
+			// Called for the first time while the other role does not exist yet.
+			holdsOtherLease: () => (this.#coordinators as Record<CoordinatorRole, Coordinator> | undefined)?.[other].holdsLease() ?? false,
+			isOtherUp: () => this.#clients[other].isResponsive,
+			otherDataCentre: () => this.#clients[other].dataCentre,
+		});
+		return coordinator;
+	}
+}
--- a/src/gateway/hub/hub-server.test.ts
+++ b/src/gateway/coordinator/coordinator-server.test.ts
@@ -9,20 +9,20 @@
 import {systemMomentClock} from '../../adapters/system-moment-clock.js';
 import {encodeFrame, FrameReader} from '../../peer/framing/frame-codec.js';
 import {standStill} from '../../test/separate-callers.js';
-import {HubServer, type HubSource} from './hub-server.js';
-import {type FollowerFrame, type HubFrame, noQuestion} from './hub-messages.js';
+import {CoordinatorServer, type CoordinatorSource} from './coordinator-server.js';
+import {type FollowerFrame, type CoordinatorFrame, emptyQuery} from './coordinator-messages.js';
 
-const source: HubSource = {
-	isDeputy: false,
+const source: CoordinatorSource = {
+	isStandby: false,
 	dataCentre: 'split',
-	isHub: () => true,
+	holdsLease: () => true,
 	isServing: () => true,
 	engineClock: () => undefined,
 	openStores: () => [],
-	whereKept: () => ({kept: [], engines: [], unknown: []}),
-	tableNews: () => [],
+	locateBlocks: () => ({kept: [], engines: [], unknown: []}),
+	tableUpdates: () => [],
 	cores: 1,
-	takeUses() {
+	recordUses() {
 		// No stores in this test.
 	},
 };
@@ -50,26 +50,26 @@
 	// Guards against endpoints that look busy, and get no requests, because an instance that lost its power or was cut off
 	// closes no connection.
 	const port = await freePort();
-	const server = new HubServer(`127.0.0.1:${port}`, source, systemMomentClock);
+	const server = new CoordinatorServer(`127.0.0.1:${port}`, source, systemMomentClock);
 	const stop = new AbortController();
 	void server.run(stop.signal);
 	await pause(50);
-	const silent = await follow(port);
+	const idle = await follow(port);
 	const asking = await follow(port);
 	let loads: Record<string, number[]> = {};
 	const reader = new FrameReader();
 	asking.on('data', bytes => {
-		for (const frame of reader.read(bytes).unsafeCoerce() as HubFrame[]) {
+		for (const frame of reader.read(bytes).unsafeCoerce() as CoordinatorFrame[]) {
 			loads = frame.loads;
 		}
 	});
-	send(silent, {
+	send(idle, {
 		kind: 'tell', instance: 'silent', cores: 1, uses: [], loads: {engine: [7, 100, 0, 0, 0, 0, 0]},
 	});
 	const ask = async (count: number): Promise<void> => {
 		for (let number = 0; number < count; number++) {
 			send(asking, {
-				kind: 'ask', number, instance: 'asking', cores: 1, uses: [], loads: {}, about: {...noQuestion, endpoints: ['engine']}, places: {},
+				kind: 'ask', number, instance: 'asking', cores: 1, uses: [], loads: {}, about: {...emptyQuery, endpoints: ['engine']}, places: {},
 			});
 			await pause(100);
 		}
@@ -78,8 +78,8 @@
 	await ask(3);
 	assert.equal(loads.engine?.[0], 7);
 	await ask(25);
-	const isClosed = silent.destroyed || silent.readableEnded;
-	silent.destroy();
+	const isClosed = idle.destroyed || idle.readableEnded;
+	idle.destroy();
 	asking.destroy();
 	stop.abort();
 	assert.equal(loads.engine?.[0], 0);
@@ -102,12 +102,12 @@
 	// Guards against a pause after which all instances lose their view of each other, although what they sent meanwhile waits
 	// in their sockets.
 	const port = await freePort();
-	const server = new HubServer(`127.0.0.1:${port}`, source, systemMomentClock);
+	const server = new CoordinatorServer(`127.0.0.1:${port}`, source, systemMomentClock);
 	const stop = new AbortController();
 	void server.run(stop.signal);
 	await pause(50);
 	const bytes = encodeFrame({
-		kind: 'ask', number: 1, instance: 'asking', cores: 1, uses: [], loads: {}, about: noQuestion, places: {},
+		kind: 'ask', number: 1, instance: 'asking', cores: 1, uses: [], loads: {}, about: emptyQuery, places: {},
 	});
 	const followers = new Worker(followersProgram, {eval: true, workerData: {port, bytes, count: 8}});
 	context.after(async () => {
--- a/src/gateway/hub/hub-server.ts
+++ b/src/gateway/coordinator/coordinator-server.ts
@@ -11,33 +11,33 @@
 import {type Child} from '../../supervisor/supervisor.js';
 import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
 import {
-	type FollowerFrame, type HubFrame, idleTimeoutMilliseconds, type PackedLoad, type PartsAnswer, type PlaceQuestion,
-} from './hub-messages.js';
+	type FollowerFrame, type CoordinatorFrame, idleTimeoutMilliseconds, type PackedLoad, type BlocksAnswer, type PlacementQuery,
+} from './coordinator-messages.js';
 import {LoadTotals} from './load-totals.js';
 
 /** What the server needs from the coordinator to answer queries. */
-export interface HubSource {
+export interface CoordinatorSource {
 	/** Whether this is the standby, which manages no stores. */
-	readonly isDeputy: boolean;
+	readonly isStandby: boolean;
 	readonly dataCentre: string;
 	/** CPU cores of this instance's machine. */
 	readonly cores: number;
 	/** Whether this instance holds the lease now. */
-	isHub(): boolean;
+	holdsLease(): boolean;
 	/** Whether followers are served, under the lease or for a while after it has lapsed. */
 	isServing(): boolean;
 	engineClock(): number | undefined;
 	/** Stores that blocks may be saved to and fetched from, and the tokens that they hold. */
 	openStores(): Array<[store: string, heldTokens: number]>;
 	/** Where the queried blocks are cached; `requestsAt` returns the requests in flight at an engine. */
-	whereKept(question: PlaceQuestion, requestsAt: (engine: string) => number): PartsAnswer;
+	locateBlocks(query: PlacementQuery, requestsAt: (engine: string) => number): BlocksAnswer;
 	/** Changes in the tables after a follower's positions. */
-	tableNews(places: Record<string, FeedPlace>): FeedNews[];
-	takeUses(keys: readonly string[]): void;
+	tableUpdates(cursors: Record<string, FeedPlace>): FeedNews[];
+	recordUses(keys: readonly string[]): void;
 }
 
 /** A follower that does not read is disconnected; it dials again and receives the whole state. */
-const mostWaitingBytes = 1_048_576;
+const maxQueuedBytes = 1_048_576;
 
 const idleCheckMilliseconds = 400;
 
@@ -48,23 +48,23 @@
 	lastSeenAt: number;
 };
 
-export class HubServer implements Child {
+export class CoordinatorServer implements Child {
 	readonly name: string;
 	readonly #address: string;
-	readonly #source: HubSource;
+	readonly #source: CoordinatorSource;
 	readonly #clock: MomentClock;
 	readonly #server: Server;
 	readonly #followers = new Map<Socket, Follower>();
 	readonly #loads = new LoadTotals();
 
 	/** @param address - `IP:port` to listen at. */
-	constructor(address: string, source: HubSource, clock: MomentClock) {
-		this.name = source.isDeputy ? 'hub-deputy-server' : 'hub-server';
+	constructor(address: string, source: CoordinatorSource, clock: MomentClock) {
+		this.name = source.isStandby ? 'hub-deputy-server' : 'hub-server';
 		this.#address = address;
 		this.#source = source;
 		this.#clock = clock;
 		this.#server = createServer(socket => {
-			this.#take(socket);
+			this.#accept(socket);
 		});
 	}
 
@@ -92,7 +92,7 @@
 		}
 	}
 
-	#take(socket: Socket): void {
+	#accept(socket: Socket): void {
 		if (!this.#source.isServing()) {
 			socket.destroy();
 			return;
@@ -110,7 +110,7 @@
 				Left: end,
 				Right: frames => {
 					for (const frame of frames) {
-						this.#hear(socket, frame as FollowerFrame);
+						this.#handleFrame(socket, frame as FollowerFrame);
 					}
 				},
 			});
@@ -118,7 +118,7 @@
 		socket.on('error', end).on('close', end);
 	}
 
-	#hear(socket: Socket, frame: FollowerFrame): void {
+	#handleFrame(socket: Socket, frame: FollowerFrame): void {
 		if (!this.#source.isServing()) {
 			socket.destroy();
 			return;
@@ -131,7 +131,7 @@
 		const {instance, cores} = frame;
 		this.#followers.set(socket, {instance, cores, lastSeenAt: this.#now()});
 		this.#loads.set(instance, frame.loads);
-		this.#source.takeUses(frame.uses);
+		this.#source.recordUses(frame.uses);
 		if (frame.kind === 'ask') {
 			this.#answer(socket, frame);
 		}
@@ -164,32 +164,32 @@
 
 	#answer(socket: Socket, {number, instance, about, loads, places}: FollowerFrame & {kind: 'ask'}): void {
 		const clock = this.#source.engineClock();
-		const parts = this.#source.whereKept(about, engine => this.#loads.requestsAt(engine));
-		const endpoints = new Set([...about.endpoints, ...parts.engines, ...Object.keys(loads)]);
-		const answer: HubFrame = {
+		const blocks = this.#source.locateBlocks(about, engine => this.#loads.requestsAt(engine));
+		const endpoints = new Set([...about.endpoints, ...blocks.engines, ...Object.keys(loads)]);
+		const answer: CoordinatorFrame = {
 			kind: 'answer',
 			number,
 			...(clock === undefined ? {} : {clock}),
-			isDeputy: this.#source.isDeputy,
+			isDeputy: this.#source.isStandby,
 			dataCentre: this.#source.dataCentre,
-			isLapsed: !this.#source.isHub(),
+			isLapsed: !this.#source.holdsLease(),
 			open: this.#source.openStores(),
-			loads: Object.fromEntries([...endpoints].map((endpoint): [string, PackedLoad] => [endpoint, this.#loads.withoutInstance(endpoint, instance)])),
-			parts,
-			tables: this.#source.tableNews(places),
-			mostCores: this.#mostCores(),
+			loads: Object.fromEntries([...endpoints].map((endpoint): [string, PackedLoad] => [endpoint, this.#loads.totalWithout(endpoint, instance)])),
+			parts: blocks,
+			tables: this.#source.tableUpdates(places),
+			mostCores: this.#maxCores(),
 			instances: this.#followers.size,
 		};
 		this.#write(socket, encodeFrame(answer));
 	}
 
-	#mostCores(): number {
-		let most = this.#source.cores;
+	#maxCores(): number {
+		let max = this.#source.cores;
 		for (const {cores} of this.#followers.values()) {
-			most = Math.max(most, cores);
+			max = Math.max(max, cores);
 		}
 
-		return most;
+		return max;
 	}
 
 	#now(): number {
@@ -197,7 +197,7 @@
 	}
 
 	#write(socket: Socket, bytes: Uint8Array): void {
-		if (socket.writableLength > mostWaitingBytes) {
+		if (socket.writableLength > maxQueuedBytes) {
 			socket.destroy();
 			return;
 		}
--- a/src/gateway/hub/hub-view.ts
+++ b/src/gateway/coordinator/coordinator-view.ts
@@ -7,31 +7,31 @@
 import {reportValidityMilliseconds} from '../../protocol/blocks/block-times.js';
 import {EngineClock} from './engine-clock.js';
 import {
-	engineHolder, type HubFrame, type PackedLoad, type PlaceQuestion, unpackLoad,
-} from './hub-messages.js';
+	engineHolder, type CoordinatorFrame, type PackedLoad, type PlacementQuery, unpackLoad,
+} from './coordinator-messages.js';
 
 /** Where a block is cached, by the answer to a query. */
-type PartNews = {
-	askedAt: Moment;
+type BlockLocations = {
+	queriedAt: Moment;
 	/** Tokens by holder. */
 	holders: Map<string, number>;
 	/** Engines whose cached blocks were unknown. */
 	unknown: ReadonlySet<string>;
 };
 
-type LoadNews = {askedAt: Moment; load: PackedLoad};
+type PeerLoad = {queriedAt: Moment; load: PackedLoad};
 
 /** How many blocks and endpoints are remembered; the entries that were updated longest ago are dropped first. */
-const mostParts = 2000;
-const mostLoads = 2000;
+const maxBlocks = 2000;
+const maxLoads = 2000;
 
-export class HubView {
-	readonly #parts = new Map<string, PartNews>();
-	readonly #loads = new Map<string, LoadNews>();
+export class CoordinatorView {
+	readonly #blocks = new Map<string, BlockLocations>();
+	readonly #loads = new Map<string, PeerLoad>();
 	#open: ReadonlyMap<string, number> = new Map();
 	#isLapsed = false;
-	#askedAt: Moment | undefined;
-	#clockAskedAt: Moment | undefined;
+	#queriedAt: Moment | undefined;
+	#clockQueriedAt: Moment | undefined;
 	readonly #engineClock = new EngineClock();
 	readonly #uses = new Set<string>();
 
@@ -40,39 +40,39 @@
 	 * coordinator.
 	 */
 	reset(): void {
-		this.#parts.clear();
+		this.#blocks.clear();
 		this.#open = new Map();
 		this.#isLapsed = false;
-		this.#askedAt = undefined;
+		this.#queriedAt = undefined;
 	}
 
 	/** Applies the answer to a query that was sent at `queriedAt`. */
-	takeAnswer({
+	applyAnswer({
 		clock, isDeputy, isLapsed, open, loads, parts,
-	}: HubFrame, {keys}: PlaceQuestion, askedAt: Moment, now: Moment): void {
+	}: CoordinatorFrame, {keys}: PlacementQuery, queriedAt: Moment, now: Moment): void {
 		if (!isDeputy) {
 			this.#open = new Map(open);
 			this.#isLapsed = isLapsed;
-			this.#askedAt = askedAt;
+			this.#queriedAt = queriedAt;
 		}
 
-		this.#clockAskedAt = askedAt;
-		this.#engineClock.forget();
-		this.#engineClock.hear(clock, now.steady);
+		this.#clockQueriedAt = queriedAt;
+		this.#engineClock.clear();
+		this.#engineClock.record(clock, now.steady);
 		for (const [endpoint, load] of Object.entries(loads)) {
-			remember(this.#loads, endpoint, {askedAt, load}, mostLoads);
+			remember(this.#loads, endpoint, {queriedAt: queriedAt, load}, maxLoads);
 		}
 
 		const unknown = new Set(parts.unknown);
-		const news = keys.map((): PartNews => ({askedAt, holders: new Map(), unknown}));
-		for (const [holder, kept] of parts.kept) {
-			for (const [index, tokens] of kept) {
-				news[index]?.holders.set(holder, tokens);
+		const locations = keys.map((): BlockLocations => ({queriedAt: queriedAt, holders: new Map(), unknown}));
+		for (const [holder, cachedBlocks] of parts.kept) {
+			for (const [index, tokens] of cachedBlocks) {
+				locations[index]?.holders.set(holder, tokens);
 			}
 		}
 
 		for (const [index, key] of keys.entries()) {
-			remember(this.#parts, key, news[index]!, mostParts);
+			remember(this.#blocks, key, locations[index]!, maxBlocks);
 		}
 	}
 
@@ -82,7 +82,7 @@
 	}
 
 	isFresh(now: Moment): boolean {
-		return isFreshAt(this.#askedAt, now);
+		return isFreshAt(this.#queriedAt, now);
 	}
 
 	/** Whether blocks may be saved to a store and fetched from it. */
@@ -92,7 +92,7 @@
 
 	/** Whether a store holds a block completely. */
 	holds(store: string, key: string, now: Moment): boolean {
-		return this.isOpen(store, now) && (this.#newsOf(key, now)?.holders.has(store) ?? false);
+		return this.isOpen(store, now) && (this.#freshLocations(key, now)?.holders.has(store) ?? false);
 	}
 
 	/** Tokens of all blocks that a store is known to hold. */
@@ -106,14 +106,14 @@
 	 * @returns `undefined` while that is unknown. A hint: some events never arrive.
 	 */
 	tokensAt(engine: string, key: string, now: Moment): number | undefined {
-		const news = this.#newsOf(key, now);
-		return news === undefined || news.unknown.has(engine) ? undefined : news.holders.get(engineHolder(engine)) ?? 0;
+		const locations = this.#freshLocations(key, now);
+		return locations === undefined || locations.unknown.has(engine) ? undefined : locations.holders.get(engineHolder(engine)) ?? 0;
 	}
 
 	/** The engines that are known to have a block cached: all, or several with few requests where many have it. */
 	enginesWith(key: string, now: Moment): string[] {
 		const prefix = engineHolder('');
-		return [...this.#newsOf(key, now)?.holders.keys() ?? []].filter(holder => holder.startsWith(prefix)).map(holder => holder.slice(prefix.length));
+		return [...this.#freshLocations(key, now)?.holders.keys() ?? []].filter(holder => holder.startsWith(prefix)).map(holder => holder.slice(prefix.length));
 	}
 
 	/**
@@ -122,16 +122,16 @@
 	 * @returns Milliseconds; `undefined` while it is unknown.
 	 */
 	engineClock(now: Moment): number | undefined {
-		return isFreshAt(this.#clockAskedAt, now) ? this.#engineClock.at(now.steady) : undefined;
+		return isFreshAt(this.#clockQueriedAt, now) ? this.#engineClock.at(now.steady) : undefined;
 	}
 
 	/** The load of all other instances at an endpoint; `undefined` while it is unknown. */
-	othersAt(endpoint: string, now: Moment): EndpointLoad | undefined {
-		const news = this.#loads.get(endpoint);
-		return news !== undefined && isFreshAt(news.askedAt, now) ? unpackLoad(news.load) : undefined;
+	peerLoadAt(endpoint: string, now: Moment): EndpointLoad | undefined {
+		const known = this.#loads.get(endpoint);
+		return known !== undefined && isFreshAt(known.queriedAt, now) ? unpackLoad(known.load) : undefined;
 	}
 
-	noteUse(key: string): void {
+	recordUse(key: string): void {
 		this.#uses.add(key);
 	}
 
@@ -142,21 +142,21 @@
 		return uses;
 	}
 
-	#newsOf(key: string, now: Moment): PartNews | undefined {
-		const news = this.#parts.get(key);
-		return isFreshAt(news?.askedAt, now) ? news : undefined;
+	#freshLocations(key: string, now: Moment): BlockLocations | undefined {
+		const locations = this.#blocks.get(key);
+		return isFreshAt(locations?.queriedAt, now) ? locations : undefined;
 	}
 }
 
-function isFreshAt(askedAt: Moment | undefined, now: Moment): boolean {
-	return askedAt !== undefined && longestElapsed(askedAt, now) < reportValidityMilliseconds;
+function isFreshAt(queriedAt: Moment | undefined, now: Moment): boolean {
+	return queriedAt !== undefined && longestElapsed(queriedAt, now) < reportValidityMilliseconds;
 }
 
 /** Keeps the map in the order of its updates, so that the entry updated longest ago is dropped first. */
-function remember<News>(map: Map<string, News>, key: string, news: News, most: number): void {
+function remember<Entry>(map: Map<string, Entry>, key: string, entry: Entry, max: number): void {
 	map.delete(key);
-	map.set(key, news);
-	if (map.size > most) {
+	map.set(key, entry);
+	if (map.size > max) {
 		map.delete(map.keys().next().value!);
 	}
 }
--- a/src/gateway/hub/hub.test.ts
+++ b/src/gateway/coordinator/coordinator.test.ts
@@ -7,13 +7,13 @@
 import {MemoryTable} from '../../test/memory-table.js';
 import {EndpointRegistry} from '../endpoints/endpoint-registry.js';
 import {ConfigurationView} from '../configuration/configuration-view.js';
-import {DutySeat} from '../duty/duty-seat.js';
+import {LeaderElection} from '../leadership/leader-election.js';
 import {DecisionLog} from '../observability/decision-log.js';
 import {testConfiguration} from '../testing/test-configuration.js';
 import {testFollower} from '../testing/test-follower.js';
-import {Hub} from './hub.js';
-import {HubClient} from './hub-client.js';
-import {HubView} from './hub-view.js';
+import {Coordinator} from './coordinator.js';
+import {CoordinatorClient} from './coordinator-client.js';
+import {CoordinatorView} from './coordinator-view.js';
 
 const clock = systemMomentClock;
 const freePorts = async (): Promise<number[]> => {
@@ -31,7 +31,7 @@
 };
 
 /** A store that holds one block; it can be made to fail. */
-class PlayedStore implements CacheStoreControl {
+class FakeStore implements CacheStoreControl {
 	isDown = false;
 	epoch = 1;
 	clockMilliseconds = 5000;
@@ -71,13 +71,13 @@
 }
 
 /** Three instances with one lease table and one cache store that holds one block. */
-async function startHubs(context: TestContext) {
+async function startCoordinators(context: TestContext) {
 	const table = new MemoryTable();
 	const startedAt = clock.moment().steady;
 	const ticking = setInterval(() => {
 		table.now = clock.moment().steady - startedAt;
 	}, 10);
-	const store = new PlayedStore();
+	const store = new FakeStore();
 	const configuration = new ConfigurationView({freshMilliseconds: 60_000, leaseMilliseconds: 60_000});
 	configuration.offer(testConfiguration({
 		services: new Map([['cache', {
@@ -94,21 +94,21 @@
 	const instances = ports.map((port, index) => {
 		const instance = `i${index}`;
 		const address = `127.0.0.1:${port}`;
-		const hubView = new HubView();
-		const seat = new DutySeat({
-			table: 'leases', duty: 'hub', instance, address, leaseMilliseconds: 1000, actingMilliseconds: 500,
+		const hubView = new CoordinatorView();
+		const election = new LeaderElection({
+			table: 'leases', lease: 'hub', instance, address, leaseMilliseconds: 1000, grantMilliseconds: 500,
 		}, {store: table, clock, log});
-		const client = new HubClient(hubView, testFollower({
+		const client = new CoordinatorClient(hubView, testFollower({
 			instance,
 			loads: () => ({engine: [index + 1, 10, 0, 0, 0, 0, 0]}),
 			closed() {
 				hubView.reset();
 			},
 		}), clock);
-		const hub = new Hub({
+		const hub = new Coordinator({
 			clock, configuration, dataCentre: 'split', endpoints: new EndpointRegistry(), log,
 		}, {
-			role: 'hub', instance, address, seat, client, control: store, cores: 1, tableNews: () => [], hasOtherDuty: () => false, doesOtherAnswer: () => true, otherDataCentre: () => undefined,
+			role: 'hub', instance, address, election: election, client, control: store, cores: 1, tableUpdates: () => [], holdsOtherLease: () => false, isOtherUp: () => true, otherDataCentre: () => undefined,
 		});
 		const asking = setInterval(() => {
 			void client.refresh({endpoints: [], keys: ['s|p'], partCount: 1});
@@ -136,14 +136,14 @@
 test('one instance becomes the coordinator, all receive the blocks of stores and the loads of the others, and another one takes over', async context => {
 	// The coordinator's process stops. Its followers must not use its answers for longer than they are fresh, and a new
 	// coordinator serves them again.
-	const {store, instances, allKnow} = await startHubs(context);
+	const {store, instances, allKnow} = await startCoordinators(context);
 	await until('all views hold the block', allKnow, 6000 + withdrawalMilliseconds);
-	assert.equal(instances.filter(({hub}) => hub.isHub()).length, 1);
-	await until('all views have the loads of the others', () => instances.every(({hubView}, index) => hubView.othersAt('engine', clock.moment())?.requests === 6 - (index + 1)), 2000);
-	const old = instances.find(({hub}) => hub.isHub())!;
-	await old.hub.leave();
+	assert.equal(instances.filter(({hub}) => hub.holdsLease()).length, 1);
+	await until('all views have the loads of the others', () => instances.every(({hubView}, index) => hubView.peerLoadAt('engine', clock.moment())?.requests === 6 - (index + 1)), 2000);
+	const old = instances.find(({hub}) => hub.holdsLease())!;
+	await old.hub.resign();
 	old.stop.abort();
-	await until('another coordinator serves the others', () => instances.some(({hub}) => hub !== old.hub && hub.isHub()) && allKnow(), 8000 + withdrawalMilliseconds);
+	await until('another coordinator serves the others', () => instances.some(({hub}) => hub !== old.hub && hub.holdsLease()) && allKnow(), 8000 + withdrawalMilliseconds);
 	store.isDown = true;
 	await until('no block of an unavailable store is offered', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
 });
@@ -153,7 +153,7 @@
 	// would know the load of the others for all that time, and each returning prompt would be prefilled again. The blocks of
 	// stores are served as long as no other instance can have acquired the lease; after that another coordinator might free
 	// them.
-	const {table, instances, allKnow, lines} = await startHubs(context);
+	const {table, instances, allKnow, lines} = await startCoordinators(context);
 	await until('all views hold the block', allKnow, 6000 + withdrawalMilliseconds);
 	table.down = true;
 	const until1000 = clock.moment().steady + 1000;
@@ -161,19 +161,19 @@
 		assert.ok(allKnow(), 'no block of a store is offered');
 		return clock.moment().steady >= until1000;
 	}, 1500);
-	assert.equal(instances.some(({hub}) => hub.isHub()), false);
+	assert.equal(instances.some(({hub}) => hub.holdsLease()), false);
 	await until('no block of a store is offered any more', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
 	const until2500 = clock.moment().steady + 2500;
 	await until('time passes', () => {
-		assert.ok(instances.every(({hubView}) => hubView.othersAt('engine', clock.moment()) !== undefined), 'hints are missing');
+		assert.ok(instances.every(({hubView}) => hubView.peerLoadAt('engine', clock.moment()) !== undefined), 'hints are missing');
 		return clock.moment().steady >= until2500;
 	}, 3000);
 	assert.equal(instances.every(({hubView}) => hubView.isLapsed), true);
 	table.down = false;
 	await until('all views hold the block again', allKnow, 6000 + withdrawalMilliseconds);
 	assert.equal(instances.some(({hubView}) => hubView.isLapsed), false);
-	for (const told of ['"kind":"lease-lost"', '"kind":"dependency-lost","dependency":"hub"', '"kind":"dependency-regained","dependency":"hub"']) {
-		assert.ok(lines.some(line => line.includes(told)), told);
+	for (const expected of ['"kind":"lease-lost"', '"kind":"dependency-lost","dependency":"hub"', '"kind":"dependency-regained","dependency":"hub"']) {
+		assert.ok(lines.some(line => line.includes(expected)), expected);
 	}
 });
 
@@ -182,37 +182,37 @@
 	const table = new MemoryTable();
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
 	let isHub = false;
-	const seatOf = (instance: string): DutySeat => new DutySeat({
-		table: 'leases', duty: 'hub-deputy', instance, address: '127.0.0.1:1', leaseMilliseconds: 1000, actingMilliseconds: 60_000,
+	const electionOf = (instance: string): LeaderElection => new LeaderElection({
+		table: 'leases', lease: 'hub-deputy', instance, address: '127.0.0.1:1', leaseMilliseconds: 1000, grantMilliseconds: 60_000,
 	}, {store: table, clock, log});
-	const seat = seatOf('i1');
-	const deputy = new Hub({
+	const election = electionOf('i1');
+	const standby = new Coordinator({
 		clock, configuration: new ConfigurationView({freshMilliseconds: 1000, leaseMilliseconds: 1000}), dataCentre: 'split', endpoints: new EndpointRegistry(), log,
 	}, {
 		role: 'hub-deputy',
 		instance: 'i1',
 		address: '127.0.0.1:1',
-		seat,
-		client: new HubClient(new HubView(), testFollower(), clock),
-		control: new PlayedStore(),
+		election: election,
+		client: new CoordinatorClient(new CoordinatorView(), testFollower(), clock),
+		control: new FakeStore(),
 		cores: 1,
-		tableNews: () => [],
-		hasOtherDuty: () => isHub,
-		doesOtherAnswer: () => true,
+		tableUpdates: () => [],
+		holdsOtherLease: () => isHub,
+		isOtherUp: () => true,
 		otherDataCentre: () => undefined,
 	});
-	await seat.seek();
-	assert.equal(deputy.isHub(), true);
+	await election.acquireOrRenew();
+	assert.equal(standby.holdsLease(), true);
 	isHub = true;
-	deputy.step();
-	await until('the lease is released', () => !deputy.isHub(), 1000);
+	standby.step();
+	await until('the lease is released', () => !standby.holdsLease(), 1000);
 	await clock.sleep(50, new AbortController().signal);
-	const other = seatOf('i2');
+	const other = electionOf('i2');
 	await until('another instance holds it', () => {
-		void other.seek();
-		return other.left() > 0;
+		void other.acquireOrRenew();
+		return other.remainingMilliseconds() > 0;
 	}, 2000);
-	deputy.step();
+	standby.step();
 	await clock.sleep(50, new AbortController().signal);
-	assert.equal(deputy.isHub(), false);
+	assert.equal(standby.holdsLease(), false);
 });
--- a/src/gateway/hub/engine-watch.test.ts
+++ b/src/gateway/coordinator/engine-cache-watcher.test.ts
@@ -4,7 +4,7 @@
 import {systemMomentClock} from '../../adapters/system-moment-clock.js';
 import {type StoreEvents} from '../../ports/cache-store-control.js';
 import {testEndpoint} from '../testing/test-endpoint.js';
-import {EngineWatch} from './engine-watch.js';
+import {EngineCacheWatcher} from './engine-cache-watcher.js';
 
 const part = (id: string) => ({salt: 's', id, tokens: 160});
 const events = (changes: Partial<StoreEvents>): Either<string, StoreEvents> => Right({
@@ -15,7 +15,7 @@
 function watched(answers: Array<Either<string, StoreEvents>>) {
 	const asked: number[] = [];
 	const told = new Set<string>();
-	const watch = new EngineWatch(testEndpoint({name: 'e1'}), {
+	const watch = new EngineCacheWatcher(testEndpoint({name: 'e1'}), {
 		control: {
 			async events(_address, since) {
 				asked.push(since);
@@ -23,7 +23,7 @@
 			},
 		},
 		clock: systemMomentClock,
-		tell(_engine, {added, removed}) {
+		publish(_engine, {added, removed}) {
 			for (const key of removed) {
 				told.delete(key);
 			}
@@ -45,7 +45,7 @@
 	await watch.step();
 	assert.deepEqual([...told], ['s|p2']);
 	assert.deepEqual(asked, [0, 3]);
-	assert.deepEqual(watch.parts(), [['s|p2', 160]]);
+	assert.deepEqual(watch.blocks(), [['s|p2', 160]]);
 });
 
 test('blocks known from before a restart of an engine, or from before it was unreachable, are withdrawn', async () => {
@@ -61,7 +61,7 @@
 	await watch.step();
 	await watch.step();
 	assert.deepEqual([...told], []);
-	assert.equal(watch.isKnown, false);
+	assert.equal(watch.isUpToDate, false);
 	await watch.step();
 	assert.deepEqual([...told], ['s|p3']);
 	assert.deepEqual(asked, [0, 9, 0]);
@@ -79,5 +79,5 @@
 	await watch.step();
 	await watch.step();
 	assert.deepEqual([...told], ['s|p2']);
-	assert.equal(watch.isKnown, true);
+	assert.equal(watch.isUpToDate, true);
 });
--- a/src/gateway/hub/engine-watch.ts
+++ b/src/gateway/coordinator/engine-cache-watcher.ts
@@ -20,69 +20,69 @@
 const retryMilliseconds = 500;
 
 /** Dependencies of a watcher. */
-export type EngineWatchTools = {
+export type EngineCacheWatcherDependencies = {
 	control: Pick<CacheStoreControl, 'events'>;
 	clock: MomentClock;
 	/** Minimum pause after events, in milliseconds; the usual pause applies where it is longer. */
-	pauseMilliseconds?: () => number;
-	tell(engine: string, change: BlockChanges): void;
+	minPauseMilliseconds?: () => number;
+	publish(engine: string, change: BlockChanges): void;
 };
 
-export class EngineWatch {
+export class EngineCacheWatcher {
 	readonly #engine: EndpointRecord;
-	readonly #tools: EngineWatchTools;
-	readonly #parts = new Map<string, number>();
+	readonly #dependencies: EngineCacheWatcherDependencies;
+	readonly #blocks = new Map<string, number>();
 	readonly #engineClock = new EngineClock();
 	#epoch: number | undefined;
 	#since = 0;
 
-	constructor(engine: EndpointRecord, tools: EngineWatchTools) {
+	constructor(engine: EndpointRecord, dependencies: EngineCacheWatcherDependencies) {
 		this.#engine = engine;
-		this.#tools = tools;
+		this.#dependencies = dependencies;
 	}
 
 	/** Whether the last call succeeded, so that the engine's events are known up to then. */
-	get isKnown(): boolean {
+	get isUpToDate(): boolean {
 		return this.#epoch !== undefined;
 	}
 
 	/** The engines' clock by this engine's last answer, in milliseconds. */
 	get engineClock(): number | undefined {
-		return this.#engineClock.at(this.#tools.clock.moment().steady);
+		return this.#engineClock.at(this.#dependencies.clock.moment().steady);
 	}
 
 	/** All blocks that the engine is known to hold. */
-	parts(): Array<[key: string, tokens: number]> {
-		return [...this.#parts];
+	blocks(): Array<[key: string, tokens: number]> {
+		return [...this.#blocks];
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			const pause = await this.step();
-			await this.#tools.clock.sleep(pause, signal);
+			await this.#dependencies.clock.sleep(pause, signal);
 		}
 	}
 
 	/** Makes the next call; returns the pause after it in milliseconds. */
 	async step(): Promise<number> {
-		const answer = await this.#tools.control.events(this.#engine.address, this.#since, eventWaitMilliseconds);
+		const answer = await this.#dependencies.control.events(this.#engine.address, this.#since, eventWaitMilliseconds);
 		return answer.caseOf({
 			Left: () => {
-				this.#forget();
+				this.#reset();
 				return retryMilliseconds;
 			},
 			Right: events => {
-				this.#take(events);
-				return Math.max(batchMilliseconds, this.#tools.pauseMilliseconds?.() ?? 0);
+				this.#applyEvents(events);
+				return Math.max(batchMilliseconds, this.#dependencies.minPauseMilliseconds?.() ?? 0);
 			},
 		});
 	}
 
-	#take(events: StoreEvents): void {
-		this.#engineClock.hear(events.clockMilliseconds, this.#tools.clock.moment().steady);
+	#applyEvents(events: StoreEvents): void {
+		this.#engineClock.record(events.clockMilliseconds, this.#dependencies.clock.moment().steady);
 		const hasRestarted = this.#epoch !== undefined && events.epoch !== this.#epoch;
 		if (hasRestarted || events.isIncomplete) {
-			this.#forget();
+			this.#reset();
 		}
 
 		if (hasRestarted) {
@@ -93,23 +93,23 @@
 		this.#epoch = events.epoch;
 		this.#since = events.next;
 		const change: BlockChanges = {
-			added: events.added.map(part => [blockKey(part), part.tokens]),
-			removed: events.removed.map(part => blockKey(part)),
+			added: events.added.map(block => [blockKey(block), block.tokens]),
+			removed: events.removed.map(block => blockKey(block)),
 		};
 		for (const key of change.removed) {
-			this.#parts.delete(key);
+			this.#blocks.delete(key);
 		}
 
 		for (const [key, tokens] of change.added) {
-			this.#parts.set(key, tokens);
+			this.#blocks.set(key, tokens);
 		}
 
-		this.#tools.tell(this.#engine.name, change);
+		this.#dependencies.publish(this.#engine.name, change);
 	}
 
-	#forget(): void {
-		this.#tools.tell(this.#engine.name, {added: [], removed: [...this.#parts.keys()]});
-		this.#parts.clear();
+	#reset(): void {
+		this.#dependencies.publish(this.#engine.name, {added: [], removed: [...this.#blocks.keys()]});
+		this.#blocks.clear();
 		this.#epoch = undefined;
 		this.#since = 0;
 	}
--- a/src/gateway/hub/engine-watches.ts
+++ b/src/gateway/coordinator/engine-cache-watchers.ts
@@ -1,25 +1,25 @@
 /** The coordinator's watchers of all engines: one for each incarnation that is in the list. */
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type DecisionLog} from '../observability/decision-log.js';
-import {EngineWatch, type EngineWatchTools} from './engine-watch.js';
+import {EngineCacheWatcher, type EngineCacheWatcherDependencies} from './engine-cache-watcher.js';
 
 /** Minimum interval between calls for events, over all engines together. */
 const pausePerEngineMilliseconds = 6;
 
-type Watched = {watch: EngineWatch; stop: AbortController; engine: EndpointRecord};
+type WatchedEngine = {watcher: EngineCacheWatcher; stop: AbortController; engine: EndpointRecord};
 
-export class EngineWatches {
-	readonly #tools: EngineWatchTools;
+export class EngineCacheWatchers {
+	readonly #dependencies: EngineCacheWatcherDependencies;
 	readonly #log: DecisionLog;
-	readonly #watched = new Map<string, Watched>();
+	readonly #watched = new Map<string, WatchedEngine>();
 
-	constructor(tools: EngineWatchTools, log: DecisionLog) {
-		this.#tools = tools;
+	constructor(dependencies: EngineCacheWatcherDependencies, log: DecisionLog) {
+		this.#dependencies = dependencies;
 		this.#log = log;
 	}
 
 	/** Watches these engines and no others. */
-	keep(engines: readonly EndpointRecord[]): void {
+	watch(engines: readonly EndpointRecord[]): void {
 		const wanted = new Map(engines.map(engine => [engine.name, engine]));
 		for (const [name, {engine}] of this.#watched) {
 			if (wanted.get(name)?.startedAt !== engine.startedAt) {
@@ -42,37 +42,37 @@
 	}
 
 	/** Whether the known blocks of an engine are up to date. */
-	isKnown(engine: string): boolean {
-		return this.#watched.get(engine)?.watch.isKnown ?? false;
+	isUpToDate(engine: string): boolean {
+		return this.#watched.get(engine)?.watcher.isUpToDate ?? false;
 	}
 
 	/** The engines' clock in milliseconds, if any engine has reported it. */
 	engineClock(): number | undefined {
-		return [...this.#watched.values()].map(({watch}) => watch.engineClock).find(clock => clock !== undefined);
+		return [...this.#watched.values()].map(({watcher: watcher}) => watcher.engineClock).find(clock => clock !== undefined);
 	}
 
 	#start(engine: EndpointRecord): void {
 		const stop = new AbortController();
-		const tools: EngineWatchTools = {
-			...this.#tools,
-			pauseMilliseconds: () => pausePerEngineMilliseconds * this.#watched.size,
-			tell: (name, change) => {
+		const dependencies: EngineCacheWatcherDependencies = {
+			...this.#dependencies,
+			minPauseMilliseconds: () => pausePerEngineMilliseconds * this.#watched.size,
+			publish: (name, change) => {
 				// A call may be in flight when the watcher stops; its events belong to an incarnation that has departed.
 				if (!stop.signal.aborted) {
-					this.#tools.tell(name, change);
+					this.#dependencies.publish(name, change);
 				}
 			},
 		};
-		const watched: Watched = {watch: new EngineWatch(engine, tools), stop, engine};
+		const watched: WatchedEngine = {watcher: new EngineCacheWatcher(engine, dependencies), stop, engine};
 		this.#watched.set(engine.name, watched);
 		void this.#run(watched);
 	}
 
 	/** Removes a watcher that fails; the next call of `watch` starts a new one. */
-	async #run(watched: Watched): Promise<void> {
-		const {watch, stop, engine} = watched;
+	async #run(watched: WatchedEngine): Promise<void> {
+		const {watcher: watcher, stop, engine} = watched;
 		try {
-			await watch.run(stop.signal);
+			await watcher.run(stop.signal);
 		} catch (error) {
 			this.#log.record('fault', {child: `engine-watch ${engine.name}`, error: String(error)});
 			if (this.#watched.get(engine.name) === watched) {
@@ -85,6 +85,6 @@
 		const watched = this.#watched.get(name);
 		this.#watched.delete(name);
 		watched?.stop.abort();
-		this.#tools.tell(name, {added: [], removed: watched?.watch.parts().map(([key]) => key) ?? []});
+		this.#dependencies.publish(name, {added: [], removed: watched?.watcher.blocks().map(([key]) => key) ?? []});
 	}
 }
--- a/src/gateway/hub/engine-clock.ts
+++ b/src/gateway/coordinator/engine-clock.ts
@@ -3,21 +3,21 @@
  * since the delay of the reading on its way is not added: a time limit computed from it ends too soon rather than too late.
  */
 export class EngineClock {
-	#heard: {milliseconds: number; at: number} | undefined;
+	#reading: {milliseconds: number; at: number} | undefined;
 
 	/** Records a reading, if there is one, that arrived at a time of the steady clock in milliseconds. */
-	hear(milliseconds: number | undefined, now: number): void {
+	record(milliseconds: number | undefined, now: number): void {
 		if (milliseconds !== undefined) {
-			this.#heard = {milliseconds, at: now};
+			this.#reading = {milliseconds, at: now};
 		}
 	}
 
 	/** Milliseconds of the engines' clock; `undefined` without a reading. */
 	at(now: number): number | undefined {
-		return this.#heard === undefined ? undefined : this.#heard.milliseconds + (now - this.#heard.at);
+		return this.#reading === undefined ? undefined : this.#reading.milliseconds + (now - this.#reading.at);
 	}
 
-	forget(): void {
-		this.#heard = undefined;
+	clear(): void {
+		this.#reading = undefined;
 	}
 }
--- a/src/gateway/hub/load-totals.ts
+++ b/src/gateway/coordinator/load-totals.ts
@@ -5,10 +5,10 @@
  */
 import {noLoad} from '../../decision/placement/endpoint-load.js';
 import {
-	heardAgoIndex, oldestWaitIndex, packLoad, type PackedLoad,
-} from './hub-messages.js';
+	lastByteAgoIndex, oldestWaitIndex, packLoad, type PackedLoad,
+} from './coordinator-messages.js';
 
-const nothing = packLoad(noLoad);
+const emptyLoad = packLoad(noLoad);
 
 export class LoadTotals {
 	readonly #byEndpoint = new Map<string, Map<string, PackedLoad>>();
@@ -40,8 +40,8 @@
 	}
 
 	/** The load of all instances but one at an endpoint. */
-	withoutInstance(endpoint: string, instance: string): PackedLoad {
-		const sum = [...nothing];
+	totalWithout(endpoint: string, instance: string): PackedLoad {
+		const sum = [...emptyLoad];
 		for (const [other, load] of this.#byEndpoint.get(endpoint) ?? []) {
 			if (other !== instance) {
 				addPacked(sum, load);
@@ -68,7 +68,7 @@
 		const known = sum[index] ?? 0;
 		if (index === oldestWaitIndex) {
 			sum[index] = Math.max(known, value);
-		} else if (index === heardAgoIndex) {
+		} else if (index === lastByteAgoIndex) {
 			sum[index] = Math.min(known, value);
 		} else {
 			sum[index] = known + value;
--- a/src/gateway/hub/hub-services.ts
+++ b/src/gateway/coordinator/managed-services.ts
@@ -14,7 +14,7 @@
 }
 
 /** Whether all listed engines have newer weights than a salt names; false without engines, since nothing is known then. */
-export function isDeadSalt(salt: string, endpoints: readonly EndpointRecord[]): boolean {
+export function isExpiredSalt(salt: string, endpoints: readonly EndpointRecord[]): boolean {
 	const version = versionOfSalt(salt);
 	const versions = endpoints.flatMap(({weightVersions}) => [...weightVersions.values()]);
 	return version !== undefined && versions.length > 0 && versions.every(live => live > version);
--- a/src/gateway/hub/news-sources.ts
+++ b/src/gateway/coordinator/peer-update-sources.ts
@@ -5,26 +5,26 @@
  * send orders to stores. The cached blocks of engines and the loads of instances are hints, which the standby may serve
  * meanwhile: without them every returning prompt is prefilled again, at engines that look idle to all instances at once.
  */
-import {type HubClient, type PeerNews} from './hub-client.js';
-import {type PlaceQuestion} from './hub-messages.js';
+import {type CoordinatorClient, type PeerUpdates} from './coordinator-client.js';
+import {type PlacementQuery} from './coordinator-messages.js';
 
-export class NewsSources implements PeerNews {
-	readonly #sources: readonly HubClient[];
+export class PeerUpdateSources implements PeerUpdates {
+	readonly #sources: readonly CoordinatorClient[];
 
 	/** @param sources - In the order in which they are tried. */
-	constructor(sources: readonly HubClient[]) {
+	constructor(sources: readonly CoordinatorClient[]) {
 		this.#sources = sources;
 	}
 
-	async refresh(question: PlaceQuestion): Promise<void> {
+	async refresh(query: PlacementQuery): Promise<void> {
 		for (const source of this.#sources) {
-			if (await source.refresh(question)) {
+			if (await source.refresh(query)) {
 				return;
 			}
 		}
 	}
 
-	tell(): void {
-		this.#sources.find(({isResponsive}) => isResponsive)?.tell();
+	report(): void {
+		this.#sources.find(({isResponsive}) => isResponsive)?.report();
 	}
 }
--- a/src/gateway/data-path/plan-block-transfers.ts
+++ b/src/gateway/data-path/plan-block-transfers.ts
@@ -27,7 +27,7 @@
 	const known = sources.blockLocatorFor(endpoint);
 	const plan = context.partPlanner.plan(sources.sharedBlocks, sources.saltUnder(version), {stores: sources.stores, known}, now.steady);
 	for (const key of plan.used) {
-		context.hubView.noteUse(key);
+		context.hubView.recordUse(key);
 	}
 
 	return {fetchFrom: plan.fetchFrom, saveTo: plan.saveTo, fetchUntil: engineClock + fetchTimeoutMilliseconds};
--- a/src/gateway/data-path/prompt-block-sources.ts
+++ b/src/gateway/data-path/prompt-block-sources.ts
@@ -7,7 +7,7 @@
 import {hashOf} from '../../shared/hash-of.js';
 import {type PromptBlock} from '../../shared/prompt-shape.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {type PlaceQuestion} from '../hub/hub-messages.js';
+import {type PlacementQuery} from '../coordinator/coordinator-messages.js';
 import {cacheScopeOf} from './endpoint-headers.js';
 import {type PermittedRequest} from './validate-request.js';
 import {type RequestHead} from './request-head.js';
@@ -94,7 +94,7 @@
 	}
 
 	/** The query to send before the prompt is placed on one of some endpoints. */
-	query(endpoints: readonly EndpointRecord[]): PlaceQuestion {
+	query(endpoints: readonly EndpointRecord[]): PlacementQuery {
 		const engines = this.#context.endpoints.usable(this.#service, this.#now.steady);
 		const versions = new Set(engines.map(({weightVersions}) => weightVersions.get(this.#model)).filter(version => version !== undefined));
 		const newest = [...versions].toSorted((one, other) => other - one).slice(0, maxVersions);
--- a/src/gateway/data-path/routed-request.ts
+++ b/src/gateway/data-path/routed-request.ts
@@ -214,7 +214,7 @@
 		this.#sentAt = this.#now();
 		const running = this.#currentAttempt.run();
 		if (request.prompt !== undefined) {
-			this.#context.peerNews.tell();
+			this.#context.peerNews.report();
 		}
 
 		const result = await running;
--- a/src/gateway/data-path/weights-grant.test.ts
+++ b/src/gateway/data-path/weights-grant.test.ts
@@ -3,7 +3,7 @@
 import {type IncomingMessage} from 'node:http';
 import {test} from 'node:test';
 import {exchangeRaw, rawRequest, statusOf} from '../../test/raw-http.js';
-import {WeightGoals} from '../weights/weight-goals.js';
+import {WeightTargets} from '../weights/weight-targets.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
 import {sealedHeaders, TestGateway} from '../testing/test-gateway.js';
 import {ownWireNames as names} from './wire-names.js';
@@ -27,9 +27,9 @@
 	// longer valid. The gateway closes the connection before that and sends the prompt to an engine with the new weights.
 	const route = testRoute({kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds: 5000});
 	const gateway = await new TestGateway(testConfiguration({routes: [route]})).start();
-	Object.assign(gateway.context, {goals: new WeightGoals(boundMilliseconds)});
+	Object.assign(gateway.context, {goals: new WeightTargets(boundMilliseconds)});
 	const namedAt = gateway.context.clock.moment();
-	gateway.context.goals.name({model: 'lease', version: 2}, {heardAt: namedAt, namedSince: namedAt});
+	gateway.context.goals.add({model: 'lease', version: 2}, {observedAt: namedAt, namedNotBefore: namedAt});
 	// The engine goes on serving other prompts.
 	gateway.context.placement.isUnresponsive = () => false;
 	let hold: (incoming: IncomingMessage) => void = () => undefined;
--- a/src/gateway/endpoints/endpoint-prober.ts
+++ b/src/gateway/endpoints/endpoint-prober.ts
@@ -8,14 +8,14 @@
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 
 /** Interval between two checks for due probes. */
-const tickMilliseconds = 200;
+const checkIntervalMilliseconds = 200;
 /** Timeout of a probe; a request's connection has the same one. */
-const connectMilliseconds = 250;
+const connectTimeoutMilliseconds = 250;
 
 export class EndpointProber implements Child {
 	readonly name = 'endpoint-prober';
 	readonly #context: Pick<GatewayContext, 'clock' | 'placement'>;
-	readonly #underWay = new Set<string>();
+	readonly #inFlight = new Set<string>();
 
 	constructor(context: Pick<GatewayContext, 'clock' | 'placement'>) {
 		this.#context = context;
@@ -25,24 +25,24 @@
 		const {clock, placement} = this.#context;
 		while (!signal.aborted) {
 			for (const endpoint of placement.dueProbes(clock.moment().steady)) {
-				if (!this.#underWay.has(endpoint.name)) {
-					this.#underWay.add(endpoint.name);
+				if (!this.#inFlight.has(endpoint.name)) {
+					this.#inFlight.add(endpoint.name);
 					void this.#probe(endpoint);
 				}
 			}
 
-			await clock.sleep(tickMilliseconds, signal);
+			await clock.sleep(checkIntervalMilliseconds, signal);
 		}
 	}
 
 	async #probe(endpoint: EndpointRecord): Promise<void> {
-		const isReached = await reaches(endpoint.address);
-		this.#underWay.delete(endpoint.name);
+		const isReached = await isReachable(endpoint.address);
+		this.#inFlight.delete(endpoint.name);
 		this.#context.placement.noteProbe(endpoint, isReached, this.#context.clock.moment().steady);
 	}
 }
 
-async function reaches(address: string): Promise<boolean> {
+async function isReachable(address: string): Promise<boolean> {
 	const separator = address.lastIndexOf(':');
 	return new Promise(resolve => {
 		const socket = connect({host: address.slice(0, separator), port: Number(address.slice(separator + 1))});
@@ -51,7 +51,7 @@
 			resolve(isReached);
 		};
 
-		socket.setTimeout(connectMilliseconds, () => {
+		socket.setTimeout(connectTimeoutMilliseconds, () => {
 			// In a process that was paused, the connection may be established as well, and timers run before its event.
 			setImmediate(end, false);
 		});
--- a/src/gateway/endpoints/endpoint-registry.test.ts
+++ b/src/gateway/endpoints/endpoint-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {testEndpoint} from '../testing/test-endpoint.js';
-import {EndpointRegistry, reappearanceMilliseconds} from './endpoint-registry.js';
+import {EndpointRegistry, reRegistrationMilliseconds} from './endpoint-registry.js';
 
 const namesOf = (records: Array<{name: string}>): string[] => records.map(({name}) => name);
 
@@ -18,18 +18,18 @@
 	// time.
 	const registry = new EndpointRegistry();
 	registry.replaceAll([testEndpoint({name: 'one'}), testEndpoint({name: 'two', address: '127.0.0.1:2'})], 0);
-	registry.storeFailed(5000);
+	registry.noteStoreFailure(5000);
 	registry.replaceAll([], 5100);
 	assert.deepEqual(namesOf(registry.usable('desk', 5200)), ['one', 'two']);
 	registry.put(testEndpoint({name: 'one'}));
 	assert.deepEqual(namesOf(registry.usable('desk', 5300)), ['one']);
-	assert.deepEqual(namesOf(registry.settle(5000 + reappearanceMilliseconds).vanished), ['two']);
+	assert.deepEqual(namesOf(registry.expire(5000 + reRegistrationMilliseconds).vanished), ['two']);
 });
 
 test('an endpoint that was leaving when its row vanished is not used, even around an outage', () => {
 	const registry = new EndpointRegistry();
 	registry.replaceAll([testEndpoint({name: 'one', state: 'leaving'})], 0);
-	registry.storeFailed(5000);
+	registry.noteStoreFailure(5000);
 	registry.replaceAll([], 5100);
 	assert.deepEqual(registry.usable('desk', 5200), []);
 });
@@ -65,7 +65,7 @@
 	registry.put(two!);
 	assert.deepEqual(namesOf(registry.usable('desk', 2500)), ['e3', 'e2'], 'an endpoint that wrote its row again is not used');
 	registry.remove('e1', 4000);
-	registry.settle(20_000);
+	registry.expire(20_000);
 	assert.deepEqual(namesOf(registry.usable('desk', 20_000)), ['e3', 'e2'], 'an endpoint whose row expired is used');
 });
 
@@ -76,15 +76,15 @@
 	registry.remove('one', 1000);
 	registry.replaceAll([testEndpoint({name: 'one'})], 2000, true);
 	assert.deepEqual(registry.usable('desk', 3000), []);
-	registry.settle(10_000);
+	registry.expire(10_000);
 	assert.deepEqual(namesOf(registry.usable('desk', 10_000)), ['one']);
 });
 
 test('an older failure of the store does not shorten the time that a later one grants to unconfirmed endpoints', () => {
 	const registry = new EndpointRegistry();
 	registry.replaceAll([testEndpoint({name: 'one'})], 0);
-	registry.storeFailed(5000);
-	registry.storeFailed(3000);
-	registry.replaceAll([], 5000 + reappearanceMilliseconds - 1);
-	assert.deepEqual(namesOf(registry.usable('desk', 5000 + reappearanceMilliseconds - 1)), ['one']);
+	registry.noteStoreFailure(5000);
+	registry.noteStoreFailure(3000);
+	registry.replaceAll([], 5000 + reRegistrationMilliseconds - 1);
+	assert.deepEqual(namesOf(registry.usable('desk', 5000 + reRegistrationMilliseconds - 1)), ['one']);
 });
--- a/src/gateway/endpoints/endpoint-registry.ts
+++ b/src/gateway/endpoints/endpoint-registry.ts
@@ -13,7 +13,7 @@
 import {type EndpointRecord, incarnationOf} from '../../shared/endpoint-record.js';
 
 /** An endpoint whose row is missing since an outage of the store, and until when it may be used. */
-type Doubt = {record: EndpointRecord; until: number};
+type UnconfirmedEndpoint = {record: EndpointRecord; until: number};
 
 /** What changed in the registry. */
 export type RegistryChange = {
@@ -26,9 +26,9 @@
  * How long a living endpoint needs to write its row again once the store is back: about two seconds, as the platform states,
  * and one tenth more for the delay of the update.
  */
-export const reappearanceMilliseconds = 2200;
+export const reRegistrationMilliseconds = 2200;
 /** How many departed endpoints are remembered: more than leave in the seconds by which a copy of the store is old. */
-const rememberedDepartures = 1000;
+const maxDepartures = 1000;
 /**
  * How long the row of a departed endpoint may stay in a store that came back from a copy: three heartbeats and the delay of the
  * update.
@@ -37,19 +37,19 @@
 
 export class EndpointRegistry {
 	readonly #records = new Map<string, EndpointRecord>();
-	readonly #doubts = new Map<string, Doubt>();
+	readonly #unconfirmed = new Map<string, UnconfirmedEndpoint>();
 	/** Until when an outage may be the reason that a row vanishes, in milliseconds of the steady clock. */
-	#unsureUntil = 0;
+	#outageUntil = 0;
 	/** Incarnations that are leaving or have departed, those found first at the front. */
 	readonly #departures = new Set<string>();
 	/** Rows of a restored store that contradict a departure, and until when they are ignored. */
 	readonly #staleRows = new Map<string, {record: EndpointRecord; until: number}>();
 
 	/** Records that the store failed to answer, at a time of the steady clock in milliseconds. */
-	storeFailed(failedAt: number): void {
-		this.#unsureUntil = Math.max(this.#unsureUntil, failedAt + reappearanceMilliseconds);
-		for (const doubt of this.#doubts.values()) {
-			doubt.until = this.#unsureUntil;
+	noteStoreFailure(failedAt: number): void {
+		this.#outageUntil = Math.max(this.#outageUntil, failedAt + reRegistrationMilliseconds);
+		for (const endpoint of this.#unconfirmed.values()) {
+			endpoint.until = this.#outageUntil;
 		}
 	}
 
@@ -96,11 +96,11 @@
 	}
 
 	/** Drops unconfirmed endpoints and accepts ignored rows of a restored store, each when its time is over. */
-	settle(now: number): RegistryChange {
+	expire(now: number): RegistryChange {
 		const change: RegistryChange = {appeared: [], vanished: []};
-		for (const [name, {record, until}] of this.#doubts) {
+		for (const [name, {record, until}] of this.#unconfirmed) {
 			if (until <= now) {
-				this.#doubts.delete(name);
+				this.#unconfirmed.delete(name);
 				this.#noteDeparture(record);
 				change.vanished.push(record);
 			}
@@ -134,12 +134,12 @@
 
 	/** The endpoints of a service that may get new requests; unconfirmed ones only where no other is left. */
 	usable(service: string, now: number): EndpointRecord[] {
-		const sure = [...this.#records.values()].filter(record => record.service === service && record.state === 'ready');
-		if (sure.length > 0) {
-			return sure;
+		const confirmed = [...this.#records.values()].filter(record => record.service === service && record.state === 'ready');
+		if (confirmed.length > 0) {
+			return confirmed;
 		}
 
-		return [...this.#doubts.values()]
+		return [...this.#unconfirmed.values()]
 			.filter(({record, until}) => record.service === service && record.state === 'ready' && until > now)
 			.map(({record}) => record);
 	}
@@ -154,8 +154,8 @@
 	}
 
 	#put(record: EndpointRecord, change: RegistryChange): void {
-		const known = this.#records.get(record.name) ?? this.#doubts.get(record.name)?.record;
-		this.#doubts.delete(record.name);
+		const known = this.#records.get(record.name) ?? this.#unconfirmed.get(record.name)?.record;
+		this.#unconfirmed.delete(record.name);
 		this.#staleRows.delete(record.name);
 		this.#records.set(record.name, record);
 		if (record.state === 'leaving') {
@@ -191,7 +191,7 @@
 
 	#noteDeparture(record: EndpointRecord): void {
 		this.#departures.add(incarnationOf(record));
-		if (this.#departures.size > rememberedDepartures) {
+		if (this.#departures.size > maxDepartures) {
 			this.#departures.delete(this.#departures.values().next().value!);
 		}
 	}
@@ -204,8 +204,8 @@
 		}
 
 		this.#records.delete(name);
-		if (now < this.#unsureUntil && record.state === 'ready') {
-			this.#doubts.set(name, {record, until: this.#unsureUntil});
+		if (now < this.#outageUntil && record.state === 'ready') {
+			this.#unconfirmed.set(name, {record, until: this.#outageUntil});
 			return;
 		}
 
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -11,10 +11,10 @@
 import {type EndpointRegistry} from './endpoints/endpoint-registry.js';
 import {type DecisionLog} from './observability/decision-log.js';
 import {type GatewayMetrics} from './observability/gateway-metrics.js';
-import {type PeerNews} from './hub/hub-client.js';
-import {type HubView} from './hub/hub-view.js';
+import {type PeerUpdates} from './coordinator/coordinator-client.js';
+import {type CoordinatorView} from './coordinator/coordinator-view.js';
 import {type LoadingEngines} from './watchers/loading-engines.js';
-import {type WeightGoals} from './weights/weight-goals.js';
+import {type WeightTargets} from './weights/weight-targets.js';
 
 export type GatewayContext = {
 	dataCentre: string;
@@ -25,10 +25,10 @@
 	placement: PlacementPolicy;
 	budget: SharedRetryBudget;
 	exchanges: EndpointExchanges;
-	goals: WeightGoals;
+	goals: WeightTargets;
 	loadingEngines: LoadingEngines;
-	hubView: HubView;
-	peerNews: PeerNews;
+	hubView: CoordinatorView;
+	peerNews: PeerUpdates;
 	partPlanner: BlockPlanner;
 	eventLoopLag: Pick<EventLoopLag, 'current'>;
 	log: DecisionLog;
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -31,18 +31,18 @@
 import {EndpointRegistry} from './endpoints/endpoint-registry.js';
 import {type GatewayContext} from './gateway-context.js';
 import {type GatewaySettings, timingsOf} from './gateway-settings.js';
-import {type HubContext} from './hub/hub.js';
-import {packLoads} from './hub/hub-messages.js';
-import {HubPair} from './hub/hub-pair.js';
-import {HubView} from './hub/hub-view.js';
+import {type CoordinatorContext} from './coordinator/coordinator.js';
+import {packLoads} from './coordinator/coordinator-messages.js';
+import {CoordinatorPair} from './coordinator/coordinator-pair.js';
+import {CoordinatorView} from './coordinator/coordinator-view.js';
 import {DecisionLog} from './observability/decision-log.js';
 import {type GatewayMetrics} from './observability/gateway-metrics.js';
 import {reportLag} from './observability/report-lag.js';
 import {type Catalog} from './watchers/catalog.js';
 import {TableFeeds} from './watchers/table-feeds.js';
 import {LoadingEngines} from './watchers/loading-engines.js';
-import {WeightCoordinator} from './weights/weight-coordinator.js';
-import {WeightGoals} from './weights/weight-goals.js';
+import {WeightRollout} from './weights/weight-rollout.js';
+import {WeightTargets} from './weights/weight-targets.js';
 
 /** The adapters to the outside, which implement the deployment's protocols. */
 export type GatewayPorts = {
@@ -75,7 +75,7 @@
 	readonly #callers: HttpListener;
 	readonly #ready: HttpListener;
 	readonly #metricsListener: HttpListener;
-	readonly #hubs: HubPair;
+	readonly #hubs: CoordinatorPair;
 	readonly #feeds: TableFeeds;
 	readonly #root: Supervisor;
 	readonly #eventLoopLag: EventLoopLag;
@@ -90,8 +90,8 @@
 		this.#graceMilliseconds = settings.bounds.graceMilliseconds;
 		const {clock, metrics} = ports;
 		const timings = timingsOf(settings.bounds);
-		const hubView = new HubView();
-		this.#placement = new CostPlacement(settings.dataCentre, endpoint => hubView.othersAt(endpoint, clock.moment()));
+		const hubView = new CoordinatorView();
+		this.#placement = new CostPlacement(settings.dataCentre, endpoint => hubView.peerLoadAt(endpoint, clock.moment()));
 		const log = new DecisionLog(process.stdout, {instance: settings.instance}, () => clock.moment().wall);
 		this.#eventLoopLag = new EventLoopLag(() => clock.moment().steady, lagMilliseconds => {
 			reportLag({log, metrics}, lagMilliseconds);
@@ -109,12 +109,12 @@
 			names: ports.names,
 			placement: this.#placement,
 			hubView,
-			peerNews: this.#hubs.news,
+			peerNews: this.#hubs.peerUpdates,
 			partPlanner: new BlockPlanner(),
 			eventLoopLag: this.#eventLoopLag,
 			budget: new SharedRetryBudget({ratio: settings.bounds.repeatRatio, windowMilliseconds: settings.bounds.repeatWindowMilliseconds}),
 			exchanges: this.#exchanges,
-			goals: new WeightGoals(settings.bounds.weightsMilliseconds),
+			goals: new WeightTargets(settings.bounds.weightsMilliseconds),
 			loadingEngines: new LoadingEngines(() => clock.moment().steady),
 			metrics,
 			refuse: createRefuse(metrics),
@@ -126,7 +126,7 @@
 		}, settings.listenCallers, {...defaultListenerBounds, maxHeaderBytes: parserHeaderBytes});
 		this.#ready = new HttpListener('ready', this.#readyApp(), settings.listenReady);
 		this.#metricsListener = new HttpListener('metrics', this.#metricsApp(), settings.listenMetrics);
-		this.#feeds = new TableFeeds(this.#context, {...ports, isReader: () => this.#hubs.isReader, isStandby: () => this.#hubs.isDeputy}, timings);
+		this.#feeds = new TableFeeds(this.#context, {...ports, isReader: () => this.#hubs.isReader, isStandby: () => this.#hubs.isStandby}, timings);
 		this.#root = this.#tree(ports);
 	}
 
@@ -167,7 +167,7 @@
 		const startedAt = clock.moment().steady;
 		log.record('stopping', {openRequests: this.#front.open});
 		this.#callers.announceClose();
-		void this.#hubs.leave();
+		void this.#hubs.resign();
 		await clock.sleep(unreadyMilliseconds, this.#stop.signal);
 		const left = this.#graceMilliseconds - exitMarginMilliseconds - (clock.moment().steady - startedAt);
 		await Promise.race([this.#callers.drain(), clock.sleep(Math.max(0, left), this.#stop.signal)]);
@@ -180,24 +180,24 @@
 		log.record('stopped', {openRequests: this.#front.open, milliseconds: Math.round(clock.moment().steady - startedAt)});
 	}
 
-	#createHubs(shared: HubContext, view: HubView, {store, storeControl, clock}: GatewayPorts): HubPair {
+	#createHubs(shared: CoordinatorContext, view: CoordinatorView, {store, storeControl, clock}: GatewayPorts): CoordinatorPair {
 		const {instance, cores, listenPeers, listenDeputy} = this.#settings;
-		return new HubPair(shared, {
+		return new CoordinatorPair(shared, {
 			store,
 			control: storeControl,
 			view,
 			addresses: {hub: listenPeers, 'hub-deputy': listenDeputy},
-			self: {
+			follower: {
 				instance,
 				cores,
 				loads: () => packLoads(this.#placement.ownLoads(clock.moment().steady)),
-				watched: () => this.#watchedEndpoints(),
-				places: () => this.#feeds.places(),
-				takeTables: (news, askedAt) => {
+				watchedEndpoints: () => this.#watchedEndpoints(),
+				cursors: () => this.#feeds.places(),
+				applyTableUpdates: (news, askedAt) => {
 					this.#feeds.takeNews(news, askedAt);
 				},
 			},
-			tableNews: places => this.#feeds.newsFor(places),
+			tableUpdates: places => this.#feeds.newsFor(places),
 		});
 	}
 
@@ -224,8 +224,8 @@
 			},
 			children: [
 				...this.#feeds.followers,
-				new WeightCoordinator(this.#context, {
-					instance, leaseMilliseconds, boundMilliseconds: weightsMilliseconds, store, control, goals, isHub: () => this.#hubs.isHub, instances: () => this.#hubs.instances,
+				new WeightRollout(this.#context, {
+					instance, leaseMilliseconds, switchoverMilliseconds: weightsMilliseconds, store, control, targets: goals, isCoordinator: () => this.#hubs.isCoordinator, instances: () => this.#hubs.instances,
 				}),
 				new EndpointProber(this.#context),
 				...this.#hubs.children(),
--- a/src/gateway/duty/duty-seat.ts
+++ b/src/gateway/leadership/leader-election.ts
@@ -9,21 +9,21 @@
 import {type DecisionLog} from '../observability/decision-log.js';
 
 /** Which lease, and for whom. */
-export type DutyPlan = {
+export type LeaderElectionOptions = {
 	table: string;
-	duty: string;
+	lease: string;
 	instance: string;
 	/** Where other instances reach the holder. */
 	address: string;
 	leaseMilliseconds: number;
 	/** How long a grant lasts, if the store answers quickly. */
-	actingMilliseconds: number;
+	grantMilliseconds: number;
 	/** Delay after which this instance tries to acquire a lease that another one held, in milliseconds; 0 if absent. */
-	patienceMilliseconds?: () => number;
+	acquisitionDelayMilliseconds?: () => number;
 };
 
 /** Dependencies of an election. */
-export type DutyTools = {
+export type LeaderElectionDependencies = {
 	store: TableService & ClockedTable;
 	clock: MomentClock;
 	log: DecisionLog;
@@ -32,134 +32,134 @@
 /** Delay before the row is read again after a failed call. */
 const retryMilliseconds = 500;
 /** A store that answers slowly is called so much earlier that one slow renewal after another still completes in time. */
-const renewalsBefore = 2;
+const renewalsInMargin = 2;
 /** A grant lasts at least this many renewals as slow as the last one, or a slow store would leave no time to lead. */
 const renewalsInGrant = 4;
 
-export class DutySeat {
-	readonly #plan: DutyPlan;
-	readonly #tools: DutyTools;
+export class LeaderElection {
+	readonly #options: LeaderElectionOptions;
+	readonly #dependencies: LeaderElectionDependencies;
 	#grant: LeaseGrant | undefined;
-	#notBefore = 0;
-	#seekMilliseconds = 0;
+	#nextCallAt = 0;
+	#lastRenewalMilliseconds = 0;
 	/** The row as it was last read or written, whichever instance holds it. */
-	#seen: LeaseRow | undefined;
-	#inherited: Readonly<Record<string, number>> = {};
+	#lastSeenRow: LeaseRow | undefined;
+	#handover: Readonly<Record<string, number>> = {};
 	/** The state of the row that was read last, and since when it has been the same, on the steady clock. */
 	#unchanged: {era: number; revision: number; since: number} | undefined;
 
-	constructor(plan: DutyPlan, tools: DutyTools) {
-		this.#plan = plan;
-		this.#tools = tools;
+	constructor(options: LeaderElectionOptions, dependencies: LeaderElectionDependencies) {
+		this.#options = options;
+		this.#dependencies = dependencies;
 	}
 
 	/** The grant, as long as this instance holds the lease. */
 	get grant(): LeaseGrant | undefined {
-		return this.left() > 0 ? this.#grant : undefined;
+		return this.remainingMilliseconds() > 0 ? this.#grant : undefined;
 	}
 
 	/** Whether no other instance can hold the lease yet; stays true for a while after this instance's grant has ended. */
 	get isUncontested(): boolean {
-		return this.#grant !== undefined && isUncontested(this.#grant, this.#plan.leaseMilliseconds, this.#tools.clock.moment());
+		return this.#grant !== undefined && isUncontested(this.#grant, this.#options.leaseMilliseconds, this.#dependencies.clock.moment());
 	}
 
 	/** The row as it was last read or written. */
-	get seen(): LeaseRow | undefined {
-		return this.#seen;
+	get lastSeenRow(): LeaseRow | undefined {
+		return this.#lastSeenRow;
 	}
 
 	/** The handover in the row before the last grant, from the holder before or from this instance itself. */
-	get inherited(): Readonly<Record<string, number>> {
-		return this.#inherited;
+	get handover(): Readonly<Record<string, number>> {
+		return this.#handover;
 	}
 
-	get #actingMilliseconds(): number {
-		const {actingMilliseconds, leaseMilliseconds} = this.#plan;
-		return Math.max(actingMilliseconds, Math.min(maxGrantMilliseconds(leaseMilliseconds), renewalsInGrant * this.#seekMilliseconds));
+	get #grantMilliseconds(): number {
+		const {grantMilliseconds: grantMilliseconds, leaseMilliseconds} = this.#options;
+		return Math.max(grantMilliseconds, Math.min(maxGrantMilliseconds(leaseMilliseconds), renewalsInGrant * this.#lastRenewalMilliseconds));
 	}
 
 	/** A grant with less than this left is to be renewed: the time of two renewals as slow as the last one. */
-	get renewalMilliseconds(): number {
-		return renewalsBefore * this.#seekMilliseconds;
+	get renewBeforeMilliseconds(): number {
+		return renewalsInMargin * this.#lastRenewalMilliseconds;
 	}
 
 	/** Milliseconds for which this instance still holds the lease; 0 if it does not. */
-	left(): number {
-		const left = this.#grant === undefined ? 0 : remainingGrantMilliseconds(this.#grant, this.#tools.clock.moment());
-		return Math.max(0, left);
+	remainingMilliseconds(): number {
+		const remaining = this.#grant === undefined ? 0 : remainingGrantMilliseconds(this.#grant, this.#dependencies.clock.moment());
+		return Math.max(0, remaining);
 	}
 
 	/**
 	 * Acquires or renews the lease if the row allows it; makes no call sooner than an earlier answer allowed.
 	 *
 	 * @param engines - Engines that the holder changes, for others to avoid them.
-	 * @param legacy - State for the next holder.
+	 * @param handover - State for the next holder.
 	 */
-	async seek(engines: string[] = [], legacy?: Record<string, number>): Promise<void> {
-		const {store, clock, log} = this.#tools;
-		const name = {table: this.#plan.table, key: this.#plan.duty};
-		if (clock.moment().steady < this.#notBefore) {
+	async acquireOrRenew(engines: string[] = [], handover?: Record<string, number>): Promise<void> {
+		const {store, clock, log} = this.#dependencies;
+		const name = {table: this.#options.table, key: this.#options.lease};
+		if (clock.moment().steady < this.#nextCallAt) {
 			return;
 		}
 
 		const since = clock.moment();
 		const read = await store.readClocked(name);
 		if (read.isLeft()) {
-			this.#lookAgainIn(retryMilliseconds);
+			this.#delayNextCall(retryMilliseconds);
 			return;
 		}
 
 		const {row, storeMilliseconds, era} = read.unsafeCoerce();
-		this.#seen = row?.value as LeaseRow | undefined;
-		const reading = {storeMilliseconds, era, unchangedMilliseconds: this.#unchangedFor(era, row?.revision ?? 0, since)};
-		const decided = decideLease(this.#seen, this.#plan.instance, reading, {
-			leaseMilliseconds: this.#plan.leaseMilliseconds, actingMilliseconds: this.#actingMilliseconds,
+		this.#lastSeenRow = row?.value as LeaseRow | undefined;
+		const reading = {storeMilliseconds, era, unchangedMilliseconds: this.#unchangedMilliseconds(era, row?.revision ?? 0, since)};
+		const decided = decideLease(this.#lastSeenRow, this.#options.instance, reading, {
+			leaseMilliseconds: this.#options.leaseMilliseconds, actingMilliseconds: this.#grantMilliseconds,
 		});
 		if (decided.kind === 'wait') {
-			this.lose('another instance holds it, or may hold it');
-			this.#lookAgainIn(decided.milliseconds + (this.#plan.patienceMilliseconds?.() ?? 0));
+			this.discardGrant('another instance holds it, or may hold it');
+			this.#delayNextCall(decided.milliseconds + (this.#options.acquisitionDelayMilliseconds?.() ?? 0));
 			return;
 		}
 
 		const granted: LeaseRow = {
-			...decided.row, address: this.#plan.address, engines, ...(legacy === undefined ? {} : {legacy}),
+			...decided.row, address: this.#options.address, engines, ...(handover === undefined ? {} : {legacy: handover}),
 		};
 		const written = await store.commit({conditions: [{...name, revision: row?.revision ?? 0}], writes: [{...name, value: granted}]});
 		// In a later era the condition may have held by coincidence, for a revision that was used again.
 		if (written.isLeft() || store.era > era) {
 			this.#noteConflict(written);
-			this.#lookAgainIn(retryMilliseconds);
+			this.#delayNextCall(retryMilliseconds);
 			return;
 		}
 
-		if (this.left() === 0) {
-			log.record('lease-taken', {duty: this.#plan.duty, fencingNumber: granted.fencingNumber, grantedAt: granted.grantedAt});
+		if (this.remainingMilliseconds() === 0) {
+			log.record('lease-taken', {duty: this.#options.lease, fencingNumber: granted.fencingNumber, grantedAt: granted.grantedAt});
 		}
 
-		this.#seekMilliseconds = clock.moment().steady - since.steady;
-		this.#inherited = row?.value === undefined ? {} : (row.value as LeaseRow).legacy ?? {};
-		this.#seen = granted;
+		this.#lastRenewalMilliseconds = clock.moment().steady - since.steady;
+		this.#handover = row?.value === undefined ? {} : (row.value as LeaseRow).legacy ?? {};
+		this.#lastSeenRow = granted;
 		this.#grant = {row: granted, since};
 	}
 
 	/** Reads who holds the lease, and does not acquire it. */
-	async look(): Promise<void> {
-		const {store, clock} = this.#tools;
-		if (clock.moment().steady < this.#notBefore) {
+	async readHolder(): Promise<void> {
+		const {store, clock} = this.#dependencies;
+		if (clock.moment().steady < this.#nextCallAt) {
 			return;
 		}
 
-		const read = await store.readClocked({table: this.#plan.table, key: this.#plan.duty});
+		const read = await store.readClocked({table: this.#options.table, key: this.#options.lease});
 		read.ifRight(({row}) => {
-			this.#seen = row?.value as LeaseRow | undefined;
+			this.#lastSeenRow = row?.value as LeaseRow | undefined;
 		});
-		this.#lookAgainIn(retryMilliseconds);
+		this.#delayNextCall(retryMilliseconds);
 	}
 
 	/** Drops the grant, and logs the reason. */
-	lose(reason: string): void {
+	discardGrant(reason: string): void {
 		if (this.#grant !== undefined) {
-			this.#tools.log.record('lease-lost', {duty: this.#plan.duty, fencingNumber: this.#grant.row.fencingNumber, reason});
+			this.#dependencies.log.record('lease-lost', {duty: this.#options.lease, fencingNumber: this.#grant.row.fencingNumber, reason});
 		}
 
 		this.#grant = undefined;
@@ -169,18 +169,18 @@
 	 * Releases the lease, so that another instance may acquire it at once. Nothing under the lease may be in flight by then.
 	 */
 	async release(): Promise<void> {
-		const {store} = this.#tools;
-		const name = {table: this.#plan.table, key: this.#plan.duty};
+		const {store} = this.#dependencies;
+		const name = {table: this.#options.table, key: this.#options.lease};
 		const held = this.grant;
 		if (held === undefined) {
 			return;
 		}
 
-		this.lose('given back');
+		this.discardGrant('given back');
 		const read = await store.readClocked(name);
 		const {row} = read.orDefault({row: undefined, storeMilliseconds: 0, era: 0});
 		const value = row?.value as LeaseRow | undefined;
-		if (row !== undefined && value?.holder === this.#plan.instance) {
+		if (row !== undefined && value?.holder === this.#options.instance) {
 			await store.commit({conditions: [{...name, revision: row.revision}], writes: [{...name, value: releasedRow(value)}]});
 		}
 	}
@@ -189,21 +189,21 @@
 	#noteConflict(written: Either<TableFailure, void>): void {
 		written.ifLeft(failure => {
 			if (failure.kind === 'conflict') {
-				this.#seen = failure.current.find(({key}) => key === this.#plan.duty)?.value as LeaseRow | undefined ?? this.#seen;
+				this.#lastSeenRow = failure.current.find(({key}) => key === this.#options.lease)?.value as LeaseRow | undefined ?? this.#lastSeenRow;
 			}
 		});
 	}
 
 	/** For how many milliseconds the row is certain to have stood as it was found by a read that was sent at `sentAt`. */
-	#unchangedFor(era: number, revision: number, sentAt: Moment): number {
+	#unchangedMilliseconds(era: number, revision: number, sentAt: Moment): number {
 		if (this.#unchanged?.era !== era || this.#unchanged.revision !== revision) {
-			this.#unchanged = {era, revision, since: this.#tools.clock.moment().steady};
+			this.#unchanged = {era, revision, since: this.#dependencies.clock.moment().steady};
 		}
 
 		return Math.max(0, sentAt.steady - this.#unchanged.since);
 	}
 
-	#lookAgainIn(milliseconds: number): void {
-		this.#notBefore = this.#tools.clock.moment().steady + milliseconds;
+	#delayNextCall(milliseconds: number): void {
+		this.#nextCallAt = this.#dependencies.clock.moment().steady + milliseconds;
 	}
 }
--- a/src/gateway/duty/weights-duty.ts
+++ b/src/gateway/leadership/weights-lease.ts
@@ -1,4 +1,4 @@
 /** Where the row of the lease on the rollout of weights is: its holder writes it, and every instance reads it. */
 
-export const dutyTable = 'duties';
-export const weightsDuty = 'weights';
+export const weightsLeaseTable = 'duties';
+export const weightsLeaseKey = 'weights';
--- a/src/gateway/testing/test-follower.ts
+++ b/src/gateway/testing/test-follower.ts
@@ -1,7 +1,7 @@
-import {type FollowerSelf} from '../hub/hub-client.js';
+import {type LocalFollower} from '../coordinator/coordinator-client.js';
 
 /** Returns a follower without requests in flight, tables and watched endpoints; a test gives only the fields that matter. */
-export function testFollower(changes: Partial<FollowerSelf> = {}): FollowerSelf {
+export function testFollower(changes: Partial<LocalFollower> = {}): LocalFollower {
 	return {
 		instance: 'i1',
 		cores: 1,
@@ -10,9 +10,9 @@
 		closed() {
 			// There is no state to reset.
 		},
-		watched: () => [],
-		places: () => ({}),
-		takeTables() {
+		watchedEndpoints: () => [],
+		cursors: () => ({}),
+		applyTableUpdates() {
 			// No table is followed.
 		},
 		...changes,
--- a/src/gateway/testing/test-gateway.ts
+++ b/src/gateway/testing/test-gateway.ts
@@ -16,12 +16,12 @@
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {EndpointRegistry} from '../endpoints/endpoint-registry.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {HubView} from '../hub/hub-view.js';
+import {CoordinatorView} from '../coordinator/coordinator-view.js';
 import {DecisionLog} from '../observability/decision-log.js';
 import {GatewayMetrics} from '../observability/gateway-metrics.js';
 import {reportLag} from '../observability/report-lag.js';
 import {LoadingEngines} from '../watchers/loading-engines.js';
-import {WeightGoals} from '../weights/weight-goals.js';
+import {WeightTargets} from '../weights/weight-targets.js';
 import {EventLoopLag} from '../../serving/event-loop-lag.js';
 import {testConfiguration} from './test-configuration.js';
 import {testEndpoint} from './test-endpoint.js';
@@ -61,13 +61,13 @@
 			placement: new CostPlacement('split'),
 			budget: new SharedRetryBudget({ratio: 1, windowMilliseconds: 10_000}),
 			exchanges: this.#exchanges,
-			goals: new WeightGoals(10_000),
-			hubView: new HubView(),
+			goals: new WeightTargets(10_000),
+			hubView: new CoordinatorView(),
 			peerNews: {
 				async refresh() {
 					// A single instance has no other instances to query.
 				},
-				tell() {
+				report() {
 					// It has no other instances to publish to.
 				},
 			},
--- a/src/gateway/watchers/endpoint-reader.ts
+++ b/src/gateway/watchers/endpoint-reader.ts
@@ -30,11 +30,11 @@
 			this.#changed(record === undefined ? this.#context.endpoints.remove(row.key, now.steady) : this.#context.endpoints.put(record));
 		}
 
-		this.#changed(this.#context.endpoints.settle(now.steady));
+		this.#changed(this.#context.endpoints.expire(now.steady));
 	}
 
 	takeFailure(failedAt: Moment): void {
-		this.#context.endpoints.storeFailed(failedAt.steady);
+		this.#context.endpoints.noteStoreFailure(failedAt.steady);
 	}
 
 	#read({key, content}: FeedRow): EndpointRecord | undefined {
--- a/src/gateway/watchers/feed-follower.ts
+++ b/src/gateway/watchers/feed-follower.ts
@@ -15,7 +15,7 @@
 import {longestElapsed, type Moment, type MomentClock} from '../../ports/moment-clock.js';
 import {type FeedAnswer, type FeedFailure, type TableFeed} from '../../ports/table-feed.js';
 import {type Child} from '../../supervisor/supervisor.js';
-import {reappearanceMilliseconds} from '../endpoints/endpoint-registry.js';
+import {reRegistrationMilliseconds} from '../endpoints/endpoint-registry.js';
 import {type DecisionLog} from '../observability/decision-log.js';
 import {FeedHistory} from './feed-history.js';
 import {
@@ -257,7 +257,7 @@
 
 		const now = this.#tools.clock.moment();
 		this.#place = undefined;
-		this.#restoredUntil = now.steady + reappearanceMilliseconds;
+		this.#restoredUntil = now.steady + reRegistrationMilliseconds;
 		this.#reader.takeFailure(now);
 		this.#tools.log.record('store-restored', {table: this.#plan.table, era, formerEra});
 	}
--- a/src/gateway/watchers/loading-engines.ts
+++ b/src/gateway/watchers/loading-engines.ts
@@ -5,7 +5,7 @@
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type Moment} from '../../ports/moment-clock.js';
 import {type LeaseRow} from '../../protocol/lease/leader-lease.js';
-import {weightsDuty} from '../duty/weights-duty.js';
+import {weightsLeaseKey} from '../leadership/weights-lease.js';
 import {type FeedReader} from './feed-news.js';
 
 /** A hint expires after this time: the holder may have failed before it could withdraw the hint. */
@@ -39,7 +39,7 @@
 
 	takeChanges(rows: readonly FeedRow[], _sentAt: Moment, now: Moment): void {
 		for (const {key, content, isDeleted} of rows) {
-			if (key === weightsDuty && !isDeleted && content !== undefined) {
+			if (key === weightsLeaseKey && !isDeleted && content !== undefined) {
 				this.#engines = new Set((content as LeaseRow).engines);
 				this.#heardAt = now.steady;
 			}
--- a/src/gateway/watchers/operator-reader.test.ts
+++ b/src/gateway/watchers/operator-reader.test.ts
@@ -7,7 +7,7 @@
 import {GatewayMetrics} from '../observability/gateway-metrics.js';
 import {ConfigurationView} from '../configuration/configuration-view.js';
 import {testConfiguration} from '../testing/test-configuration.js';
-import {WeightGoals} from '../weights/weight-goals.js';
+import {WeightTargets} from '../weights/weight-targets.js';
 import {type Catalog} from './catalog.js';
 import {OperatorReader} from './operator-reader.js';
 
@@ -19,7 +19,7 @@
 
 /** A handler, and the milliseconds left for switching to the named weights at a time. */
 function readerOfWeights() {
-	const goals = new WeightGoals(boundMilliseconds);
+	const goals = new WeightTargets(boundMilliseconds);
 	const catalog: Catalog = {
 		operatorTable: 'operators',
 		endpointTable: 'endpoints',
@@ -32,7 +32,7 @@
 	const reader = new OperatorReader({
 		configuration: new ConfigurationView({freshMilliseconds: 1000, leaseMilliseconds: 1000}), log, metrics: new GatewayMetrics(),
 	}, catalog, goals);
-	return {reader, leftAt: (now: Moment): number => goals.leftOf(goals.goalFor('lease')!, now)};
+	return {reader, leftAt: (now: Moment): number => goals.remainingMilliseconds(goals.targetFor('lease')!, now)};
 }
 
 test('weights that arrive while the feed is followed count as named on arrival', () => {
@@ -83,7 +83,7 @@
 		readEndpointRow() {
 			throw new Error('not read here');
 		},
-	}, new WeightGoals(boundMilliseconds));
+	}, new WeightTargets(boundMilliseconds));
 	reader.takeChanges([], at(1000), at(1000), 'live');
 	reader.takeWhole([rowOf(6)], at(2500), at(2500), 'restored');
 	assert.equal(configuration.current?.version, 7);
--- a/src/gateway/watchers/operator-reader.ts
+++ b/src/gateway/watchers/operator-reader.ts
@@ -2,20 +2,20 @@
 import {type Moment} from '../../ports/moment-clock.js';
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {type WeightGoals} from '../weights/weight-goals.js';
+import {type WeightTargets} from '../weights/weight-targets.js';
 import {type Catalog} from './catalog.js';
 import {type Arrival, type FeedReader} from './feed-news.js';
 
 export class OperatorReader implements FeedReader {
 	readonly #context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>;
 	readonly #catalog: Catalog;
-	readonly #goals: WeightGoals;
+	readonly #goals: WeightTargets;
 	/** As of when the table was last confirmed; rows that arrive after that confirmation were written after this time. */
 	#provenAt: Moment | undefined;
 	/** Whether the feed has been followed without a gap, so that rows arrive as they are written. */
 	#isFollowing = false;
 
-	constructor(context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>, catalog: Catalog, goals: WeightGoals) {
+	constructor(context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>, catalog: Catalog, goals: WeightTargets) {
 		this.#context = context;
 		this.#catalog = catalog;
 		this.#goals = goals;
@@ -66,7 +66,7 @@
 					this.#context.log.record('configuration-taken', {
 						version, isTaken, routes: routes.length, readMilliseconds: Math.round(now.steady - sentAt.steady),
 					});
-				} else if (row.kind === 'weights' && this.#goals.name(row.weights, {heardAt: now, namedSince: this.#isFollowing && arrival === 'live' ? now : this.#provenAt})) {
+				} else if (row.kind === 'weights' && this.#goals.add(row.weights, {observedAt: now, namedNotBefore: this.#isFollowing && arrival === 'live' ? now : this.#provenAt})) {
 					this.#context.log.record('weights-named', {...row.weights, isFollowing: this.#isFollowing, arrival});
 				}
 			},
--- a/src/gateway/watchers/table-feeds.ts
+++ b/src/gateway/watchers/table-feeds.ts
@@ -1,7 +1,7 @@
 /** The followers of the store's tables at one instance, fed by calls to the store or by updates that the reader relays. */
 import {type MomentClock, type Moment} from '../../ports/moment-clock.js';
 import {type TableFeed} from '../../ports/table-feed.js';
-import {dutyTable} from '../duty/weights-duty.js';
+import {weightsLeaseTable} from '../leadership/weights-lease.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {type GatewayTimings} from '../gateway-settings.js';
 import {type Catalog} from './catalog.js';
@@ -45,7 +45,7 @@
 		this.followers = [
 			new FeedFollower(store, {table: catalog.operatorTable, ...waits}, new OperatorReader(context, catalog, context.goals), tools),
 			new FeedFollower(store, {table: catalog.endpointTable, ...waits}, new EndpointReader(context, catalog), tools),
-			new FeedFollower(store, {table: dutyTable, ...hintWaits}, context.loadingEngines, tools),
+			new FeedFollower(store, {table: weightsLeaseTable, ...hintWaits}, context.loadingEngines, tools),
 		];
 	}
 
--- a/src/gateway/weights/weight-coordinator.test.ts
+++ b/src/gateway/weights/weight-rollout.test.ts
@@ -10,9 +10,9 @@
 import {GatewayMetrics} from '../observability/gateway-metrics.js';
 import {testEndpoint} from '../testing/test-endpoint.js';
 import {LoadingEngines} from '../watchers/loading-engines.js';
-import {dutyTable, weightsDuty} from '../duty/weights-duty.js';
-import {WeightCoordinator} from './weight-coordinator.js';
-import {WeightGoals} from './weight-goals.js';
+import {weightsLeaseTable, weightsLeaseKey} from '../leadership/weights-lease.js';
+import {WeightRollout} from './weight-rollout.js';
+import {WeightTargets} from './weight-targets.js';
 
 const leaseMilliseconds = 3000;
 const stepMilliseconds = 100;
@@ -20,7 +20,7 @@
 const loadMilliseconds = 1000;
 const engineCount = 13;
 
-class PlayedClock implements MomentClock {
+class FakeClock implements MomentClock {
 	now = 0;
 
 	moment(): Moment {
@@ -36,14 +36,14 @@
 type LoadTime = (loading: number) => number;
 
 /** Engines that load weights; orders are recorded with their holder. */
-class PlayedEngines implements EngineControl {
+class FakeEngines implements EngineControl {
 	readonly versions = new Map<string, number>();
 	readonly orders: Array<{holder: string; at: number}> = [];
 	readonly #loads = new Map<string, {version: number; doneAt: number}>();
-	readonly #clock: PlayedClock;
+	readonly #clock: FakeClock;
 	readonly #loadTime: LoadTime;
 
-	constructor(clock: PlayedClock, loadTime: LoadTime) {
+	constructor(clock: FakeClock, loadTime: LoadTime) {
 		this.#clock = clock;
 		this.#loadTime = loadTime;
 	}
@@ -82,44 +82,44 @@
 }
 
 /** Three instances and thirteen engines; each instance has just received the naming of version 2. */
-function startCoordinators(boundMilliseconds: number, loadTime: LoadTime = () => loadMilliseconds) {
-	const clock = new PlayedClock();
+function startRollouts(switchoverMilliseconds: number, loadTime: LoadTime = () => loadMilliseconds) {
+	const clock = new FakeClock();
 	const store = new MemoryTable();
-	const engines = new PlayedEngines(clock, loadTime);
-	const coordinators = ['one', 'two', 'three'].map(instance => {
+	const engines = new FakeEngines(clock, loadTime);
+	const rollouts = ['one', 'two', 'three'].map(instance => {
 		const endpoints = new EndpointRegistry();
 		for (let index = 0; index < engineCount; index++) {
 			endpoints.put(testEndpoint({name: `e${index}`, address: `10.0.0.${index}:1`, weightVersions: new Map([['lease', 1]])}));
 		}
 
-		const goals = new WeightGoals(boundMilliseconds);
-		goals.name({model: 'lease', version: 2}, {heardAt: clock.moment(), namedSince: clock.moment()});
+		const targets = new WeightTargets(switchoverMilliseconds);
+		targets.add({model: 'lease', version: 2}, {observedAt: clock.moment(), namedNotBefore: clock.moment()});
 		const log = new DecisionLog({writableLength: 0, write: () => true}, {instance}, () => clock.now);
 		const loadingEngines = new LoadingEngines(() => clock.now);
-		const coordinator = new WeightCoordinator({
+		const rollout = new WeightRollout({
 			clock, endpoints, loadingEngines, log, metrics: new GatewayMetrics(),
 		}, {
-			instance, leaseMilliseconds, boundMilliseconds, store, control: engines, goals, isHub: () => instance === 'three', instances: () => 3,
+			instance, leaseMilliseconds, switchoverMilliseconds: switchoverMilliseconds, store, control: engines, targets: targets, isCoordinator: () => instance === 'three', instances: () => 3,
 		});
-		return {instance, coordinator, loadingEngines};
+		return {instance, coordinator: rollout, loadingEngines};
 	});
 	let revision = 0;
 	const stepAll = async (isRunning: (instance: string) => boolean): Promise<void> => {
 		clock.now += stepMilliseconds;
 		store.now = clock.now;
-		const read = await store.read({table: dutyTable, key: weightsDuty});
+		const read = await store.read({table: weightsLeaseTable, key: weightsLeaseKey});
 		const row = read.unsafeCoerce();
-		const isNews = row !== undefined && row.revision > revision;
+		const hasChanged = row !== undefined && row.revision > revision;
 		revision = row?.revision ?? 0;
-		for (const {instance, coordinator, loadingEngines} of coordinators) {
-			if (isNews) {
+		for (const {instance, coordinator: rollout, loadingEngines} of rollouts) {
+			if (hasChanged) {
 				loadingEngines.takeChanges([{
-					key: weightsDuty, content: row.value, isDeleted: false, revision,
+					key: weightsLeaseKey, content: row.value, isDeleted: false, revision,
 				}], clock.moment(), clock.moment());
 			}
 
 			if (isRunning(instance)) {
-				await coordinator.step();
+				await rollout.step();
 			}
 		}
 	};
@@ -134,16 +134,16 @@
 	// one holds the lease, most of the switchover time has passed; at the usual pace the last engines would get their orders
 	// seconds after its end, and stand idle until then. Half of the engines serve all the time.
 	const boundMilliseconds = 6000;
-	const {clock, engines, stepAll} = startCoordinators(boundMilliseconds);
+	const {clock, engines, stepAll} = startRollouts(boundMilliseconds);
 	while (engines.orders.length === 0) {
 		await stepAll(() => true);
 	}
 
-	const frozen = engines.orders[0]!.holder;
+	const pausedHolder = engines.orders[0]!.holder;
 	let mostLoading = 0;
 	const stepOthers = async (until: number): Promise<void> => {
 		while (clock.now < until) {
-			await stepAll(instance => instance !== frozen);
+			await stepAll(instance => instance !== pausedHolder);
 			mostLoading = Math.max(mostLoading, engines.loading);
 		}
 	};
@@ -153,14 +153,14 @@
 	await stepOthers(boundMilliseconds + loadMilliseconds);
 	assert.equal(engines.with(2), engineCount);
 	assert.ok(mostLoading <= engineCount / 2, `${mostLoading} load at a time`);
-	const lastOfFrozen = engines.orders.findLast(({holder}) => holder === frozen)!.at;
-	const firstOfNext = engines.orders.find(({holder}) => holder !== frozen)!.at;
-	assert.ok(firstOfNext - lastOfFrozen >= leaseMilliseconds, `${firstOfNext - lastOfFrozen} ms between two holders`);
+	const lastOfPaused = engines.orders.findLast(({holder}) => holder === pausedHolder)!.at;
+	const firstOfNext = engines.orders.find(({holder}) => holder !== pausedHolder)!.at;
+	assert.ok(firstOfNext - lastOfPaused >= leaseMilliseconds, `${firstOfNext - lastOfPaused} ms between two holders`);
 });
 
 test('without faults most engines go on serving while the others load, within the switchover time', async () => {
 	const boundMilliseconds = 6000;
-	const {clock, engines, stepAll} = startCoordinators(boundMilliseconds);
+	const {clock, engines, stepAll} = startRollouts(boundMilliseconds);
 	let mostLoading = 0;
 	while (clock.now < boundMilliseconds && engines.with(2) < engineCount) {
 		await stepAll(() => true);
@@ -177,7 +177,7 @@
 	// of the engines at a time, but loads slow each other down where more than a quarter of the engines load: estimated from
 	// those, still more seem to be needed, and in the end requests are refused for lack of engines.
 	const boundMilliseconds = 15_000;
-	const {clock, engines, stepAll} = startCoordinators(boundMilliseconds, loading => 2400 * Math.max(1, loading / 3));
+	const {clock, engines, stepAll} = startRollouts(boundMilliseconds, loading => 2400 * Math.max(1, loading / 3));
 	while (engines.orders.length === 0) {
 		await stepAll(() => true);
 	}
@@ -195,7 +195,7 @@
 
 test('instances that observe the orders of another one do not call the store for the lease', async () => {
 	// Guards against calls to the store that grow with the number of instances whenever weights are named.
-	const {engines, stepAll, store} = startCoordinators(6000);
+	const {engines, stepAll, store} = startRollouts(6000);
 	while (engines.orders.length === 0) {
 		await stepAll(() => true);
 	}
--- a/src/gateway/weights/weight-coordinator.ts
+++ b/src/gateway/weights/weight-rollout.ts
@@ -9,18 +9,18 @@
 import {type TableService} from '../../ports/table-service.js';
 import {hashOf} from '../../shared/hash-of.js';
 import {type Child} from '../../supervisor/supervisor.js';
-import {DutySeat} from '../duty/duty-seat.js';
-import {dutyTable, weightsDuty} from '../duty/weights-duty.js';
+import {LeaderElection} from '../leadership/leader-election.js';
+import {weightsLeaseTable, weightsLeaseKey} from '../leadership/weights-lease.js';
 import {type EndpointRecord} from '../../shared/endpoint-record.js';
 import {type GatewayContext} from '../gateway-context.js';
-import {type WeightGoal, type WeightGoals} from './weight-goals.js';
+import {type WeightTarget, type WeightTargets} from './weight-targets.js';
 
 /** Interval between checks of the known state; they make no calls. */
-const tickMilliseconds = 100;
+const checkIntervalMilliseconds = 100;
 /** The same while all engines have the weights that were named. */
-const idleTickMilliseconds = 400;
+const idleCheckIntervalMilliseconds = 400;
 /** Minimum time over which instances that receive new weights at the same time spread their attempts to acquire the lease. */
-const shortestSpreadMilliseconds = 250;
+const minSpreadMilliseconds = 250;
 /**
  * The spread grows by this much with each instance: most observe the orders of the first one before it is their turn to call
  * the store.
@@ -30,124 +30,124 @@
  * How long a grant lasts. A holder that is paused right after a renewal keeps all others out for this time and a lease, out of
  * the time in which engines must have their weights; each renewal costs two calls to the store.
  */
-const actingMilliseconds = 600;
+const grantMilliseconds = 600;
 /** A grant with less than this left is renewed before the next order. */
-const renewMilliseconds = 300;
+const renewBeforeMilliseconds = 300;
 /** An order is sent only with this much of the grant left, since the check and the sending are not one step. */
 const orderMarginMilliseconds = 250;
 /** Interval between two reads of a loading engine's report. */
-const reportPauseMilliseconds = 150;
+const reportIntervalMilliseconds = 150;
 /** An engine that is not busy this long after an order has not received it. */
-const tracelessMilliseconds = 750;
+const lostOrderMilliseconds = 750;
 /**
  * All engines are to be done this long before the end of the switchover time, so that prompts that wait at an engine begin in
  * time.
  */
-const rollMarginMilliseconds = 1000;
+const rolloutMarginMilliseconds = 1000;
 /** Estimate of a load before one was observed: running requests end, and the weights are read. */
-const firstLoadMilliseconds = 1000;
+const initialLoadMilliseconds = 1000;
 /** Weight of the newest load in the moving average. */
 const newestLoadShare = 0.5;
 
-type CoordinatorContext = Pick<GatewayContext, 'clock' | 'endpoints' | 'loadingEngines' | 'log' | 'metrics'>;
+type WeightRolloutContext = Pick<GatewayContext, 'clock' | 'endpoints' | 'loadingEngines' | 'log' | 'metrics'>;
 
 /** Settings and dependencies of the rollout. */
-export type CoordinatorParts = {
+export type WeightRolloutDependencies = {
 	instance: string;
 	leaseMilliseconds: number;
 	/** Time from the naming of weights until all engines must have them. */
-	boundMilliseconds: number;
+	switchoverMilliseconds: number;
 	store: TableService & ClockedTable;
 	control: EngineControl;
-	goals: WeightGoals;
+	targets: WeightTargets;
 	/**
 	 * Whether this instance is the coordinator. It tries last: a fault of the holder of this lease would otherwise cost all
 	 * instances their coordinator too.
 	 */
-	isHub: () => boolean;
+	isCoordinator: () => boolean;
 	/** How many instances there are, as far as known. */
 	instances: () => number;
 };
 
-export class WeightCoordinator implements Child {
+export class WeightRollout implements Child {
 	readonly name = 'weight-coordinator';
-	readonly #context: CoordinatorContext;
-	readonly #parts: CoordinatorParts;
-	readonly #seat: DutySeat;
+	readonly #context: WeightRolloutContext;
+	readonly #dependencies: WeightRolloutDependencies;
+	readonly #election: LeaderElection;
 	readonly #loading = new Map<string, LoadingEngine & {reportAt: number}>();
-	#loadMilliseconds = firstLoadMilliseconds;
+	#loadMilliseconds = initialLoadMilliseconds;
 
-	constructor(context: CoordinatorContext, parts: CoordinatorParts) {
+	constructor(context: WeightRolloutContext, dependencies: WeightRolloutDependencies) {
 		this.#context = context;
-		this.#parts = parts;
-		const {instance, leaseMilliseconds, store} = parts;
-		this.#seat = new DutySeat({
-			table: dutyTable, duty: weightsDuty, instance, address: '', leaseMilliseconds, actingMilliseconds,
+		this.#dependencies = dependencies;
+		const {instance, leaseMilliseconds, store} = dependencies;
+		this.#election = new LeaderElection({
+			table: weightsLeaseTable, lease: weightsLeaseKey, instance, address: '', leaseMilliseconds, grantMilliseconds: grantMilliseconds,
 		}, {store, clock: context.clock, log: context.log});
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			const isBusy = await this.step();
-			await this.#context.clock.sleep(isBusy ? tickMilliseconds : idleTickMilliseconds, signal);
+			await this.#context.clock.sleep(isBusy ? checkIntervalMilliseconds : idleCheckIntervalMilliseconds, signal);
 		}
 	}
 
 	/** Performs the next step if an engine has outdated weights; returns false if none has. */
 	async step(): Promise<boolean> {
 		const now = this.#now();
-		const goals = this.#parts.goals.all().filter(goal => this.#enginesBehind(goal).length > 0);
-		if (goals.length === 0) {
+		const targets = this.#dependencies.targets.all().filter(target => this.#outdatedEngines(target).length > 0);
+		if (targets.length === 0) {
 			this.#loading.clear();
 			return false;
 		}
 
-		if (this.#seat.grant === undefined && !this.#maySeek(goals, now)) {
+		if (this.#election.grant === undefined && !this.#mayAcquire(targets, now)) {
 			return true;
 		}
 
-		if (this.#seat.left() < Math.max(renewMilliseconds, this.#seat.renewalMilliseconds)) {
-			await this.#seat.seek([...this.#loading.keys()]);
+		if (this.#election.remainingMilliseconds() < Math.max(renewBeforeMilliseconds, this.#election.renewBeforeMilliseconds)) {
+			await this.#election.acquireOrRenew([...this.#loading.keys()]);
 		}
 
-		if (this.#seat.left() <= 0) {
-			this.#loseDuty();
+		if (this.#election.remainingMilliseconds() <= 0) {
+			this.#dropLease();
 			return true;
 		}
 
-		for (const goal of goals) {
-			await this.#pursue(goal);
+		for (const target of targets) {
+			await this.#advance(target);
 		}
 
 		return true;
 	}
 
 	/** Whether to try to acquire the lease: not while another holder is observed. */
-	#maySeek(goals: readonly WeightGoal[], now: number): boolean {
-		const {instance, isHub, instances} = this.#parts;
-		const heardAt = Math.max(...goals.map(goal => goal.heardAt.steady));
-		const spread = Math.max(shortestSpreadMilliseconds, spreadPerInstanceMilliseconds * instances());
-		const share = isHub() ? 1 : hashOf(`${instance}|${heardAt}`) / (2 ** 32);
-		return now >= heardAt + (spread * share) && !this.#context.loadingEngines.isHolderAlive();
+	#mayAcquire(targets: readonly WeightTarget[], now: number): boolean {
+		const {instance, isCoordinator: isCoordinator, instances} = this.#dependencies;
+		const observedAt = Math.max(...targets.map(target => target.observedAt.steady));
+		const spread = Math.max(minSpreadMilliseconds, spreadPerInstanceMilliseconds * instances());
+		const share = isCoordinator() ? 1 : hashOf(`${instance}|${observedAt}`) / (2 ** 32);
+		return now >= observedAt + (spread * share) && !this.#context.loadingEngines.isHolderAlive();
 	}
 
-	async #pursue(goal: WeightGoal): Promise<void> {
+	async #advance(target: WeightTarget): Promise<void> {
 		await this.#readReports();
-		const {boundMilliseconds} = this.#parts;
+		const {switchoverMilliseconds: switchoverMilliseconds} = this.#dependencies;
 		// Weights of unknown age are scheduled as if named when they were observed, since all engines must not load at once.
-		const dueAt = (goal.namedSince ?? goal.heardAt).steady + boundMilliseconds - rollMarginMilliseconds;
-		const next = planRollout(this.#enginesOf(goal), {...goal, dueAt, loadMilliseconds: this.#loadMilliseconds}, [...this.#loading.values()], this.#now());
+		const dueAt = (target.namedNotBefore ?? target.observedAt).steady + switchoverMilliseconds - rolloutMarginMilliseconds;
+		const next = planRollout(this.#enginesOf(target), {...target, dueAt, loadMilliseconds: this.#loadMilliseconds}, [...this.#loading.values()], this.#now());
 		if (next.length === 0) {
 			return;
 		}
 
 		// The row names the engines that are about to load, so that others avoid them; the same write renews the grant.
-		await this.#seat.seek([...this.#loading.keys(), ...next.map(({name}) => name)]);
-		await Promise.all(next.map(async engine => this.#order(engine, goal)));
+		await this.#election.acquireOrRenew([...this.#loading.keys(), ...next.map(({name}) => name)]);
+		await Promise.all(next.map(async engine => this.#order(engine, target)));
 	}
 
-	async #order(engine: EndpointRecord, goal: WeightGoal): Promise<void> {
-		const {control, instance} = this.#parts;
+	async #order(engine: EndpointRecord, target: WeightTarget): Promise<void> {
+		const {control, instance} = this.#dependencies;
 		const report = await control.report(engine);
 		if (report.isLeft()) {
 			this.#context.log.record('order-failed', {engine: engine.name, reason: report.extract()});
@@ -156,7 +156,7 @@
 
 		const {isBusy, ordersTaken, weightVersions} = report.unsafeCoerce();
 		this.#noteVersions(engine, weightVersions);
-		if ((weightVersions.get(goal.model) ?? 0) >= goal.version) {
+		if ((weightVersions.get(target.model) ?? 0) >= target.version) {
 			return;
 		}
 
@@ -166,35 +166,35 @@
 			return;
 		}
 
-		const left = this.#seat.left();
-		const {grant} = this.#seat;
-		if (grant === undefined || left < orderMarginMilliseconds) {
+		const remainingMilliseconds = this.#election.remainingMilliseconds();
+		const {grant} = this.#election;
+		if (grant === undefined || remainingMilliseconds < orderMarginMilliseconds) {
 			return;
 		}
 
 		const {fencingNumber} = grant.row;
 		this.#noteLoading(engine);
 		const answer = await control.orderWeights(engine, {
-			model: goal.model, version: goal.version, inFlightPolicy: 'finish', holder: instance, fencingNumber, ordersTaken,
+			model: target.model, version: target.version, inFlightPolicy: 'finish', holder: instance, fencingNumber, ordersTaken,
 		});
-		this.#ordered(engine, goal, {
-			answer, fencingNumber, ordersTaken, left,
+		this.#recordOrder(engine, target, {
+			answer, fencingNumber, ordersTaken, left: remainingMilliseconds,
 		});
 	}
 
 	#noteLoading({name}: EndpointRecord): void {
 		const now = this.#now();
-		this.#loading.set(name, {name, since: now, reportAt: now + reportPauseMilliseconds});
+		this.#loading.set(name, {name, since: now, reportAt: now + reportIntervalMilliseconds});
 	}
 
-	#ordered(engine: EndpointRecord, goal: WeightGoal, given: {answer: OrderAnswer; fencingNumber: number; ordersTaken: number; left: number}): void {
+	#recordOrder(engine: EndpointRecord, target: WeightTarget, given: {answer: OrderAnswer; fencingNumber: number; ordersTaken: number; left: number}): void {
 		const {log, metrics, endpoints} = this.#context;
 		metrics.orders.inc({outcome: given.answer});
 		log.record('order-given', {
-			engine: engine.name, model: goal.model, version: goal.version, ...given, left: Math.round(given.left),
+			engine: engine.name, model: target.model, version: target.version, ...given, left: Math.round(given.left),
 		});
 		if (given.answer === 'holds-already') {
-			endpoints.noteWeightVersion(engine.name, goal.model, goal.version);
+			endpoints.noteWeightVersion(engine.name, target.model, target.version);
 		}
 
 		if (given.answer === 'holds-already' || given.answer === 'refused') {
@@ -207,17 +207,17 @@
 		const now = this.#now();
 		const due = [...this.#loading.values()].filter(({reportAt}) => reportAt <= now);
 		await Promise.all(due.map(async loading => {
-			loading.reportAt = now + reportPauseMilliseconds;
+			loading.reportAt = now + reportIntervalMilliseconds;
 			const engine = this.#context.endpoints.byName(loading.name);
 			if (engine === undefined) {
 				this.#loading.delete(loading.name);
 				return;
 			}
 
-			const report = await this.#parts.control.report(engine);
+			const report = await this.#dependencies.control.report(engine);
 			report.ifRight(({isBusy, weightVersions}) => {
 				this.#noteVersions(engine, weightVersions);
-				if (!isBusy && now - loading.since > tracelessMilliseconds) {
+				if (!isBusy && now - loading.since > lostOrderMilliseconds) {
 					this.#loading.delete(loading.name);
 				}
 			});
@@ -230,9 +230,9 @@
 		}
 
 		const loading = this.#loading.get(engine.name);
-		const isDone = this.#parts.goals.all().every(goal => (weightVersions.get(goal.model) ?? goal.version) >= goal.version);
+		const isDone = this.#dependencies.targets.all().every(target => (weightVersions.get(target.model) ?? target.version) >= target.version);
 		if (loading !== undefined && isDone) {
-			this.#learnLoad(this.#now() - loading.since);
+			this.#updateLoadEstimate(this.#now() - loading.since);
 			this.#loading.delete(engine.name);
 		}
 	}
@@ -241,23 +241,23 @@
 	 * Loads slow each other down where more than the usual number run at a time. Estimated from those, the time of a load would
 	 * call for still more at a time, until no engine is left to serve.
 	 */
-	#learnLoad(milliseconds: number): void {
+	#updateLoadEstimate(milliseconds: number): void {
 		if (this.#loading.size <= usualLoadCount(this.#context.endpoints.all().filter(({weightVersions}) => weightVersions.size > 0).length)) {
 			this.#loadMilliseconds = (newestLoadShare * milliseconds) + ((1 - newestLoadShare) * this.#loadMilliseconds);
 		}
 	}
 
-	#loseDuty(): void {
-		this.#seat.lose('it was not renewed in time');
+	#dropLease(): void {
+		this.#election.discardGrant('it was not renewed in time');
 		this.#loading.clear();
 	}
 
-	#enginesOf(goal: WeightGoal): EndpointRecord[] {
-		return this.#context.endpoints.all().filter(({state, weightVersions}) => state === 'ready' && weightVersions.has(goal.model));
+	#enginesOf(target: WeightTarget): EndpointRecord[] {
+		return this.#context.endpoints.all().filter(({state, weightVersions}) => state === 'ready' && weightVersions.has(target.model));
 	}
 
-	#enginesBehind(goal: WeightGoal): EndpointRecord[] {
-		return this.#enginesOf(goal).filter(({weightVersions}) => weightVersions.get(goal.model)! < goal.version);
+	#outdatedEngines(target: WeightTarget): EndpointRecord[] {
+		return this.#enginesOf(target).filter(({weightVersions}) => weightVersions.get(target.model)! < target.version);
 	}
 
 	#now(): number {
