--- a/src/bench/slopes/bench-daemon.ts
+++ b/src/bench/slopes/bench-daemon.ts
@@ -6,7 +6,7 @@
 import {stateOfSnapshot} from '../../peer/configuration/configuration-snapshot.js';
 import {PeerService} from '../../peer/link/peer-service.js';
 import {seededRandom} from '../../peer/random/seeded-random.js';
-import {hashOfText} from '../../peer/sharing/rendezvous.js';
+import {hashOfText} from '../../peer/ownership/rendezvous.js';
 import {type ConfigurationChange, type ListedInstance} from '../../shared/types.js';
 import {busyReport} from '../bench-reports.js';
 import {VirtualKeeper} from '../virtual-peers.js';
@@ -38,9 +38,9 @@
 			clock: systemClock,
 			random: this.#random,
 			fanoutMode: 'announce',
-			keeper: this.keeper,
+			configuration: this.keeper,
 			listener: {
-				loadsLearned: () => undefined,
+				loadsReceived: () => undefined,
 				snapshotOffered: snapshot => {
 					const state = stateOfSnapshot(snapshot);
 					if (state !== undefined && state.version > this.keeper.state.version) {
@@ -51,7 +51,7 @@
 					return false;
 				},
 				memberChanged: () => undefined,
-				endpointsShared: () => undefined,
+				ownershipChanged: () => undefined,
 			},
 		});
 	}
@@ -69,7 +69,7 @@
 	/** Takes a change as if it had read it in the table. */
 	accept(change: ConfigurationChange): void {
 		if (this.keeper.offerChange(change) === undefined) {
-			this.service.changeInForce(change);
+			this.service.announceChange(change);
 		}
 	}
 
@@ -80,8 +80,8 @@
 
 	async #report(): Promise<void> {
 		while (!this.#stop.signal.aborted) {
-			for (const name of this.service.node.knowledge.owned()) {
-				this.service.takeReport(name, busyReport(this.#random));
+			for (const name of this.service.node.loadGossip.owned()) {
+				this.service.handleReport(name, busyReport(this.#random));
 			}
 
 			await systemClock.sleep(1000 / this.#reportsPerSecond, this.#stop.signal);
--- a/src/bench/slopes/measure-state.ts
+++ b/src/bench/slopes/measure-state.ts
@@ -2,8 +2,8 @@
 import process from 'node:process';
 import {CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type LoadSummary} from '../../peer/message/peer-message.js';
-import {LoadKnowledge} from '../../peer/knowledge/load-knowledge.js';
-import {summaryOf} from '../../peer/knowledge/load-summary.js';
+import {LoadGossip} from '../../peer/load/load-gossip.js';
+import {summaryOf} from '../../peer/load/load-summary.js';
 import {Membership} from '../../peer/membership/membership.js';
 import {applyChange} from '../../protocol/configuration/apply-change.js';
 import {type ConfigurationState, emptyConfiguration} from '../../protocol/configuration/configuration-state.js';
@@ -54,18 +54,18 @@
 		...Array.from({length: 95}, (_, index) => line(`entry-${index}`, 'entry')),
 		...Array.from({length: count}, (_, index) => line(`engine-${index}`, 'model-engine')),
 	];
-	const knowledge = new LoadKnowledge('entry-0');
+	const knowledge = new LoadGossip('entry-0');
 	const take = (): void => {
 		const instances = list();
-		membership.takeList(instances, 0);
-		knowledge.takeEndpoints(instances);
-		knowledge.shareOut(membership.allLive());
+		membership.applyList(instances, 0);
+		knowledge.setEndpoints(instances);
+		knowledge.assignOwners(membership.allLive());
 	};
 
 	take();
 	const known = Math.ceil(count * 8 / 95);
 	const loads: LoadSummary[] = Array.from({length: known}, (_, index) => summaryOf(`engine-${index}`, idleReport));
-	knowledge.takeLoads({
+	knowledge.handleLoads({
 		kind: 'loads', loads, updates: [], age: 0,
 	}, 1);
 	return {kept: [membership, knowledge], step: take};
--- a/src/bench/slopes/worker.ts
+++ b/src/bench/slopes/worker.ts
@@ -28,7 +28,7 @@
 
 		case 'list': {
 			for (const {service} of daemons.values()) {
-				service.takeList(order.instances);
+				service.applyList(order.instances);
 			}
 
 			return {kind: 'done'};
@@ -96,8 +96,8 @@
 		messagesOut: sum(({service}) => service.counts.messagesOut),
 		dropped: sum(({service}) => service.counts.dropped),
 		readers: sum(({service}) => service.node.isReader ? 1 : 0),
-		ownedEndpoints: sum(({service}) => service.node.knowledge.ownedCount),
-		knownEndpoints: sum(({service}) => service.node.knowledge.knownCount),
+		ownedEndpoints: sum(({service}) => service.node.loadGossip.ownedCount),
+		knownEndpoints: sum(({service}) => service.node.loadGossip.knownCount),
 		live: all.map(({service}) => service.node.membership.ownLive().length),
 		inForceAt: versions.map(version => {
 			const times = all.flatMap(({keeper}) => keeper.inForceAt.get(version) ?? []);
--- a/src/bench/virtual-peers.ts
+++ b/src/bench/virtual-peers.ts
@@ -2,13 +2,13 @@
  * Peers in virtual time: `PeerNode`s whose messages travel in memory, with instances that can be killed, paused and cut
  * off. It stands in for the links alone; each node is the code that the entry runs. Messages are encoded to count bytes.
  */
-import {type LearnedLoad} from '../peer/knowledge/load-knowledge.js';
+import {type ReceivedLoad} from '../peer/load/load-gossip.js';
 import {stateOfSnapshot} from '../peer/configuration/configuration-snapshot.js';
-import {askBackoffMilliseconds, type ConfigurationKeeper, type FanoutMode} from '../peer/configuration/configuration-fanout.js';
+import {queryBackoffMilliseconds, type ReplicatedConfiguration, type FanoutMode} from '../peer/configuration/configuration-fanout.js';
 import {encodeMessage} from '../peer/message/message-codec.js';
-import {type MemberRumour, type PeerMessage} from '../peer/message/peer-message.js';
+import {type MemberUpdate, type PeerMessage} from '../peer/message/peer-message.js';
 import {PeerNode} from '../peer/node/peer-node.js';
-import {type Outgoing} from '../peer/node/peer-outbox.js';
+import {type OutgoingMessage} from '../peer/node/peer-outbox.js';
 import {applyChange} from '../protocol/configuration/apply-change.js';
 import {type ConfigurationState, emptyConfiguration} from '../protocol/configuration/configuration-state.js';
 import {type ConfigurationChange, type ListedInstance} from '../shared/types.js';
@@ -24,7 +24,7 @@
 	state: 'running' | 'paused' | 'dead';
 	cut: string;
 	links: Set<string>;
-	learned: Map<string, LearnedLoad>;
+	learned: Map<string, ReceivedLoad>;
 	events: Array<{at: number; text: string}>;
 	bytesOut: number;
 	bytesIn: number;
@@ -33,7 +33,7 @@
 };
 
 /** A configuration in memory that remembers when each version came into force. */
-export class VirtualKeeper implements ConfigurationKeeper {
+export class VirtualKeeper implements ReplicatedConfiguration {
 	state: ConfigurationState = emptyConfiguration;
 	readonly inForceAt = new Map<number, number>();
 	readonly #now: () => number;
@@ -42,7 +42,7 @@
 		this.#now = now;
 	}
 
-	offerChange(change: ConfigurationChange): ReturnType<ConfigurationKeeper['offerChange']> {
+	offerChange(change: ConfigurationChange): ReturnType<ReplicatedConfiguration['offerChange']> {
 		return applyChange(this.state, change).caseOf({
 			Left: failure => failure,
 			Right: state => {
@@ -80,7 +80,7 @@
 	 * @param mode - How configuration spreads.
 	 * @param backoffMilliseconds - The longest random wait before an ask.
 	 */
-	constructor(seed: number, mode: FanoutMode = 'announce', backoffMilliseconds = askBackoffMilliseconds) {
+	constructor(seed: number, mode: FanoutMode = 'announce', backoffMilliseconds = queryBackoffMilliseconds) {
 		this.#backoffMilliseconds = backoffMilliseconds;
 		this.#random = seededRandom(seed);
 		this.#mode = mode;
@@ -92,7 +92,7 @@
 			name, role: 'entry', dataCentre, service: '', address: name, peerAddress: name, state: 'live',
 		};
 		const keeper = new VirtualKeeper(() => this.now);
-		const learned = new Map<string, LearnedLoad>();
+		const learned = new Map<string, ReceivedLoad>();
 		const events: VirtualPeer['events'] = [];
 		const note = (text: string): void => {
 			events.push({at: this.now, text});
@@ -102,9 +102,9 @@
 			self: {
 				name, dataCentre, peerAddress: name, incarnation: this.now,
 			},
-			keeper,
+			configuration: keeper,
 			listener: {
-				loadsLearned(loads) {
+				loadsReceived(loads) {
 					for (const load of loads) {
 						learned.set(load.name, load);
 					}
@@ -121,13 +121,13 @@
 				memberChanged(rumour) {
 					note(`${rumour.name} ${rumour.status}`);
 				},
-				endpointsShared({taken, released}) {
+				ownershipChanged({acquired: taken, released}) {
 					note(`took ${taken}, released ${released}`);
 				},
 			},
 			random: seededRandom(Math.floor(this.#random() * 1e9)),
 			fanoutMode: this.#mode,
-			askBackoffMilliseconds: this.#backoffMilliseconds,
+			queryBackoffMilliseconds: this.#backoffMilliseconds,
 		}, this.now);
 		const peer: VirtualPeer = {
 			listed, node, keeper, state: 'running', cut: '', links: new Set(), learned, events, bytesOut: 0, bytesIn: 0, messagesOut: 0, nextTickAt: this.now,
@@ -148,7 +148,7 @@
 		const list = [...[...this.peers.values()].filter(({state}) => state !== 'dead').map(({listed}) => listed), ...endpoints];
 		for (const {node, state} of this.peers.values()) {
 			if (state === 'running') {
-				node.takeList(list, this.now);
+				node.applyList(list, this.now);
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 	}
 
 	/** Has a peer act at once, outside its tick. */
-	carry(peer: VirtualPeer, outgoing: readonly Outgoing[]): void {
+	carry(peer: VirtualPeer, outgoing: readonly OutgoingMessage[]): void {
 		for (const {to, message} of outgoing) {
 			if (peer.links.has(to)) {
 				peer.bytesOut += encodeMessage(message).length;
@@ -238,7 +238,7 @@
 					});
 				} else if (peer.state === 'running' && this.#reaches(from, to)) {
 					peer.bytesIn += encodeMessage(message).length;
-					const outgoing = peer.node.takeMessage(from, message, Math.min(dueAt, this.now));
+					const outgoing = peer.node.handleMessage(from, message, Math.min(dueAt, this.now));
 					this.carry(peer, outgoing);
 				}
 			}
@@ -251,7 +251,7 @@
 			if (other?.state === 'running' && !peer.links.has(name) && this.#reaches(peer.listed.name, name)) {
 				peer.links.add(name);
 				other.links.add(peer.listed.name);
-				const own: MemberRumour = peer.node.membership.self;
+				const own: MemberUpdate = peer.node.membership.self;
 				this.carry(peer, peer.node.linkUp(other.node.membership.self, this.now));
 				this.carry(other, other.node.linkUp(own, this.now));
 			}
--- a/src/bench/virtual-platform.ts
+++ b/src/bench/virtual-platform.ts
@@ -1,7 +1,7 @@
 /** The platform's table and list for peers in virtual time: they can be down, and out of reach for some peers. */
-import {LookSchedule} from '../peer/configuration/look-schedule.js';
+import {PollSchedule} from '../peer/configuration/poll-schedule.js';
 import {seededRandom} from '../peer/random/seeded-random.js';
-import {hashOfText} from '../peer/sharing/rendezvous.js';
+import {hashOfText} from '../peer/ownership/rendezvous.js';
 import {type ConfigurationChange, type ListedInstance} from '../shared/types.js';
 import {changeOf} from './bench-changes.js';
 import {type VirtualPeer, type VirtualPeers, VirtualKeeper} from './virtual-peers.js';
@@ -9,7 +9,7 @@
 const listMilliseconds = 1000;
 const pollMilliseconds = 500;
 
-type Watcher = {schedule: LookSchedule; nextListAt: number; random: () => number};
+type Watcher = {schedule: PollSchedule; nextListAt: number; random: () => number};
 
 export class VirtualPlatform {
 	isDown = false;
@@ -60,13 +60,13 @@
 			watcher.nextListAt = now + (listMilliseconds * (1 - (0.2 * watcher.random())));
 			this.listReads.push(now);
 			if (isReached) {
-				peer.node.takeList(this.#list(), now);
+				peer.node.applyList(this.#list(), now);
 			}
 		}
 
 		if (watcher.schedule.isDue(peer.node.isReader, now)) {
 			this.reads.push(now);
-			watcher.schedule.looked(isReached, now);
+			watcher.schedule.notePoll(isReached, now);
 			if (isReached) {
 				this.#read(peer);
 			}
@@ -75,7 +75,7 @@
 
 	#newWatcher(name: string): Watcher {
 		const random = seededRandom(hashOfText(name));
-		const watcher = {schedule: new LookSchedule(pollMilliseconds, random), nextListAt: 0, random};
+		const watcher = {schedule: new PollSchedule(pollMilliseconds, random), nextListAt: 0, random};
 		this.#watchers.set(name, watcher);
 		return watcher;
 	}
@@ -83,7 +83,7 @@
 	#read(peer: VirtualPeer): void {
 		for (const change of this.#changes.filter(({version}) => version > peer.keeper.state.version)) {
 			if (peer.keeper.offerChange(change) === undefined) {
-				this.#network.carry(peer, peer.node.changeInForce(change));
+				this.#network.carry(peer, peer.node.announceChange(change));
 			}
 		}
 	}
--- a/src/bench/weigh/failures.ts
+++ b/src/bench/weigh/failures.ts
@@ -43,7 +43,7 @@
 	}
 
 	const ownedAgain = network.runUntil(() => {
-		const owned = network.running().flatMap(({node}) => node.knowledge.owned());
+		const owned = network.running().flatMap(({node}) => node.loadGossip.owned());
 		return owned.length === endpoints.length && new Set(owned).size === owned.length;
 	}, limitMilliseconds);
 	network.run(2000);
@@ -105,7 +105,7 @@
 		versionInside: cutPeers[0]!.keeper.state.version,
 		versionOutside: platform.version,
 		membersInside: cutPeers[0]!.node.membership.allLive().length,
-		ownedInside: cutPeers.reduce((sum, {node}) => sum + node.knowledge.owned().filter(name => name.startsWith('trogir')).length, 0),
+		ownedInside: cutPeers.reduce((sum, {node}) => sum + node.loadGossip.owned().filter(name => name.startsWith('trogir')).length, 0),
 	};
 	network.cut(inside.map(({name}) => name), '');
 	const endedAt = network.now;
--- a/src/bench/weigh/fanout.ts
+++ b/src/bench/weigh/fanout.ts
@@ -62,7 +62,7 @@
 			const reader = peers[version % 2]!;
 			const change = changeOf(reader.keeper.state, version);
 			reader.keeper.offerChange(change);
-			network.carry(reader, reader.node.changeInForce(change));
+			network.carry(reader, reader.node.announceChange(change));
 			times.push(network.runUntil(() => peers.every(({keeper}) => keeper.state.version === version), limitMilliseconds) ?? limitMilliseconds);
 		}
 
@@ -72,7 +72,7 @@
 	return {
 		bytes: sum(({bytesOut}) => bytesOut) - before.bytes,
 		messages: sum(({messagesOut}) => messagesOut) - before.messages,
-		asks: sum(({node}) => node.fanout.counts.asks),
+		asks: sum(({node}) => node.fanout.counts.queries),
 		duplicates: sum(({node}) => node.fanout.counts.duplicates),
 		times,
 	};
--- a/src/entry/peers/entry-peers.ts
+++ b/src/entry/peers/entry-peers.ts
@@ -3,11 +3,11 @@
  * line and the metrics.
  */
 import {stateOfSnapshot} from '../../peer/configuration/configuration-snapshot.js';
-import {reportOf} from '../../peer/knowledge/load-summary.js';
+import {reportOf} from '../../peer/load/load-summary.js';
 import {PeerService} from '../../peer/link/peer-service.js';
 import {type ConfigurationSnapshot, type MemberStatus} from '../../peer/message/peer-message.js';
 import {seededRandom} from '../../peer/random/seeded-random.js';
-import {hashOfText} from '../../peer/sharing/rendezvous.js';
+import {hashOfText} from '../../peer/ownership/rendezvous.js';
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type ConfigurationChange, type JsonValue, type ListedInstance} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
@@ -44,14 +44,14 @@
 			clock,
 			random: this.random,
 			fanoutMode: 'announce',
-			keeper: {
+			configuration: {
 				get state() {
 					return configuration.state;
 				},
 				offerChange: change => this.#offerChange(change),
 			},
 			listener: {
-				loadsLearned(loads) {
+				loadsReceived(loads) {
 					for (const {name, summary, measuredAt} of loads) {
 						context.endpoints.takeReport(name, reportOf(summary, measuredAt), measuredAt);
 					}
@@ -60,7 +60,7 @@
 				memberChanged({name, status}) {
 					timeline.record({kind: status === 'alive' ? 'instance-seen' : 'instance-gone', at: clock.now(), detail: `${name} ${status}`});
 				},
-				endpointsShared({taken, released}) {
+				ownershipChanged({acquired: taken, released}) {
 					if (taken > 0) {
 						timeline.record({kind: 'shard-taken', at: clock.now(), detail: `${taken} endpoints to watch`});
 					}
@@ -74,10 +74,10 @@
 				logger.debug('a peer link ended', {peer, reason});
 			},
 		});
-		context.endpoints.expectOnly(name => this.service.node.knowledge.expects(name, this.service.node.overlay.cell));
+		context.endpoints.expectOnly(name => this.service.node.loadGossip.expects(name, this.service.node.overlay.cell));
 		configuration.onChange((_state, change) => {
 			if (change !== undefined && !this.#isTakingFromPeer) {
-				this.service.changeInForce(change);
+				this.service.announceChange(change);
 			}
 		});
 	}
@@ -89,7 +89,7 @@
 
 	/** Takes the platform's list. */
 	takeList(instances: readonly ListedInstance[]): void {
-		this.service.takeList(instances);
+		this.service.applyList(instances);
 		const {metrics} = this.#context;
 		const {counts, node, linked} = this.service;
 		metrics.report('peers.live', node.membership.allLive().length);
@@ -102,12 +102,12 @@
 	/** Names the endpoints to ask for their load now. */
 	endpointsToAsk(): ReadonlySet<string> {
 		const {node} = this.service;
-		return new Set(node.knowledge.toAsk(this.#context.clock.now(), node.overlay.cell));
+		return new Set(node.loadGossip.endpointsToPoll(this.#context.clock.now(), node.overlay.cell));
 	}
 
 	/** Takes an endpoint's own report. */
 	takeReport(name: string, report: LoadReport): void {
-		this.service.takeReport(name, report);
+		this.service.handleReport(name, report);
 	}
 
 	/** What operators are shown: who is there as this instance sees it, and what it does for the others. */
@@ -116,10 +116,10 @@
 		const now = this.#context.clock.now();
 		return {
 			isReader: node.isReader,
-			ownedEndpoints: node.knowledge.owned(),
+			ownedEndpoints: node.loadGossip.owned(),
 			linked,
 			counts: {...counts},
-			members: node.membership.everybody().map(({name, dataCentre, status, incarnation, isListed, changedAt}) => ({
+			members: node.membership.allMembers().map(({name, dataCentre, status, incarnation, isListed, changedAt}) => ({
 				name, dataCentre, status, incarnation, isListed, changedSecondsAgo: Math.round((now - changedAt) / 1000),
 			})),
 		};
--- a/src/entry/watchers/configuration-watcher.ts
+++ b/src/entry/watchers/configuration-watcher.ts
@@ -3,7 +3,7 @@
  * table service for changes behind their version and peers pass them on; the others ask the table seldom, in case that
  * all they hear from their peers is old.
  */
-import {LookSchedule} from '../../peer/configuration/look-schedule.js';
+import {PollSchedule} from '../../peer/configuration/poll-schedule.js';
 import {readChangesAfter, maxChangesPerRead} from '../../protocol/configuration/configuration-table.js';
 import {type ConfigurationChange} from '../../shared/types.js';
 import {type Child} from '../../supervisor/supervisor.js';
@@ -33,12 +33,12 @@
 
 	async run(signal: AbortSignal): Promise<void> {
 		const {clock, settings, configuration} = this.#context;
-		const schedule = new LookSchedule(settings.configurationPollMilliseconds, this.#peers.random);
+		const schedule = new PollSchedule(settings.configurationPollMilliseconds, this.#peers.random);
 		while (!signal.aborted) {
 			const looksOften = this.#peers.isReader || !configuration.startGate.isOpen;
 			if (schedule.isDue(looksOften, clock.now())) {
 				const isAnswered = await this.lookOnce();
-				schedule.looked(isAnswered, clock.now());
+				schedule.notePoll(isAnswered, clock.now());
 			}
 
 			await clock.sleep(Math.min(checkMilliseconds, settings.configurationPollMilliseconds), signal);
--- a/src/gateway/configuration/configuration-view.test.ts
+++ b/src/gateway/configuration/configuration-view.test.ts
@@ -17,12 +17,12 @@
 test('validity counts from the sending of the last answered read', () => {
 	// A read is answered after four seconds. Its content may be four seconds old, so the lease expires 0.8 s after the answer.
 	const view = new ConfigurationView(bounds);
-	assert.equal(view.trustAt({steady: 0, wall: 0}), 'none');
+	assert.equal(view.validityAt({steady: 0, wall: 0}), 'none');
 	view.offer(testConfiguration());
 	view.confirm({steady: 1000, wall: 100_000});
-	assert.equal(view.trustAt({steady: 2000, wall: 101_000}), 'fresh');
-	assert.equal(view.trustAt({steady: 5000, wall: 104_000}), 'ageing');
-	assert.equal(view.trustAt({steady: 5900, wall: 104_900}), 'lapsed');
+	assert.equal(view.validityAt({steady: 2000, wall: 101_000}), 'fresh');
+	assert.equal(view.validityAt({steady: 5000, wall: 104_000}), 'ageing');
+	assert.equal(view.validityAt({steady: 5900, wall: 104_900}), 'lapsed');
 });
 
 test('neither a suspended machine nor a jump of the wall clock extends the lease', () => {
@@ -30,6 +30,6 @@
 	const view = new ConfigurationView(bounds);
 	view.offer(testConfiguration());
 	view.confirm({steady: 1000, wall: 100_000});
-	assert.equal(view.trustAt({steady: 1100, wall: 110_100}), 'lapsed');
-	assert.equal(view.trustAt({steady: 7000, wall: 90_000}), 'lapsed');
+	assert.equal(view.validityAt({steady: 1100, wall: 110_100}), 'lapsed');
+	assert.equal(view.validityAt({steady: 7000, wall: 90_000}), 'lapsed');
 });
--- a/src/gateway/configuration/configuration-view.ts
+++ b/src/gateway/configuration/configuration-view.ts
@@ -18,10 +18,10 @@
  * How valid the configuration is: `none` before the first one, `fresh` while its confirmation is recent, `ageing` while keys
  * are still accepted, `lapsed` after the lease has expired.
  */
-export type Trust = 'none' | 'lapsed' | 'ageing' | 'fresh';
+export type ConfigurationValidity = 'none' | 'lapsed' | 'ageing' | 'fresh';
 
 /** Bounds of validity, in milliseconds since the sending of the last answered read. */
-export type TrustBounds = {
+export type ValidityBounds = {
 	/** Beyond it, a route or key that is missing from the configuration is not reported as unknown. */
 	freshMilliseconds: number;
 	/** Beyond it, no key is accepted. */
@@ -29,11 +29,11 @@
 };
 
 export class ConfigurationView {
-	readonly #bounds: TrustBounds;
+	readonly #bounds: ValidityBounds;
 	#current: ConfigurationInForce | undefined;
 	#confirmedAt: Moment | undefined;
 
-	constructor(bounds: TrustBounds) {
+	constructor(bounds: ValidityBounds) {
 		this.#bounds = bounds;
 	}
 
@@ -73,7 +73,7 @@
 	}
 
 	/** How valid the configuration is at a moment. */
-	trustAt(now: Moment): Trust {
+	validityAt(now: Moment): ConfigurationValidity {
 		const age = this.ageAt(now);
 		if (this.#current === undefined) {
 			return 'none';
--- a/src/gateway/coordinator/coordinator-client.ts
+++ b/src/gateway/coordinator/coordinator-client.ts
@@ -8,7 +8,7 @@
 import {type Moment, type MomentClock} from '../../ports/moment-clock.js';
 import {reportValidityMilliseconds} from '../../protocol/blocks/block-times.js';
 import {afterNextPoll} from '../../serving/after-next-poll.js';
-import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
+import {type FeedUpdate, type FeedCursor} from '../watchers/feed-update.js';
 import {
 	type FollowerFrame, type CoordinatorFrame, idleTimeoutMilliseconds, emptyQuery, type PackedLoad, type PlacementQuery,
 } from './coordinator-messages.js';
@@ -44,9 +44,9 @@
 	/** Endpoints whose loads come with the regular queries, so that a request to them needs no query of its own. */
 	watchedEndpoints(): string[];
 	/** The position in each table that it follows. */
-	cursors(): Record<string, FeedPlace>;
+	cursors(): Record<string, FeedCursor>;
 	/** Applies table changes from the answer to a query that was sent at `queriedAt`. */
-	applyTableUpdates(updates: readonly FeedNews[], queriedAt: Moment): void;
+	applyTableUpdates(updates: readonly FeedUpdate[], queriedAt: Moment): void;
 };
 
 /** A query in flight. */
--- a/src/gateway/coordinator/coordinator-messages.ts
+++ b/src/gateway/coordinator/coordinator-messages.ts
@@ -1,7 +1,7 @@
 /** The messages between the coordinator and its followers, sent as frames over one connection for each follower. */
 
 import {type EndpointLoad} from '../../decision/placement/endpoint-load.js';
-import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
+import {type FeedUpdate, type FeedCursor} from '../watchers/feed-update.js';
 
 /** Either side closes a connection on which no complete frame has arrived for this long. */
 export const idleTimeoutMilliseconds = 1200;
@@ -84,7 +84,7 @@
 		number: number;
 		about: PlacementQuery;
 		/** Its position in each table that it follows. */
-		places: Record<string, FeedPlace>;
+		places: Record<string, FeedCursor>;
 	}
 	| FollowerReport & {kind: 'tell'};
 
@@ -109,7 +109,7 @@
 	loads: Record<string, PackedLoad>;
 	parts: BlocksAnswer;
 	/** Changes in the tables that the follower follows. */
-	tables: FeedNews[];
+	tables: FeedUpdate[];
 	/** CPU cores of the largest machine that the coordinator knows. */
 	mostCores: number;
 	/** How many instances report to the coordinator. */
--- a/src/gateway/coordinator/coordinator-pair.test.ts
+++ b/src/gateway/coordinator/coordinator-pair.test.ts
@@ -76,15 +76,15 @@
 		addresses: {hub: await freeAddress(), 'hub-deputy': await freeAddress()},
 		follower: testFollower({
 			instance: name,
-			cursors: () => follower.place === undefined ? {} : {list: follower.place},
+			cursors: () => follower.cursor === undefined ? {} : {list: follower.cursor},
 			applyTableUpdates(updates, queriedAt) {
 				for (const one of updates) {
-					follower.takeRelayed(one, queriedAt);
+					follower.applyUpdate(one, queriedAt);
 				}
 			},
 		}),
 		tableUpdates(cursors) {
-			const update = cursors.list === undefined ? undefined : follower.newsFor(cursors.list);
+			const update = cursors.list === undefined ? undefined : follower.updateFor(cursors.list);
 			return update === undefined ? [] : [update];
 		},
 	});
@@ -95,11 +95,11 @@
 			return store.follow(query);
 		},
 	}, {
-		table: 'list', waitMilliseconds: 2000, readerWaitMilliseconds: 300, relayLapseMilliseconds: 1200,
+		table: 'list', waitMilliseconds: 2000, readerWaitMilliseconds: 300, maxRelayedAgeMilliseconds: 1200,
 	}, {
-		takeWhole: record,
-		takeChanges: record,
-		takeFailure() {
+		handleSnapshot: record,
+		handleChanges: record,
+		handleFailure() {
 			// The store does not fail here.
 		},
 	}, {
--- a/src/gateway/coordinator/coordinator-pair.ts
+++ b/src/gateway/coordinator/coordinator-pair.ts
@@ -4,7 +4,7 @@
 import {type TableService} from '../../ports/table-service.js';
 import {type Child} from '../../supervisor/supervisor.js';
 import {LeaderElection} from '../leadership/leader-election.js';
-import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
+import {type FeedUpdate, type FeedCursor} from '../watchers/feed-update.js';
 import {Coordinator, type CoordinatorContext, type CoordinatorRole} from './coordinator.js';
 import {type LocalFollower, CoordinatorClient} from './coordinator-client.js';
 import {type CoordinatorView} from './coordinator-view.js';
@@ -30,7 +30,7 @@
 	/** The local instance, as both clients report it. */
 	follower: Omit<LocalFollower, 'takeUses' | 'closed'>;
 	/** Table changes of this instance for a follower at the given positions. */
-	tableUpdates: (cursors: Record<string, FeedPlace>) => FeedNews[];
+	tableUpdates: (cursors: Record<string, FeedCursor>) => FeedUpdate[];
 };
 
 export class CoordinatorPair {
--- a/src/gateway/coordinator/coordinator-server.ts
+++ b/src/gateway/coordinator/coordinator-server.ts
@@ -9,7 +9,7 @@
 import {type MomentClock} from '../../ports/moment-clock.js';
 import {afterNextPoll} from '../../serving/after-next-poll.js';
 import {type Child} from '../../supervisor/supervisor.js';
-import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
+import {type FeedUpdate, type FeedCursor} from '../watchers/feed-update.js';
 import {
 	type FollowerFrame, type CoordinatorFrame, idleTimeoutMilliseconds, type PackedLoad, type BlocksAnswer, type PlacementQuery,
 } from './coordinator-messages.js';
@@ -32,7 +32,7 @@
 	/** Where the queried blocks are cached; `requestsAt` returns the requests in flight at an engine. */
 	locateBlocks(query: PlacementQuery, requestsAt: (engine: string) => number): BlocksAnswer;
 	/** Changes in the tables after a follower's positions. */
-	tableUpdates(cursors: Record<string, FeedPlace>): FeedNews[];
+	tableUpdates(cursors: Record<string, FeedCursor>): FeedUpdate[];
 	recordUses(keys: readonly string[]): void;
 }
 
--- a/src/gateway/coordinator/coordinator.ts
+++ b/src/gateway/coordinator/coordinator.ts
@@ -12,7 +12,7 @@
 import {type BlockChanges} from '../../protocol/blocks/store-inventory.js';
 import {type Child} from '../../supervisor/supervisor.js';
 import {type LeaderElection} from '../leadership/leader-election.js';
-import {type FeedNews, type FeedPlace} from '../watchers/feed-news.js';
+import {type FeedUpdate, type FeedCursor} from '../watchers/feed-update.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {leaseAcquisitionDelay} from './lease-acquisition-delay.js';
 import {EngineCacheWatchers} from './engine-cache-watchers.js';
@@ -71,7 +71,7 @@
 	/** CPU cores that its machine gives this instance. */
 	cores: number;
 	/** Table changes of this instance for a follower at the given positions. */
-	tableUpdates(cursors: Record<string, FeedPlace>): FeedNews[];
+	tableUpdates(cursors: Record<string, FeedCursor>): FeedUpdate[];
 	/** Whether this instance holds the lease of the other role. */
 	holdsOtherLease(): boolean;
 	/** Whether the holder of the other role answers. */
@@ -204,7 +204,7 @@
 		});
 	}
 
-	tableUpdates(cursors: Record<string, FeedPlace>): FeedNews[] {
+	tableUpdates(cursors: Record<string, FeedCursor>): FeedUpdate[] {
 		return this.#options.tableUpdates(cursors);
 	}
 
--- a/src/gateway/data-path/answer-transfer.test.ts
+++ b/src/gateway/data-path/answer-transfer.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {exchangeRaw, rawRequest} from '../../test/raw-http.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
-import {answerSealed, type PlayedEndpoint, TestGateway} from '../testing/test-gateway.js';
+import {answerSealed, type EndpointBehaviour, TestGateway} from '../testing/test-gateway.js';
 import {framingOf, classifyBodyEnd} from './answer-transfer.js';
 import {ownWireNames as names} from './wire-names.js';
 
@@ -48,7 +48,7 @@
 	}
 });
 
-async function linesOf(play: PlayedEndpoint, requests = 1): Promise<Array<Record<string, unknown>>> {
+async function linesOf(play: EndpointBehaviour, requests = 1): Promise<Array<Record<string, unknown>>> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind: 'non-idempotent'})]})).start();
 	await gateway.addEndpoint(play);
 	for (let sent = 0; sent < requests; sent++) {
@@ -90,7 +90,7 @@
 			response.socket!.end(`${unframedHead}whole`);
 		},
 	},
-] as Array<{name: string; line: string; transfer: Record<string, unknown>; play: PlayedEndpoint}>) {
+] as Array<{name: string; line: string; transfer: Record<string, unknown>; play: EndpointBehaviour}>) {
 	test(`the log distinguishes ${name} from other ends`, async () => {
 		// A caller reports half of an answer. Only the line of the attempt or of the request can show afterwards whether the
 		// endpoint's host died, the endpoint closed the connection too early, or the answer itself was short.
--- a/src/gateway/data-path/disconnect-before-read.test.ts
+++ b/src/gateway/data-path/disconnect-before-read.test.ts
@@ -45,8 +45,8 @@
 test('a request whose deadline has passed when its endpoint is chosen is not forwarded', async () => {
 	// Guards against work for callers that timed out while the request waited for the coordinator's answer.
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({carriesPrompt: true})]})).start();
-	gateway.context.peerNews = {
-		...gateway.context.peerNews,
+	gateway.context.peerUpdates = {
+		...gateway.context.peerUpdates,
 		async refresh() {
 			await pause(400);
 		},
--- a/src/gateway/data-path/endpoint-attempt.ts
+++ b/src/gateway/data-path/endpoint-attempt.ts
@@ -80,7 +80,7 @@
 		placement.observe({
 			kind: 'ended', request, endpoint, outcome: this.#placementOutcomeOf(result.outcome),
 		}, this.#now());
-		metrics.tries.inc({outcome: result.outcome});
+		metrics.attempts.inc({outcome: result.outcome});
 		const {framing, bodyEnd} = result.transfer;
 		if (framing !== undefined && bodyEnd !== undefined) {
 			metrics.answers.inc({framing, ending: bodyEnd});
--- a/src/gateway/data-path/endpoint-choice.ts
+++ b/src/gateway/data-path/endpoint-choice.ts
@@ -33,7 +33,7 @@
 	 * placed without a query.
 	 */
 	async selectCandidates(): Promise<void> {
-		const {placement, peerNews} = this.#context;
+		const {placement, peerUpdates: peerNews} = this.#context;
 		const {permitted} = this.#work;
 		const now = this.#now();
 		this.#candidates = placement.shortlist(this.#request(), this.#usable(now), now, this.#rounds);
--- a/src/gateway/data-path/gateway-request-handler.ts
+++ b/src/gateway/data-path/gateway-request-handler.ts
@@ -23,7 +23,7 @@
 	/** Answers one request. */
 	async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		this.#open++;
-		this.#context.metrics.open.set(this.#open);
+		this.#context.metrics.openRequests.set(this.#open);
 		try {
 			await this.#validateAndRun(request, response);
 		} catch (error) {
@@ -32,7 +32,7 @@
 			throw error;
 		} finally {
 			this.#open--;
-			this.#context.metrics.open.set(this.#open);
+			this.#context.metrics.openRequests.set(this.#open);
 		}
 	}
 
--- a/src/gateway/data-path/malformed-head.test.ts
+++ b/src/gateway/data-path/malformed-head.test.ts
@@ -6,7 +6,7 @@
 import {exchangeRaw, rawRequest, statusOf} from '../../test/raw-http.js';
 import {type RouteKind} from '../../shared/routed-configuration.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
-import {answerSealed, type PlayedEndpoint, TestGateway} from '../testing/test-gateway.js';
+import {answerSealed, type EndpointBehaviour, TestGateway} from '../testing/test-gateway.js';
 import {relayAnswer} from './relay-answer.js';
 import {ownWireNames as names} from './wire-names.js';
 
@@ -20,7 +20,7 @@
 async function statusAfter(statusLine: string, header: string, kind: RouteKind): Promise<number> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
 	let isFirst = true;
-	const play: PlayedEndpoint = (request, response) => {
+	const play: EndpointBehaviour = (request, response) => {
 		if (isFirst) {
 			isFirst = false;
 			response.socket!.write(Buffer.from(`HTTP/1.1 ${statusLine}\r\n${names.attemptId}: a1\r\n${names.seal}: s\r\n${header}content-length: 2\r\n\r\nok`, 'latin1'));
--- a/src/gateway/data-path/report-end.ts
+++ b/src/gateway/data-path/report-end.ts
@@ -59,9 +59,9 @@
 	const {kind} = permitted.route;
 	const {end, firstByteAt} = facts;
 	metrics.requests.inc({kind, outcome: end});
-	metrics.whole.observe({kind}, (now - arrivedAt.steady) / 1000);
+	metrics.requestDuration.observe({kind}, (now - arrivedAt.steady) / 1000);
 	if (firstByteAt !== undefined) {
-		metrics.firstByte.observe({kind}, (firstByteAt - arrivedAt.steady) / 1000);
+		metrics.timeToFirstByte.observe({kind}, (firstByteAt - arrivedAt.steady) / 1000);
 	}
 
 	const line = endLogLine(work, facts, now);
--- a/src/gateway/data-path/routed-request.ts
+++ b/src/gateway/data-path/routed-request.ts
@@ -161,7 +161,7 @@
 			maxSends: route.maxAttempts,
 			mayHaveRun: this.#mayHaveRun,
 			remainingMilliseconds: this.#deadline - this.#now(),
-		}, () => this.#context.budget.takeRetry(service, this.#now()));
+		}, () => this.#context.retryBudget.takeRetry(service, this.#now()));
 	}
 
 	/** Carries out the step after a failed attempt. Returns how the request ended, or `undefined` if another attempt follows. */
@@ -197,7 +197,7 @@
 		this.#attempted.add(endpoint.name);
 		this.#basis = basis;
 		if (this.#sends === 0) {
-			this.#context.budget.countRequest(permitted.service, this.#now());
+			this.#context.retryBudget.countRequest(permitted.service, this.#now());
 		}
 
 		this.#currentAttempt = new EndpointAttempt(this.#context, {
@@ -214,7 +214,7 @@
 		this.#sentAt = this.#now();
 		const running = this.#currentAttempt.run();
 		if (request.prompt !== undefined) {
-			this.#context.peerNews.report();
+			this.#context.peerUpdates.report();
 		}
 
 		const result = await running;
--- a/src/gateway/data-path/validate-request.ts
+++ b/src/gateway/data-path/validate-request.ts
@@ -43,7 +43,7 @@
 		return Left({reason: 'headers-too-large', ran: 'not-run', message: `the headers are longer than ${current.limits.headerBytes} bytes`});
 	}
 
-	const isFresh = view.trustAt(now) === 'fresh';
+	const isFresh = view.validityAt(now) === 'fresh';
 	const route = current.table.routeFor(head.host, head.target);
 	if (route === undefined) {
 		return Left(isFresh
@@ -67,7 +67,7 @@
 		return Right(undefined);
 	}
 
-	const validity = view.trustAt(now);
+	const validity = view.validityAt(now);
 	if (validity === 'lapsed') {
 		return Left(staleRefusal('the key cannot be checked: this instance has not reached the store for too long'));
 	}
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -23,12 +23,12 @@
 	configuration: ConfigurationView;
 	endpoints: EndpointRegistry;
 	placement: PlacementPolicy;
-	budget: SharedRetryBudget;
+	retryBudget: SharedRetryBudget;
 	exchanges: EndpointExchanges;
 	goals: WeightTargets;
 	loadingEngines: LoadingEngines;
 	hubView: CoordinatorView;
-	peerNews: PeerUpdates;
+	peerUpdates: PeerUpdates;
 	partPlanner: BlockPlanner;
 	eventLoopLag: Pick<EventLoopLag, 'current'>;
 	log: DecisionLog;
--- a/src/gateway/gateway-daemon.test.ts
+++ b/src/gateway/gateway-daemon.test.ts
@@ -46,9 +46,9 @@
 
 /** Waits up to 20 s for a condition: under load a process may take seconds to start. */
 async function waitUntil(what: string, isTrue: () => Promise<boolean>): Promise<void> {
-	const giveUpAt = performance.now() + 20_000;
+	const timeoutAt = performance.now() + 20_000;
 	while (!await isTrue()) {
-		assert.ok(performance.now() < giveUpAt, `timed out while waiting for: ${what}`);
+		assert.ok(performance.now() < timeoutAt, `timed out while waiting for: ${what}`);
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
@@ -70,11 +70,11 @@
 	}).listen(0, '127.0.0.1');
 	await once(endpoint, 'listening');
 	const address = `127.0.0.1:${(endpoint.address() as AddressInfo).port}`;
-	const [listenCallers, listenReady, listenPeers, listenDeputy, listenMetrics] = await Promise.all([freeAddress(), freeAddress(), freeAddress(), freeAddress(), freeAddress()]);
+	const [listenCallers, listenReady, listenPeers, listenStandby, listenMetrics] = await Promise.all([freeAddress(), freeAddress(), freeAddress(), freeAddress(), freeAddress()]);
 	const ports: GatewayPorts = {
 		clock: systemMomentClock,
 		names,
-		catalog: {
+		storeSchema: {
 			operatorTable: 'operators',
 			endpointTable: 'endpoints',
 			readOperatorRow: () => Right({kind: 'configuration', configuration: testConfiguration({routes: [testRoute({kind: 'stream', timeoutMilliseconds: 20_000})]})}),
@@ -93,7 +93,7 @@
 		listenReady,
 		readyPath: '/ready',
 		listenPeers,
-		listenDeputy,
+		listenStandby: listenStandby,
 		listenMetrics,
 		storeAddress: '',
 		cores: 1,
@@ -102,8 +102,8 @@
 			revocationMilliseconds: 5000,
 			drainMilliseconds: 2000,
 			graceMilliseconds: 8000,
-			repeatRatio: 0.2,
-			repeatWindowMilliseconds: 10_000,
+			retryRatio: 0.2,
+			retryWindowMilliseconds: 10_000,
 			leaseMilliseconds: 3000,
 			weightsMilliseconds: 10_000,
 			heartbeatMilliseconds: 1000,
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -38,7 +38,7 @@
 import {DecisionLog} from './observability/decision-log.js';
 import {type GatewayMetrics} from './observability/gateway-metrics.js';
 import {reportLag} from './observability/report-lag.js';
-import {type Catalog} from './watchers/catalog.js';
+import {type StoreSchema} from './watchers/store-schema.js';
 import {TableFeeds} from './watchers/table-feeds.js';
 import {LoadingEngines} from './watchers/loading-engines.js';
 import {WeightRollout} from './weights/weight-rollout.js';
@@ -48,7 +48,7 @@
 export type GatewayPorts = {
 	clock: MomentClock;
 	names: WireNames;
-	catalog: Catalog;
+	storeSchema: StoreSchema;
 	store: TableService & TableFeed & ClockedTable;
 	control: EngineControl;
 	storeControl: CacheStoreControl;
@@ -63,7 +63,7 @@
 /** Part of the grace period that is reserved for the exit of the process itself. */
 const exitMarginMilliseconds = 400;
 /** Maximum number of endpoints in a periodic query: all of a small deployment; of a large one, those of plain services. */
-const mostWatched = 24;
+const maxWatchedEndpoints = 24;
 /** More than any deployment's own limit on headers, which is checked after parsing. */
 const parserHeaderBytes = 65_536;
 
@@ -75,7 +75,7 @@
 	readonly #callers: HttpListener;
 	readonly #ready: HttpListener;
 	readonly #metricsListener: HttpListener;
-	readonly #hubs: CoordinatorPair;
+	readonly #coordinators: CoordinatorPair;
 	readonly #feeds: TableFeeds;
 	readonly #root: Supervisor;
 	readonly #eventLoopLag: EventLoopLag;
@@ -90,8 +90,8 @@
 		this.#graceMilliseconds = settings.bounds.graceMilliseconds;
 		const {clock, metrics} = ports;
 		const timings = timingsOf(settings.bounds);
-		const hubView = new CoordinatorView();
-		this.#placement = new CostPlacement(settings.dataCentre, endpoint => hubView.peerLoadAt(endpoint, clock.moment()));
+		const coordinatorView = new CoordinatorView();
+		this.#placement = new CostPlacement(settings.dataCentre, endpoint => coordinatorView.peerLoadAt(endpoint, clock.moment()));
 		const log = new DecisionLog(process.stdout, {instance: settings.instance}, () => clock.moment().wall);
 		this.#eventLoopLag = new EventLoopLag(() => clock.moment().steady, lagMilliseconds => {
 			reportLag({log, metrics}, lagMilliseconds);
@@ -103,16 +103,16 @@
 			configuration: new ConfigurationView({freshMilliseconds: timings.freshMilliseconds, leaseMilliseconds: timings.keyLeaseMilliseconds}),
 			endpoints: new EndpointRegistry(),
 		};
-		this.#hubs = this.#createHubs(shared, hubView, ports);
+		this.#coordinators = this.#createCoordinators(shared, coordinatorView, ports);
 		this.#context = {
 			...shared,
 			names: ports.names,
 			placement: this.#placement,
-			hubView,
-			peerNews: this.#hubs.peerUpdates,
+			hubView: coordinatorView,
+			peerUpdates: this.#coordinators.peerUpdates,
 			partPlanner: new BlockPlanner(),
 			eventLoopLag: this.#eventLoopLag,
-			budget: new SharedRetryBudget({ratio: settings.bounds.repeatRatio, windowMilliseconds: settings.bounds.repeatWindowMilliseconds}),
+			retryBudget: new SharedRetryBudget({ratio: settings.bounds.retryRatio, windowMilliseconds: settings.bounds.retryWindowMilliseconds}),
 			exchanges: this.#exchanges,
 			goals: new WeightTargets(settings.bounds.weightsMilliseconds),
 			loadingEngines: new LoadingEngines(() => clock.moment().steady),
@@ -126,8 +126,8 @@
 		}, settings.listenCallers, {...defaultListenerBounds, maxHeaderBytes: parserHeaderBytes});
 		this.#ready = new HttpListener('ready', this.#readyApp(), settings.listenReady);
 		this.#metricsListener = new HttpListener('metrics', this.#metricsApp(), settings.listenMetrics);
-		this.#feeds = new TableFeeds(this.#context, {...ports, isReader: () => this.#hubs.isReader, isStandby: () => this.#hubs.isStandby}, timings);
-		this.#root = this.#tree(ports);
+		this.#feeds = new TableFeeds(this.#context, {...ports, isReader: () => this.#coordinators.isReader, isStandby: () => this.#coordinators.isStandby}, timings);
+		this.#root = this.#createSupervisor(ports);
 	}
 
 	/** Opens the listeners, and runs until the daemon is stopped. */
@@ -167,7 +167,7 @@
 		const startedAt = clock.moment().steady;
 		log.record('stopping', {openRequests: this.#front.open});
 		this.#callers.announceClose();
-		void this.#hubs.resign();
+		void this.#coordinators.resign();
 		await clock.sleep(unreadyMilliseconds, this.#stop.signal);
 		const left = this.#graceMilliseconds - exitMarginMilliseconds - (clock.moment().steady - startedAt);
 		await Promise.race([this.#callers.drain(), clock.sleep(Math.max(0, left), this.#stop.signal)]);
@@ -180,24 +180,24 @@
 		log.record('stopped', {openRequests: this.#front.open, milliseconds: Math.round(clock.moment().steady - startedAt)});
 	}
 
-	#createHubs(shared: CoordinatorContext, view: CoordinatorView, {store, storeControl, clock}: GatewayPorts): CoordinatorPair {
-		const {instance, cores, listenPeers, listenDeputy} = this.#settings;
+	#createCoordinators(shared: CoordinatorContext, view: CoordinatorView, {store, storeControl, clock}: GatewayPorts): CoordinatorPair {
+		const {instance, cores, listenPeers, listenStandby: listenStandby} = this.#settings;
 		return new CoordinatorPair(shared, {
 			store,
 			control: storeControl,
 			view,
-			addresses: {hub: listenPeers, 'hub-deputy': listenDeputy},
+			addresses: {hub: listenPeers, 'hub-deputy': listenStandby},
 			follower: {
 				instance,
 				cores,
 				loads: () => packLoads(this.#placement.ownLoads(clock.moment().steady)),
 				watchedEndpoints: () => this.#watchedEndpoints(),
-				cursors: () => this.#feeds.places(),
+				cursors: () => this.#feeds.cursors(),
 				applyTableUpdates: (news, askedAt) => {
-					this.#feeds.takeNews(news, askedAt);
+					this.#feeds.applyUpdates(news, askedAt);
 				},
 			},
-			tableUpdates: places => this.#feeds.newsFor(places),
+			tableUpdates: places => this.#feeds.updatesFor(places),
 		});
 	}
 
@@ -206,11 +206,11 @@
 		const {endpoints, configuration} = this.#context;
 		const services = configuration.current?.services;
 		const ready = endpoints.all().filter(({state}) => state === 'ready');
-		const watched = ready.length <= mostWatched ? ready : ready.filter(({service}) => services?.get(service)?.engine === undefined);
-		return watched.slice(0, mostWatched).map(({name}) => name);
+		const watched = ready.length <= maxWatchedEndpoints ? ready : ready.filter(({service}) => services?.get(service)?.engine === undefined);
+		return watched.slice(0, maxWatchedEndpoints).map(({name}) => name);
 	}
 
-	#tree(ports: GatewayPorts): Supervisor {
+	#createSupervisor(ports: GatewayPorts): Supervisor {
 		const {store, clock, control} = ports;
 		const {log, goals} = this.#context;
 		const {instance, bounds: {leaseMilliseconds, weightsMilliseconds}} = this.#settings;
@@ -225,10 +225,10 @@
 			children: [
 				...this.#feeds.followers,
 				new WeightRollout(this.#context, {
-					instance, leaseMilliseconds, switchoverMilliseconds: weightsMilliseconds, store, control, targets: goals, isCoordinator: () => this.#hubs.isCoordinator, instances: () => this.#hubs.instances,
+					instance, leaseMilliseconds, switchoverMilliseconds: weightsMilliseconds, store, control, targets: goals, isCoordinator: () => this.#coordinators.isCoordinator, instances: () => this.#coordinators.instances,
 				}),
 				new EndpointProber(this.#context),
-				...this.#hubs.children(),
+				...this.#coordinators.children(),
 				this.#callers,
 				this.#ready,
 				this.#metricsListener,
@@ -249,8 +249,8 @@
 	/** Ready means: the configuration is valid, an endpoint is known, and no shutdown has begun. */
 	#isReady(): boolean {
 		const {configuration, endpoints, clock} = this.#context;
-		const trust = configuration.trustAt(clock.moment());
-		return !this.#isStopping && (trust === 'fresh' || trust === 'ageing') && endpoints.all().length > 0;
+		const validity = configuration.validityAt(clock.moment());
+		return !this.#isStopping && (validity === 'fresh' || validity === 'ageing') && endpoints.all().length > 0;
 	}
 
 	#readyApp(): H3 {
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -10,8 +10,8 @@
 	drainMilliseconds: number;
 	/** From the signal to stop to the exit of the process. */
 	graceMilliseconds: number;
-	repeatRatio: number;
-	repeatWindowMilliseconds: number;
+	retryRatio: number;
+	retryWindowMilliseconds: number;
 	/** The holder of a lease that has not renewed it for this long may be replaced. */
 	leaseMilliseconds: number;
 	/** Within this time every engine runs newly named weights. */
@@ -32,7 +32,7 @@
 	/** `IP:port` where other instances connect to the coordinator. */
 	listenPeers: string;
 	/** `IP:port` where they connect to the standby coordinator. */
-	listenDeputy: string;
+	listenStandby: string;
 	/** `IP:port` of the metrics. */
 	listenMetrics: string;
 	storeAddress: string;
@@ -48,7 +48,7 @@
 	/** The same for the reader, the instance that calls the store for the others. */
 	readerWaitMilliseconds: number;
 	/** An instance makes no calls to the feed as long as the reader's latest confirmation is no older than this. */
-	relayLapseMilliseconds: number;
+	maxRelayedAgeMilliseconds: number;
 	/** Beyond this age of the configuration, a route or key that is missing from it is not reported as unknown. */
 	freshMilliseconds: number;
 	/** Beyond this age, no key is accepted. */
@@ -61,12 +61,12 @@
  */
 const feedWaitShare = 0.4;
 /** A feed call waits no longer than this: a connection that fails unnoticed hides leaving endpoints for this long. */
-const longestFeedWaitMilliseconds = 2000;
+const maxFeedWaitMilliseconds = 2000;
 /**
  * Maximum age of relayed confirmations, as a share of the smaller of the bounds on configuration changes and on leaving
  * endpoints. Beyond it each instance calls the store itself after a random delay, and is answered within the rest.
  */
-const relayLapseShare = 0.6;
+const relayedAgeShare = 0.6;
 /** Share of that age that a call of the reader may wait; the relaying and the interval of queries take up the rest. */
 const readerWaitShare = 0.3;
 /** Time between the check of a lease and the sending of the request, on a slow instance with a late timer. */
@@ -81,12 +81,12 @@
  * @returns The times in milliseconds.
  */
 export function timingsOf(bounds: GatewayBounds): GatewayTimings {
-	const feedWaitMilliseconds = Math.min(longestFeedWaitMilliseconds, Math.round(feedWaitShare * bounds.revocationMilliseconds));
-	const relayLapseMilliseconds = Math.round(relayLapseShare * Math.min(bounds.configurationMilliseconds, bounds.drainMilliseconds));
+	const feedWaitMilliseconds = Math.min(maxFeedWaitMilliseconds, Math.round(feedWaitShare * bounds.revocationMilliseconds));
+	const maxRelayedAgeMilliseconds = Math.round(relayedAgeShare * Math.min(bounds.configurationMilliseconds, bounds.drainMilliseconds));
 	return {
 		feedWaitMilliseconds,
-		readerWaitMilliseconds: Math.round(readerWaitShare * relayLapseMilliseconds),
-		relayLapseMilliseconds,
+		readerWaitMilliseconds: Math.round(readerWaitShare * maxRelayedAgeMilliseconds),
+		maxRelayedAgeMilliseconds: maxRelayedAgeMilliseconds,
 		freshMilliseconds: freshWaits * feedWaitMilliseconds,
 		keyLeaseMilliseconds: bounds.revocationMilliseconds - keyLeaseMarginMilliseconds,
 	};
--- a/src/gateway/observability/decision-log.ts
+++ b/src/gateway/observability/decision-log.ts
@@ -34,10 +34,10 @@
  */
 const failureLinesPerSecond = 300;
 /** Bytes that may be queued for a slow reader: a few seconds of lines. */
-const mostWaitingBytes = 262_144;
+const maxQueuedBytes = 262_144;
 
 /** The ranks of kinds about a single request; all other kinds are about the process. */
-const ranksOfRequests: ReadonlyMap<DecisionKind, LineRank> = new Map([
+const requestRanks: ReadonlyMap<DecisionKind, LineRank> = new Map([
 	['request-served', 'ordinary'], ['request-refused', 'refusal'], ['request-ended', 'failure'], ['try-failed', 'failure'],
 ]);
 
@@ -46,12 +46,12 @@
  * written lines would be taken for the number of all events, so a `left-out` line reports the counts after this time. Its
  * 150 bytes in 5 s are 1% of the byte rate, and a process that is killed loses the counts of this time at most.
  */
-export const leftOutWaitMilliseconds = 5000;
+export const leftOutDelayMilliseconds = 5000;
 
 /** Statuses from here on mean that the request failed for a reason other than the request itself. */
 const firstServerError = 500;
 
-type Rate = {second: number; written: number; left: number};
+type Rate = {second: number; written: number; leftOut: number};
 
 export class DecisionLog {
 	readonly #output: Pick<Writable, 'write' | 'writableLength'>;
@@ -60,7 +60,7 @@
 	/** By kind and rank: when all endpoints are full, refused requests would use up the lines of aborted ones. */
 	readonly #rates = new Map<string, Rate>();
 	readonly #budget = new LineBudget();
-	#telling: NodeJS.Timeout | undefined;
+	#leftOutTimer: NodeJS.Timeout | undefined;
 
 	/**
 	 * @param output - Where lines are written; standard output in a program.
@@ -81,55 +81,55 @@
 		const now = this.#now();
 		const rank = rankOf(kind, fields);
 		if (kind === 'stopped') {
-			this.#tellLeftOut(now);
+			this.#writeLeftOut(now);
 			this.#write(kind, rank, fields, now);
 			return;
 		}
 
 		const rate = this.#rateOf(`${kind} ${rank}`, Math.floor(now / 1000));
-		if (rate.written >= mostLinesPerSecond(rank) || !this.#hasRoomFor(rank, now)) {
-			rate.left++;
-			this.#awaitTelling();
+		if (rate.written >= maxLinesPerSecond(rank) || !this.#hasRoomFor(rank, now)) {
+			rate.leftOut++;
+			this.#scheduleLeftOut();
 			return;
 		}
 
-		this.#write(kind, rank, rate.left === 0 ? fields : {...fields, leftOut: rate.left}, now);
+		this.#write(kind, rank, rate.leftOut === 0 ? fields : {...fields, leftOut: rate.leftOut}, now);
 		rate.written++;
-		rate.left = 0;
+		rate.leftOut = 0;
 	}
 
 	#hasRoomFor(rank: LineRank, now: number): boolean {
-		const isReaderBehind = this.#output.writableLength > mostWaitingBytes;
+		const isReaderBehind = this.#output.writableLength > maxQueuedBytes;
 		return !isReaderBehind && this.#budget.hasRoomFor(rank, now);
 	}
 
 	/** Starts the timer unless it runs. It does not keep the process alive. */
-	#awaitTelling(): void {
-		if (this.#telling !== undefined) {
+	#scheduleLeftOut(): void {
+		if (this.#leftOutTimer !== undefined) {
 			return;
 		}
 
-		this.#telling = setTimeout(() => {
-			this.#telling = undefined;
+		this.#leftOutTimer = setTimeout(() => {
+			this.#leftOutTimer = undefined;
 			const now = this.#now();
 			if (this.#hasRoomFor('process', now)) {
-				this.#tellLeftOut(now);
+				this.#writeLeftOut(now);
 			} else {
-				this.#awaitTelling();
+				this.#scheduleLeftOut();
 			}
-		}, leftOutWaitMilliseconds).unref();
+		}, leftOutDelayMilliseconds).unref();
 	}
 
 	/** Writes a line with all counts that no line of their kind has reported. */
-	#tellLeftOut(now: number): void {
-		const untold = [...this.#rates].filter(([, {left}]) => left > 0);
-		if (untold.length === 0) {
+	#writeLeftOut(now: number): void {
+		const unreported = [...this.#rates].filter(([, {leftOut: left}]) => left > 0);
+		if (unreported.length === 0) {
 			return;
 		}
 
-		this.#write('left-out', 'process', {counts: Object.fromEntries(untold.map(([name, {left}]) => [name, left]))}, now);
-		for (const [, rate] of untold) {
-			rate.left = 0;
+		this.#write('left-out', 'process', {counts: Object.fromEntries(unreported.map(([name, {leftOut: left}]) => [name, left]))}, now);
+		for (const [, rate] of unreported) {
+			rate.leftOut = 0;
 		}
 	}
 
@@ -146,7 +146,7 @@
 	#rateOf(name: string, second: number): Rate {
 		let rate = this.#rates.get(name);
 		if (rate === undefined) {
-			rate = {second, written: 0, left: 0};
+			rate = {second, written: 0, leftOut: 0};
 			this.#rates.set(name, rate);
 		}
 
@@ -159,7 +159,7 @@
 	}
 }
 
-function mostLinesPerSecond(rank: LineRank): number {
+function maxLinesPerSecond(rank: LineRank): number {
 	return rank === 'failure' ? failureLinesPerSecond : linesPerSecond;
 }
 
@@ -169,7 +169,7 @@
  * unless its status says that the endpoint failed.
  */
 function rankOf(kind: DecisionKind, {outcome, status}: DecisionFields): LineRank {
-	const rank = ranksOfRequests.get(kind) ?? 'process';
+	const rank = requestRanks.get(kind) ?? 'process';
 	if (rank !== 'failure') {
 		return rank;
 	}
--- a/src/gateway/observability/failures-among-others.test.ts
+++ b/src/gateway/observability/failure-lines.test.ts
@@ -25,14 +25,14 @@
 	}, facts, milliseconds);
 }
 
-function repeatedEnd(id: string): EndLogLine {
+function retriedRequest(id: string): EndLogLine {
 	return lineOf(id, {...whole, sends: 2, endpoints: ['quay-desk-zone-1-3', 'quay-desk-zone-1-12']}, 900);
 }
 
-const wholeEnds: Record<string, (id: string) => EndLogLine> = {
+const completedRequests: Record<string, (id: string) => EndLogLine> = {
 	ordinary: id => lineOf(id, whole, 900),
 	late: id => lineOf(id, whole, 1600),
-	repeated: repeatedEnd,
+	retried: retriedRequest,
 	'ended by the close of their connections': id => lineOf(id, {
 		...whole, transfer: {
 			connection: 'new', framing: 'connection', bodyBytes: 812, bodyEnd: 'in-order',
@@ -48,13 +48,13 @@
 }
 
 /** Writes both lines of an answer that was aborted. */
-function recordBrokenOff(log: DecisionLog, id: string): void {
+function recordAborted(log: DecisionLog, id: string): void {
 	recordCut(log, id, 'break-off');
 	const {kind, fields} = lineOf(id, {...whole, end: 'broken-off', transfer: brokenTransfer}, 700);
 	log.record(kind, fields);
 }
 
-for (const [name, endOf] of Object.entries(wholeEnds)) {
+for (const [name, endOf] of Object.entries(completedRequests)) {
 	for (const each of [5, 10, 20, 45]) {
 		test(`${each} complete answers a second (${name}) leave room for the lines of aborted ones`, () => {
 			// One answer a second is aborted after many complete ones. Its caller complains, but the log has no line of it:
@@ -68,7 +68,7 @@
 					log.record(kind, fields);
 				}
 
-				recordBrokenOff(log, `broken-${now}`);
+				recordAborted(log, `broken-${now}`);
 			}
 
 			const broken = lines.map(line => JSON.parse(line) as {id: string; kind: string}).filter(({id}) => id.startsWith('broken'));
@@ -79,28 +79,28 @@
 }
 
 /** Writes the lines of a second's late answers, more than their share of the burst holds. */
-function fillWithLateAnswers(log: DecisionLog): void {
+function recordLateAnswers(log: DecisionLog): void {
 	for (let count = 0; count < 45; count++) {
-		const {kind, fields} = wholeEnds.late!(`late-${count}`);
+		const {kind, fields} = completedRequests.late!(`late-${count}`);
 		log.record(kind, fields);
 	}
 }
 
-const endedAtOnce: Record<string, (log: DecisionLog, id: string) => void> = {
+const recordEndings: Record<string, (log: DecisionLog, id: string) => void> = {
 	'are retried and get complete answers'(log, id) {
 		recordCut(log, id, 'repeat');
-		const {kind, fields} = repeatedEnd(id);
+		const {kind, fields} = retriedRequest(id);
 		log.record(kind, fields);
 	},
-	'are aborted': recordBrokenOff,
+	'are aborted': recordAborted,
 };
-for (const [name, recordEnd] of Object.entries(endedAtOnce)) {
+for (const [name, recordEnd] of Object.entries(recordEndings)) {
 	test(`when two endpoints fail at once, each attempt that was cut has its line: all requests ${name}`, () => {
 		// Two endpoints of one host fail, with 40 requests each, after a second of late answers. An engineer who asks why one of
 		// them was aborted or late must find at which endpoint it was cut, although the log was busy with the answers before.
 		const lines: string[] = [];
 		const log = new DecisionLog({writableLength: 0, write: (line: string) => lines.push(line) > 0}, {instance: 'front-zone-1'}, () => 0);
-		fillWithLateAnswers(log);
+		recordLateAnswers(log);
 		for (let count = 0; count < 80; count++) {
 			recordEnd(log, `cut-${count}`);
 		}
--- a/src/gateway/observability/gateway-metrics.ts
+++ b/src/gateway/observability/gateway-metrics.ts
@@ -16,7 +16,7 @@
 		name: 'savorygauge_refusals_total', help: 'Requests refused by this instance, by reason.', labelNames: ['reason'], registers: [this.registry],
 	});
 
-	readonly tries = new Counter({
+	readonly attempts = new Counter({
 		name: 'savorygauge_tries_total', help: 'Sends to endpoints, by how they ended.', labelNames: ['outcome'], registers: [this.registry],
 	});
 
@@ -25,11 +25,11 @@
 		name: 'savorygauge_answers_total', help: 'Bodies of endpoints\' answers, by how their end is marked and how they ended.', labelNames: ['framing', 'ending'], registers: [this.registry],
 	});
 
-	readonly firstByte = new Histogram({
+	readonly timeToFirstByte = new Histogram({
 		name: 'savorygauge_first_byte_seconds', help: 'From the arrival of a request to the first byte of its answer.', labelNames: ['kind'], buckets: latencyBuckets, registers: [this.registry],
 	});
 
-	readonly whole = new Histogram({
+	readonly requestDuration = new Histogram({
 		name: 'savorygauge_request_seconds', help: 'From the arrival of a request to the end of its answer.', labelNames: ['kind'], buckets: latencyBuckets, registers: [this.registry],
 	});
 
@@ -45,7 +45,7 @@
 		name: 'savorygauge_orders_total', help: 'Orders given to engines, by outcome.', labelNames: ['outcome'], registers: [this.registry],
 	});
 
-	readonly open = new Gauge({
+	readonly openRequests = new Gauge({
 		name: 'savorygauge_open_requests', help: 'Requests under way.', registers: [this.registry],
 	});
 
--- a/src/gateway/observability/line-budget.test.ts
+++ b/src/gateway/observability/line-budget.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-	burstBytes, bytesPerSecond, LineBudget, savedBytes, type LineRank,
+	burstBytes, bytesPerSecond, LineBudget, failureReserveBytes, type LineRank,
 } from './line-budget.js';
 
 /** Writes a line if there is room for it; returns whether it was written. */
@@ -118,5 +118,5 @@
 	}
 
 	assert.ok(failures >= 80 * 860, `${failures}`);
-	assert.ok(ordinary + failures <= burstBytes + savedBytes + (end / 1000 * bytesPerSecond));
+	assert.ok(ordinary + failures <= burstBytes + failureReserveBytes + (end / 1000 * bytesPerSecond));
 });
--- a/src/gateway/observability/line-budget.ts
+++ b/src/gateway/observability/line-budget.ts
@@ -38,10 +38,10 @@
  * failures would have to be refilled first, and later refusals and ordinary requests would have no line for some 15 s.
  * A collector that retains 142 KB still holds some 15 s of the lines before.
  */
-export const savedBytes = 65_536;
+export const failureReserveBytes = 65_536;
 
 /** Share of the rate that refills the failure reserve: three minutes from empty, at the cost of two ordinary lines a second. */
-const shareOfSavings = 1 / 8;
+const failureReserveShare = 1 / 8;
 
 /** Bytes of the burst that each rank leaves to the ranks above it. */
 const reservedBytes: Record<LineRank, number> = {
@@ -54,7 +54,7 @@
 
 export class LineBudget {
 	#allowance = burstBytes;
-	#savings = savedBytes;
+	#failureReserve = failureReserveBytes;
 	#filledAt: number | undefined;
 
 	/**
@@ -66,13 +66,13 @@
 	 */
 	hasRoomFor(rank: LineRank, now: number): boolean {
 		this.#fill(now);
-		return this.#hasAllowance(rank) || (rank === 'failure' && this.#savings > 0);
+		return this.#hasAllowance(rank) || (rank === 'failure' && this.#failureReserve > 0);
 	}
 
 	/** Deducts the bytes of a written line. The failure reserve is used only after the allowance. */
 	spend(rank: LineRank, bytes: number): void {
 		if (rank === 'failure' && !this.#hasAllowance(rank)) {
-			this.#savings -= bytes;
+			this.#failureReserve -= bytes;
 		} else {
 			this.#allowance -= bytes;
 		}
@@ -86,8 +86,8 @@
 		const elapsed = Math.max(0, now - (this.#filledAt ?? now));
 		this.#filledAt = now;
 		const gained = elapsed * bytesPerSecond / 1000;
-		const saved = Math.min(savedBytes - this.#savings, gained * shareOfSavings);
-		this.#savings += saved;
-		this.#allowance = Math.min(burstBytes, this.#allowance + gained - saved);
+		const reserved = Math.min(failureReserveBytes - this.#failureReserve, gained * failureReserveShare);
+		this.#failureReserve += reserved;
+		this.#allowance = Math.min(burstBytes, this.#allowance + gained - reserved);
 	}
 }
--- a/src/gateway/observability/operations.test.ts
+++ b/src/gateway/observability/request-diagnosis.test.ts
@@ -9,7 +9,7 @@
 import {ownWireNames as names} from '../data-path/wire-names.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
 import {
-	answerSealed, sealedHeaders, TestGateway, type PlayedEndpoint,
+	answerSealed, sealedHeaders, TestGateway, type EndpointBehaviour,
 } from '../testing/test-gateway.js';
 
 const requestOf = (id: string): string => rawRequest({
@@ -22,10 +22,10 @@
 });
 
 /** Sends one request through a gateway with at most one endpoint; returns its status, its answer and its log lines. */
-async function linesOf(kind: RouteKind, play: PlayedEndpoint | undefined): Promise<{status: number; answer: string; lines: Array<Record<string, unknown>>}> {
+async function linesOf(kind: RouteKind, behaviour: EndpointBehaviour | undefined): Promise<{status: number; answer: string; lines: Array<Record<string, unknown>>}> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds: 400})]})).start();
-	if (play !== undefined) {
-		await gateway.addEndpoint(play);
+	if (behaviour !== undefined) {
+		await gateway.addEndpoint(behaviour);
 	}
 
 	const answer = await exchangeRaw(gateway.address, requestOf('lost-1'));
--- a/src/gateway/run-gateway.ts
+++ b/src/gateway/run-gateway.ts
@@ -36,7 +36,7 @@
 	const daemon = new GatewayDaemon(settings, {
 		clock: systemMomentClock,
 		names: platformWireNames,
-		catalog: platformCatalog,
+		storeSchema: platformCatalog,
 		store: new PlatformStore(settings.storeAddress, (call, outcome) => {
 			metrics.storeCalls.inc({call, outcome});
 		}),
--- a/src/gateway/testing/test-gateway.ts
+++ b/src/gateway/testing/test-gateway.ts
@@ -27,7 +27,7 @@
 import {testEndpoint} from './test-endpoint.js';
 
 /** What an endpoint of a test does with a request. It may leave the request unanswered. */
-export type PlayedEndpoint = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>;
+export type EndpointBehaviour = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>;
 
 export class TestGateway {
 	readonly context: GatewayContext;
@@ -59,11 +59,11 @@
 			configuration: view,
 			endpoints: new EndpointRegistry(),
 			placement: new CostPlacement('split'),
-			budget: new SharedRetryBudget({ratio: 1, windowMilliseconds: 10_000}),
+			retryBudget: new SharedRetryBudget({ratio: 1, windowMilliseconds: 10_000}),
 			exchanges: this.#exchanges,
 			goals: new WeightTargets(10_000),
 			hubView: new CoordinatorView(),
-			peerNews: {
+			peerUpdates: {
 				async refresh() {
 					// A single instance has no other instances to query.
 				},
@@ -90,9 +90,9 @@
 	}
 
 	/** Adds an endpoint with the given behaviour. Endpoints are chosen in the order of addition if their `slots` decrease. */
-	async addEndpoint(play: PlayedEndpoint, changes: Partial<EndpointRecord> = {}): Promise<EndpointRecord> {
+	async addEndpoint(behaviour: EndpointBehaviour, changes: Partial<EndpointRecord> = {}): Promise<EndpointRecord> {
 		const server = createServer((request, response) => {
-			void play(request, response);
+			void behaviour(request, response);
 		});
 		const sockets = new Set<Socket>();
 		server.on('connection', socket => {
@@ -126,10 +126,10 @@
 }
 
 /** An answer of a test's endpoint; by default a 200 without a body. */
-export type PlayedAnswer = {status?: number; headers?: Record<string, string>; body?: string};
+export type TestAnswer = {status?: number; headers?: Record<string, string>; body?: string};
 
 /** Answers as a healthy endpoint does: with the attempt's id and a seal. */
-export function answerSealed(request: IncomingMessage, response: ServerResponse, answer: PlayedAnswer = {}): void {
+export function answerSealed(request: IncomingMessage, response: ServerResponse, answer: TestAnswer = {}): void {
 	const {status = 200, headers = {}, body = ''} = answer;
 	response.writeHead(status, {...sealedHeaders(request), 'content-length': String(body.length), ...headers});
 	response.end(body);
--- /dev/null
+++ b/src/gateway/watchers/endpoint-feed-handler.ts
@@ -0,0 +1,62 @@
+/** Updates the endpoint registry from the store's table of endpoints. */
+import {type Moment} from '../../ports/moment-clock.js';
+import {type FeedRow} from '../../ports/table-feed.js';
+import {type EndpointRecord} from '../../shared/endpoint-record.js';
+import {type RegistryChange} from '../endpoints/endpoint-registry.js';
+import {type GatewayContext} from '../gateway-context.js';
+import {type StoreSchema} from './store-schema.js';
+import {type Arrival, type FeedHandler} from './feed-update.js';
+
+type HandlerContext = Pick<GatewayContext, 'endpoints' | 'placement' | 'log'>;
+
+export class EndpointFeedHandler implements FeedHandler {
+	readonly #context: HandlerContext;
+	readonly #schema: StoreSchema;
+
+	constructor(context: HandlerContext, schema: StoreSchema) {
+		this.#context = context;
+		this.#schema = schema;
+	}
+
+	handleSnapshot(rows: readonly FeedRow[], _sentAt: Moment, now: Moment, arrival: Arrival): void {
+		const records = rows.map(row => this.#decode(row)).filter(record => record !== undefined);
+		this.#applyChange(this.#context.endpoints.replaceAll(records, now.steady, arrival === 'restored'));
+	}
+
+	handleChanges(rows: readonly FeedRow[], _sentAt: Moment, now: Moment): void {
+		for (const row of rows) {
+			const record = row.isDeleted ? undefined : this.#decode(row);
+			// A row that cannot be decoded removes its endpoint, even if an earlier version of the row could be decoded.
+			this.#applyChange(record === undefined ? this.#context.endpoints.remove(row.key, now.steady) : this.#context.endpoints.put(record));
+		}
+
+		this.#applyChange(this.#context.endpoints.expire(now.steady));
+	}
+
+	handleFailure(failedAt: Moment): void {
+		this.#context.endpoints.noteStoreFailure(failedAt.steady);
+	}
+
+	#decode({key, content}: FeedRow): EndpointRecord | undefined {
+		return this.#schema.readEndpointRow(key, content).caseOf({
+			Left: findings => {
+				this.#context.log.record('endpoint-unreadable', {row: key, findings});
+				return undefined;
+			},
+			Right: record => record,
+		});
+	}
+
+	#applyChange({appeared, vanished}: RegistryChange): void {
+		for (const record of vanished) {
+			this.#context.placement.forget(record);
+			this.#context.log.record('endpoint-vanished', {endpoint: record.name, service: record.service, address: record.address});
+		}
+
+		for (const record of appeared) {
+			this.#context.log.record('endpoint-appeared', {
+				endpoint: record.name, service: record.service, address: record.address, state: record.state,
+			});
+		}
+	}
+}
--- a/src/gateway/watchers/feed-follower.test.ts
+++ b/src/gateway/watchers/feed-follower.test.ts
@@ -6,7 +6,7 @@
 import {type FeedAnswer, type FeedFailure, type FeedRow} from '../../ports/table-feed.js';
 import {DecisionLog} from '../observability/decision-log.js';
 import {FeedFollower} from './feed-follower.js';
-import {type Arrival, type FeedNews} from './feed-news.js';
+import {type Arrival, type FeedUpdate} from './feed-update.js';
 
 function followerOf(answers: Array<Either<FeedFailure, FeedAnswer>>): {follower: FeedFollower; heard: string[]; asked: string[]} {
 	const heard: string[] = [];
@@ -32,11 +32,11 @@
 			return next();
 		},
 	}, {
-		table: 'list', waitMilliseconds: 1000, readerWaitMilliseconds: 400, relayLapseMilliseconds: 1200,
+		table: 'list', waitMilliseconds: 1000, readerWaitMilliseconds: 400, maxRelayedAgeMilliseconds: 1200,
 	}, {
-		takeWhole: note('whole'),
-		takeChanges: note('changes'),
-		takeFailure() {
+		handleSnapshot: note('whole'),
+		handleChanges: note('changes'),
+		handleFailure() {
 			heard.push('failure');
 		},
 	}, {
@@ -105,7 +105,7 @@
 	assert.deepEqual(heard.slice(2), ['whole  as of 1400, restored', 'changes  as of 2100, restored', 'changes  as of 2800, restored', 'changes  as of 3500']);
 });
 
-const newsOf = (changes: Partial<FeedNews>): FeedNews => ({
+const updateOf = (changes: Partial<FeedUpdate>): FeedUpdate => ({
 	table: 'list', era: 0, position: 9, rows: [row('b', 9)], ageMilliseconds: 100, ...changes,
 });
 const at = (milliseconds: number): Moment => ({steady: milliseconds, wall: milliseconds});
@@ -114,9 +114,9 @@
 	// Guards against a revoked key that is accepted for too long because an instance took an old confirmation for a recent one.
 	const {follower, heard} = followerOf([found([], 5)]);
 	await follower.step();
-	follower.takeRelayed(newsOf({}), at(600));
+	follower.applyUpdate(updateOf({}), at(600));
 	assert.deepEqual(heard, ['whole  as of 0', 'changes b as of 500, relayed']);
-	assert.deepEqual(follower.place, {era: 0, position: 9});
+	assert.deepEqual(follower.cursor, {era: 0, position: 9});
 });
 
 test('rows that arrive from two sources are applied once, and never replace newer ones', async () => {
@@ -124,30 +124,30 @@
 	const {follower, heard, asked} = followerOf([found([], 5), found([row('b', 7), row('c', 12)], 12)]);
 	await follower.step();
 	const call = follower.step();
-	follower.takeRelayed(newsOf({rows: [row('b', 7), row('b', 9)]}), at(700));
+	follower.applyUpdate(updateOf({rows: [row('b', 7), row('b', 9)]}), at(700));
 	await call;
-	follower.takeRelayed(newsOf({rows: [row('b', 9)]}), at(1500));
+	follower.applyUpdate(updateOf({rows: [row('b', 9)]}), at(1500));
 	assert.deepEqual(heard.slice(1), ['changes b b as of 600, relayed', 'changes c as of 700', 'changes  as of 1400, relayed']);
 	assert.deepEqual(asked, ['whole list', 'after 5']);
-	assert.deepEqual(follower.place, {era: 0, position: 12});
+	assert.deepEqual(follower.cursor, {era: 0, position: 12});
 });
 
 test('an update of another era, or without the rows in between, is not applied', async () => {
 	const {follower, heard} = followerOf([found([], 5, 2)]);
 	await follower.step();
-	follower.takeRelayed(newsOf({era: 1}), at(600));
-	follower.takeRelayed({
+	follower.applyUpdate(updateOf({era: 1}), at(600));
+	follower.applyUpdate({
 		table: 'list', era: 2, position: 9, ageMilliseconds: 0,
 	}, at(600));
 	assert.deepEqual(heard, ['whole  as of 0']);
-	assert.deepEqual(follower.place, {era: 2, position: 5});
+	assert.deepEqual(follower.cursor, {era: 2, position: 5});
 });
 
 test('a failure at the reader is handled before the rows that disappear because of it', async () => {
 	// Guards against endpoints that are dropped because their rows expired in an outage of the store that only the reader saw.
 	const {follower, heard} = followerOf([found([], 5)]);
 	await follower.step();
-	follower.takeRelayed(newsOf({failedMilliseconds: 300}), at(600));
+	follower.applyUpdate(updateOf({failedMilliseconds: 300}), at(600));
 	assert.deepEqual(heard.slice(1), ['failure', 'changes b as of 500, relayed']);
 });
 
@@ -169,15 +169,15 @@
 				return found([], 5);
 			},
 		}, {
-			table: 'list', waitMilliseconds: 150, readerWaitMilliseconds: 50, relayLapseMilliseconds: 400,
+			table: 'list', waitMilliseconds: 150, readerWaitMilliseconds: 50, maxRelayedAgeMilliseconds: 400,
 		}, {
-			takeWhole() {
+			handleSnapshot() {
 				// Rows are not checked here.
 			},
-			takeChanges() {
+			handleChanges() {
 				// Changes are not checked here.
 			},
-			takeFailure() {
+			handleFailure() {
 				// No failure occurs.
 			},
 		}, {
@@ -191,9 +191,9 @@
 	const follower = start('follower');
 	const relayUntil = clock.moment().steady + 1200;
 	while (clock.moment().steady < relayUntil) {
-		const news = follower.place === undefined ? undefined : reader.newsFor(follower.place);
-		if (news !== undefined) {
-			follower.takeRelayed(news, clock.moment());
+		const update = follower.cursor === undefined ? undefined : reader.updateFor(follower.cursor);
+		if (update !== undefined) {
+			follower.applyUpdate(update, clock.moment());
 		}
 
 		await clock.sleep(50, stop.signal);
--- a/src/gateway/watchers/feed-follower.ts
+++ b/src/gateway/watchers/feed-follower.ts
@@ -19,20 +19,20 @@
 import {type DecisionLog} from '../observability/decision-log.js';
 import {FeedHistory} from './feed-history.js';
 import {
-	type Arrival, type FeedNews, type FeedPlace, type FeedReader,
-} from './feed-news.js';
+	type Arrival, type FeedUpdate, type FeedCursor, type FeedHandler,
+} from './feed-update.js';
 
 /** The table to follow, and how long a call may wait for changes. */
-export type FeedPlan = {
+export type FeedOptions = {
 	table: string;
 	waitMilliseconds: number;
 	/** The same for the reader: what it relays is as old as its last call. */
 	readerWaitMilliseconds: number;
 	/** An instance whose latest relayed confirmation is older than this calls the store itself. */
-	relayLapseMilliseconds: number;
+	maxRelayedAgeMilliseconds: number;
 };
 
-export type FeedTools = {
+export type FeedDependencies = {
 	clock: MomentClock;
 	log: DecisionLog;
 	random: () => number;
@@ -43,36 +43,36 @@
 };
 
 /** Delay after the first failed call; doubles up to the maximum. Short, because the state goes stale meanwhile. */
-const firstPauseMilliseconds = 100;
-const longestPauseMilliseconds = 800;
+const firstRetryDelayMilliseconds = 100;
+const maxRetryDelayMilliseconds = 800;
 /** Jitter of a delay, so that instances that lost the store at the same time do not retry at the same time. */
 const jitterShare = 0.5;
 /** Delay after a call that returned changes: while many rows change, the next call returns them in one batch. */
-const batchMilliseconds = 60;
+const batchDelayMilliseconds = 60;
 /** How often an instance that gets relayed updates checks whether it has become the reader. */
-const longestRelayWaitMilliseconds = 400;
+const roleCheckMilliseconds = 400;
 /** The same for the standby reader: its updates must reach the others before their last confirmation is too old. */
-const standbyWaitMilliseconds = 80;
+const standbyRoleCheckMilliseconds = 80;
 /** Instances that get no more relayed updates start to call the store spread over this time. */
-const relaySpreadMilliseconds = 300;
+const fallbackSpreadMilliseconds = 300;
 /** An older failure of the reader does not explain why a row disappears now, and is ignored. */
-const failureLifeMilliseconds = 4000;
+const maxFailureAgeMilliseconds = 4000;
 
 export class FeedFollower implements Child {
 	readonly name: string;
 	readonly #feed: TableFeed;
-	readonly #plan: FeedPlan;
-	readonly #reader: FeedReader;
-	readonly #tools: FeedTools;
+	readonly #options: FeedOptions;
+	readonly #handler: FeedHandler;
+	readonly #dependencies: FeedDependencies;
 	readonly #history = new FeedHistory();
-	readonly #spreadMilliseconds: number;
-	#place: FeedPlace | undefined;
+	readonly #fallbackDelayMilliseconds: number;
+	#cursor: FeedCursor | undefined;
 	/** The latest era that was seen, also while there is no cursor. */
 	#era: number | undefined;
 	/** When the call was sent whose answer confirmed the cursor. */
-	#provenAt: Moment | undefined;
+	#confirmedAt: Moment | undefined;
 	/** The same, for a confirmation that another instance relayed. */
-	#relayedAt: Moment | undefined;
+	#relayConfirmedAt: Moment | undefined;
 	#failedAt: Moment | undefined;
 	/** Until when, on the steady clock, a restored store may lack rows that are still to be rewritten. */
 	#restoredUntil = Number.NEGATIVE_INFINITY;
@@ -80,64 +80,64 @@
 	/** Whether this instance was the reader at the last call. */
 	#wasReader = false;
 	#wake: AbortController | undefined;
-	#pause = 0;
-	#isLost = false;
+	#delayMilliseconds = 0;
+	#isStoreUnavailable = false;
 
-	constructor(feed: TableFeed, plan: FeedPlan, reader: FeedReader, tools: FeedTools) {
-		this.name = `feed-${plan.table}`;
+	constructor(feed: TableFeed, options: FeedOptions, handler: FeedHandler, dependencies: FeedDependencies) {
+		this.name = `feed-${options.table}`;
 		this.#feed = feed;
-		this.#plan = plan;
-		this.#reader = reader;
-		this.#tools = tools;
-		this.#spreadMilliseconds = relaySpreadMilliseconds * tools.random();
+		this.#options = options;
+		this.#handler = handler;
+		this.#dependencies = dependencies;
+		this.#fallbackDelayMilliseconds = fallbackSpreadMilliseconds * dependencies.random();
 	}
 
 	/** Era and position up to which the table was read; absent before the first read. */
-	get place(): FeedPlace | undefined {
-		return this.#place;
+	get cursor(): FeedCursor | undefined {
+		return this.#cursor;
 	}
 
 	get table(): string {
-		return this.#plan.table;
+		return this.#options.table;
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
-		const {clock, random} = this.#tools;
+		const {clock, random} = this.#dependencies;
 		while (!signal.aborted) {
-			const relayMilliseconds = this.#relayLeft(clock.moment());
-			if (relayMilliseconds > 0) {
-				await this.#awaitRelay(relayMilliseconds, signal);
+			const remainingMilliseconds = this.#remainingRelayValidity(clock.moment());
+			if (remainingMilliseconds > 0) {
+				await this.#waitWhileRelayed(remainingMilliseconds, signal);
 				continue;
 			}
 
 			await this.step();
-			if (this.#pause > 0) {
-				await clock.sleep(this.#pause * (1 - (jitterShare * random())), signal);
+			if (this.#delayMilliseconds > 0) {
+				await clock.sleep(this.#delayMilliseconds * (1 - (jitterShare * random())), signal);
 			}
 		}
 	}
 
 	/** Makes one call to the store and applies its answer. */
 	async step(): Promise<void> {
-		const {clock} = this.#tools;
-		const {table} = this.#plan;
+		const {clock} = this.#dependencies;
+		const {table} = this.#options;
 		const sentAt = clock.moment();
-		const place = this.#place;
+		const cursor = this.#cursor;
 		this.#mustRead = false;
-		const answer = place === undefined
+		const answer = cursor === undefined
 			? await this.#feed.readSnapshot(table)
-			: await this.#feed.follow({table, after: place.position, waitMilliseconds: this.#nextWait()});
+			: await this.#feed.follow({table, after: cursor.position, waitMilliseconds: this.#nextWait()});
 		answer.caseOf({
 			Left: failure => {
-				this.#failed(failure);
+				this.#noteFailure(failure);
 			},
 			Right: (found: FeedAnswer) => {
-				this.#answered(found);
+				this.#noteAnswer(found);
 				this.#noteEra(found.era);
-				if (place === undefined) {
-					this.#takeWhole(found, sentAt);
+				if (cursor === undefined) {
+					this.#applySnapshot(found, sentAt);
 				} else {
-					this.#takeChanges(found, sentAt, 'live');
+					this.#applyChanges(found, sentAt, 'live');
 				}
 			},
 		});
@@ -146,49 +146,49 @@
 	/**
 	 * Applies an update that the reader relayed.
 	 *
-	 * @param news - The update of this table.
+	 * @param update - The update of this table.
 	 * @param askedAt - When the query was sent that it answers; the table is confirmed as of this time less the update's age.
 	 */
-	takeRelayed(news: FeedNews, askedAt: Moment): void {
-		if (news.failedMilliseconds !== undefined && news.failedMilliseconds < failureLifeMilliseconds) {
-			this.#reader.takeFailure(before(askedAt, news.failedMilliseconds));
+	applyUpdate(update: FeedUpdate, askedAt: Moment): void {
+		if (update.failedMilliseconds !== undefined && update.failedMilliseconds < maxFailureAgeMilliseconds) {
+			this.#handler.handleFailure(momentBefore(askedAt, update.failedMilliseconds));
 		}
 
-		if (this.#place?.era !== news.era || (news.rows === undefined && news.position > this.#place.position)) {
+		if (this.#cursor?.era !== update.era || (update.rows === undefined && update.position > this.#cursor.position)) {
 			this.#mustRead = true;
 			this.#wake?.abort();
 			return;
 		}
 
-		const provenAt = before(askedAt, news.ageMilliseconds);
-		if (this.#relayedAt === undefined || provenAt.steady > this.#relayedAt.steady) {
-			this.#relayedAt = provenAt;
+		const confirmedAt = momentBefore(askedAt, update.ageMilliseconds);
+		if (this.#relayConfirmedAt === undefined || confirmedAt.steady > this.#relayConfirmedAt.steady) {
+			this.#relayConfirmedAt = confirmedAt;
 		}
 
-		this.#takeChanges({...news, rows: news.rows ?? []}, provenAt, 'relayed');
+		this.#applyChanges({...update, rows: update.rows ?? []}, confirmedAt, 'relayed');
 	}
 
 	/** Returns the update for an instance with the given cursor; `undefined` while nothing is confirmed. */
-	newsFor({era, position}: FeedPlace): FeedNews | undefined {
-		const now = this.#tools.clock.moment();
-		if (this.#place === undefined || this.#provenAt === undefined || now.steady < this.#restoredUntil) {
+	updateFor({era, position}: FeedCursor): FeedUpdate | undefined {
+		const now = this.#dependencies.clock.moment();
+		if (this.#cursor === undefined || this.#confirmedAt === undefined || now.steady < this.#restoredUntil) {
 			return undefined;
 		}
 
-		const rows = era === this.#place.era ? this.#history.behind(position) : undefined;
+		const rows = era === this.#cursor.era ? this.#history.rowsAfter(position) : undefined;
 		return {
-			table: this.#plan.table,
-			...this.#place,
+			table: this.#options.table,
+			...this.#cursor,
 			...(rows === undefined ? {} : {rows}),
-			ageMilliseconds: longestElapsed(this.#provenAt, now),
+			ageMilliseconds: longestElapsed(this.#confirmedAt, now),
 			...(this.#failedAt === undefined ? {} : {failedMilliseconds: longestElapsed(this.#failedAt, now)}),
 		};
 	}
 
 	/** How long the next call may wait. A new reader's first call returns at once, since the others wait for a confirmation. */
 	#nextWait(): number {
-		const {waitMilliseconds, readerWaitMilliseconds} = this.#plan;
-		const isReader = this.#tools.isReader?.() ?? false;
+		const {waitMilliseconds, readerWaitMilliseconds} = this.#options;
+		const isReader = this.#dependencies.isReader?.() ?? false;
 		const isFirst = isReader && !this.#wasReader;
 		this.#wasReader = isReader;
 		if (!isReader) {
@@ -199,16 +199,16 @@
 	}
 
 	/** Milliseconds for which the latest relayed confirmation makes calls of this instance unnecessary. */
-	#relayLeft(now: Moment): number {
-		const isReader = this.#tools.isReader?.() ?? false;
-		return this.#mustRead || isReader || this.#relayedAt === undefined
+	#remainingRelayValidity(now: Moment): number {
+		const isReader = this.#dependencies.isReader?.() ?? false;
+		return this.#mustRead || isReader || this.#relayConfirmedAt === undefined
 			? 0
-			: this.#plan.relayLapseMilliseconds + this.#spreadMilliseconds - longestElapsed(this.#relayedAt, now);
+			: this.#options.maxRelayedAgeMilliseconds + this.#fallbackDelayMilliseconds - longestElapsed(this.#relayConfirmedAt, now);
 	}
 
 	/** Waits until the relayed confirmation is too old, the table has to be read, or the next check of this instance's role. */
-	async #awaitRelay(milliseconds: number, signal: AbortSignal): Promise<void> {
-		const longest = this.#tools.isStandby?.() ? standbyWaitMilliseconds : longestRelayWaitMilliseconds;
+	async #waitWhileRelayed(milliseconds: number, signal: AbortSignal): Promise<void> {
+		const longest = this.#dependencies.isStandby?.() ? standbyRoleCheckMilliseconds : roleCheckMilliseconds;
 		const wake = new AbortController();
 		this.#wake = wake;
 		const stop = (): void => {
@@ -216,32 +216,32 @@
 		};
 
 		signal.addEventListener('abort', stop, {once: true});
-		await this.#tools.clock.sleep(Math.min(milliseconds, longest), wake.signal);
+		await this.#dependencies.clock.sleep(Math.min(milliseconds, longest), wake.signal);
 		signal.removeEventListener('abort', stop);
 	}
 
-	#takeWhole({rows, position, era}: FeedAnswer, sentAt: Moment): void {
-		const now = this.#tools.clock.moment();
-		this.#place = {position, era};
-		this.#provenAt = sentAt;
-		this.#history.begin(position);
-		this.#reader.takeWhole(rows, sentAt, now, now.steady < this.#restoredUntil ? 'restored' : 'live');
+	#applySnapshot({rows, position, era}: FeedAnswer, sentAt: Moment): void {
+		const now = this.#dependencies.clock.moment();
+		this.#cursor = {position, era};
+		this.#confirmedAt = sentAt;
+		this.#history.reset(position);
+		this.#handler.handleSnapshot(rows, sentAt, now, now.steady < this.#restoredUntil ? 'restored' : 'live');
 	}
 
 	/** Skips rows that another source has already delivered, and all rows if the cursor was reset or is of another era. */
-	#takeChanges({rows, position, era}: FeedAnswer, provenAt: Moment, arrival: Arrival): void {
-		const known = this.#place;
-		if (known?.era !== era) {
+	#applyChanges({rows, position, era}: FeedAnswer, confirmedAt: Moment, arrival: Arrival): void {
+		const current = this.#cursor;
+		if (current?.era !== era) {
 			return;
 		}
 
-		const now = this.#tools.clock.moment();
-		const news = rows.filter(({revision}) => revision > known.position);
-		this.#place = {position: Math.max(known.position, position), era};
-		this.#provenAt = this.#provenAt === undefined || provenAt.steady > this.#provenAt.steady ? provenAt : this.#provenAt;
-		this.#history.add(news, this.#place.position, now.steady);
-		this.#pause = news.length > 0 ? batchMilliseconds : 0;
-		this.#reader.takeChanges(news, provenAt, now, now.steady < this.#restoredUntil ? 'restored' : arrival);
+		const now = this.#dependencies.clock.moment();
+		const newRows = rows.filter(({revision}) => revision > current.position);
+		this.#cursor = {position: Math.max(current.position, position), era};
+		this.#confirmedAt = this.#confirmedAt === undefined || confirmedAt.steady > this.#confirmedAt.steady ? confirmedAt : this.#confirmedAt;
+		this.#history.add(newRows, this.#cursor.position, now.steady);
+		this.#delayMilliseconds = newRows.length > 0 ? batchDelayMilliseconds : 0;
+		this.#handler.handleChanges(newRows, confirmedAt, now, now.steady < this.#restoredUntil ? 'restored' : arrival);
 	}
 
 	/**
@@ -255,41 +255,41 @@
 			return;
 		}
 
-		const now = this.#tools.clock.moment();
-		this.#place = undefined;
+		const now = this.#dependencies.clock.moment();
+		this.#cursor = undefined;
 		this.#restoredUntil = now.steady + reRegistrationMilliseconds;
-		this.#reader.takeFailure(now);
-		this.#tools.log.record('store-restored', {table: this.#plan.table, era, formerEra});
+		this.#handler.handleFailure(now);
+		this.#dependencies.log.record('store-restored', {table: this.#options.table, era, formerEra});
 	}
 
-	#answered({era}: FeedAnswer): void {
-		this.#pause = 0;
-		if (this.#isLost) {
-			this.#isLost = false;
-			this.#tools.log.record('dependency-regained', {dependency: 'store', table: this.#plan.table, era});
+	#noteAnswer({era}: FeedAnswer): void {
+		this.#delayMilliseconds = 0;
+		if (this.#isStoreUnavailable) {
+			this.#isStoreUnavailable = false;
+			this.#dependencies.log.record('dependency-regained', {dependency: 'store', table: this.#options.table, era});
 		}
 	}
 
-	#failed(failure: FeedFailure): void {
+	#noteFailure(failure: FeedFailure): void {
 		if (failure.kind === 'history-lost') {
-			this.#place = undefined;
-			this.#pause = 0;
-			this.#tools.log.record('dependency-lost', {dependency: 'store-history', table: this.#plan.table});
+			this.#cursor = undefined;
+			this.#delayMilliseconds = 0;
+			this.#dependencies.log.record('dependency-lost', {dependency: 'store-history', table: this.#options.table});
 			return;
 		}
 
-		this.#pause = Math.min(longestPauseMilliseconds, Math.max(firstPauseMilliseconds, this.#pause * 2));
-		this.#failedAt = this.#tools.clock.moment();
-		this.#reader.takeFailure(this.#failedAt);
-		if (!this.#isLost) {
-			this.#isLost = true;
-			this.#tools.log.record('dependency-lost', {
-				dependency: 'store', table: this.#plan.table, failure: failure.kind, detail: 'detail' in failure ? failure.detail : undefined,
+		this.#delayMilliseconds = Math.min(maxRetryDelayMilliseconds, Math.max(firstRetryDelayMilliseconds, this.#delayMilliseconds * 2));
+		this.#failedAt = this.#dependencies.clock.moment();
+		this.#handler.handleFailure(this.#failedAt);
+		if (!this.#isStoreUnavailable) {
+			this.#isStoreUnavailable = true;
+			this.#dependencies.log.record('dependency-lost', {
+				dependency: 'store', table: this.#options.table, failure: failure.kind, detail: 'detail' in failure ? failure.detail : undefined,
 			});
 		}
 	}
 }
 
-function before({steady, wall}: Moment, milliseconds: number): Moment {
+function momentBefore({steady, wall}: Moment, milliseconds: number): Moment {
 	return {steady: steady - milliseconds, wall: wall - milliseconds};
 }
--- a/src/gateway/watchers/feed-history.ts
+++ b/src/gateway/watchers/feed-history.ts
@@ -7,29 +7,29 @@
 import {type FeedRow} from '../../ports/table-feed.js';
 
 /** Other instances lag behind by some hundred milliseconds; one that was partitioned for longer reads the whole table. */
-const longestAgeMilliseconds = 15_000;
-const mostChanges = 1000;
+const maxAgeMilliseconds = 15_000;
+const maxChanges = 1000;
 /** Rows whose JSON is longer than this in total are not relayed. */
-const mostPassedOnCharacters = 32_768;
+const maxRelayedCharacters = 32_768;
 
 type Change = {
 	/** The position of the table after this change. */
 	position: number;
 	rows: readonly FeedRow[];
 	/** When it was received, in milliseconds of the steady clock. */
-	at: number;
+	receivedAt: number;
 	/** Length of its rows as JSON; computed on first use. */
 	characters?: number;
 };
 
 export class FeedHistory {
 	/** The history is complete after this position. */
-	#since = Number.POSITIVE_INFINITY;
+	#completeAfter = Number.POSITIVE_INFINITY;
 	#changes: Change[] = [];
 
 	/** Drops all changes, after the whole table was read as of a position. */
-	begin(position: number): void {
-		this.#since = position;
+	reset(position: number): void {
+		this.#completeAfter = position;
 		this.#changes = [];
 	}
 
@@ -45,9 +45,9 @@
 			return;
 		}
 
-		this.#changes.push({position, rows, at: now});
-		while (this.#changes.length > mostChanges || now - this.#changes[0]!.at > longestAgeMilliseconds) {
-			this.#since = this.#changes.shift()!.position;
+		this.#changes.push({position, rows, receivedAt: now});
+		while (this.#changes.length > maxChanges || now - this.#changes[0]!.receivedAt > maxAgeMilliseconds) {
+			this.#completeAfter = this.#changes.shift()!.position;
 		}
 	}
 
@@ -56,8 +56,8 @@
 	 *
 	 * @returns The rows; `undefined` if some are no longer held, or if they are too large to be relayed.
 	 */
-	behind(position: number): FeedRow[] | undefined {
-		if (position < this.#since) {
+	rowsAfter(position: number): FeedRow[] | undefined {
+		if (position < this.#completeAfter) {
 			return undefined;
 		}
 
@@ -68,6 +68,6 @@
 			characters += change.characters;
 		}
 
-		return characters > mostPassedOnCharacters ? undefined : changes.flatMap(({rows}) => rows).filter(({revision}) => revision > position);
+		return characters > maxRelayedCharacters ? undefined : changes.flatMap(({rows}) => rows).filter(({revision}) => revision > position);
 	}
 }
--- a/src/gateway/watchers/feed-news.ts
+++ b/src/gateway/watchers/feed-update.ts
@@ -12,23 +12,23 @@
  * Handles the rows that a follower receives. `sentAt` is the time as of which the rows are confirmed: when the call was
  * sent, or the query of a relayed update less its age. `now` is the time of their arrival.
  */
-export interface FeedReader {
+export interface FeedHandler {
 	/** Handles the whole table. */
-	takeWhole(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void;
+	handleSnapshot(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void;
 	/** Handles the changed rows, in order; there may be none. */
-	takeChanges(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void;
+	handleChanges(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void;
 	/** Handles a failed call to the store, of this instance or of the reader, or the finding that the store was restored. */
-	takeFailure(failedAt: Moment): void;
+	handleFailure(failedAt: Moment): void;
 }
 
 /** Up to where an instance has read a table; positions of two eras cannot be compared. */
-export type FeedPlace = {
+export type FeedCursor = {
 	era: number;
 	position: number;
 };
 
 /** What the reader relays to another instance about a table. */
-export type FeedNews = FeedPlace & {
+export type FeedUpdate = FeedCursor & {
 	table: string;
 	/** What changed after the other instance's cursor; absent where the other instance has to read the table itself. */
 	rows?: FeedRow[];
--- a/src/gateway/watchers/loading-engines.ts
+++ b/src/gateway/watchers/loading-engines.ts
@@ -6,17 +6,17 @@
 import {type Moment} from '../../ports/moment-clock.js';
 import {type LeaseRow} from '../../protocol/lease/leader-lease.js';
 import {weightsLeaseKey} from '../leadership/weights-lease.js';
-import {type FeedReader} from './feed-news.js';
+import {type FeedHandler} from './feed-update.js';
 
 /** A hint expires after this time: the holder may have failed before it could withdraw the hint. */
-const hintLifeMilliseconds = 4000;
+const maxHintAgeMilliseconds = 4000;
 /** A holder that has not renewed its lease for this long no longer leads; a successor follows one lease later at the earliest. */
-const holderLifeMilliseconds = 2000;
+const holderTimeoutMilliseconds = 2000;
 
-export class LoadingEngines implements FeedReader {
+export class LoadingEngines implements FeedHandler {
 	readonly #now: () => number;
 	#engines: ReadonlySet<string> = new Set();
-	#heardAt = Number.NEGATIVE_INFINITY;
+	#receivedAt = Number.NEGATIVE_INFINITY;
 
 	/** @param now - Returns milliseconds of the steady clock. */
 	constructor(now: () => number) {
@@ -25,28 +25,28 @@
 
 	/** The engines that load now. */
 	get current(): ReadonlySet<string> {
-		return this.#now() - this.#heardAt < hintLifeMilliseconds ? this.#engines : new Set();
+		return this.#now() - this.#receivedAt < maxHintAgeMilliseconds ? this.#engines : new Set();
 	}
 
 	/** Whether a holder of the lease has renewed it recently: it writes its row with each renewal. */
 	isHolderAlive(): boolean {
-		return this.#now() - this.#heardAt < holderLifeMilliseconds;
+		return this.#now() - this.#receivedAt < holderTimeoutMilliseconds;
 	}
 
-	takeWhole(rows: readonly FeedRow[], sentAt: Moment, now: Moment): void {
-		this.takeChanges(rows, sentAt, now);
+	handleSnapshot(rows: readonly FeedRow[], sentAt: Moment, now: Moment): void {
+		this.handleChanges(rows, sentAt, now);
 	}
 
-	takeChanges(rows: readonly FeedRow[], _sentAt: Moment, now: Moment): void {
+	handleChanges(rows: readonly FeedRow[], _sentAt: Moment, now: Moment): void {
 		for (const {key, content, isDeleted} of rows) {
 			if (key === weightsLeaseKey && !isDeleted && content !== undefined) {
 				this.#engines = new Set((content as LeaseRow).engines);
-				this.#heardAt = now.steady;
+				this.#receivedAt = now.steady;
 			}
 		}
 	}
 
-	takeFailure(): void {
+	handleFailure(): void {
 		// A missing hint costs one rejected attempt; nothing has to be done.
 	}
 }
--- a/src/gateway/watchers/operator-reader.test.ts
+++ b/src/gateway/watchers/operator-feed-handler.test.ts
@@ -8,8 +8,8 @@
 import {ConfigurationView} from '../configuration/configuration-view.js';
 import {testConfiguration} from '../testing/test-configuration.js';
 import {WeightTargets} from '../weights/weight-targets.js';
-import {type Catalog} from './catalog.js';
-import {OperatorReader} from './operator-reader.js';
+import {type StoreSchema} from './store-schema.js';
+import {OperatorFeedHandler} from './operator-feed-handler.js';
 
 const boundMilliseconds = 6000;
 const at = (milliseconds: number): Moment => ({steady: milliseconds, wall: milliseconds});
@@ -18,9 +18,9 @@
 });
 
 /** A handler, and the milliseconds left for switching to the named weights at a time. */
-function readerOfWeights() {
-	const goals = new WeightTargets(boundMilliseconds);
-	const catalog: Catalog = {
+function handlerOfWeights() {
+	const targets = new WeightTargets(boundMilliseconds);
+	const schema: StoreSchema = {
 		operatorTable: 'operators',
 		endpointTable: 'endpoints',
 		readOperatorRow: (_key, content) => Right({kind: 'weights', weights: {model: 'lease', version: content as number}}),
@@ -29,16 +29,16 @@
 		},
 	};
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
-	const reader = new OperatorReader({
+	const reader = new OperatorFeedHandler({
 		configuration: new ConfigurationView({freshMilliseconds: 1000, leaseMilliseconds: 1000}), log, metrics: new GatewayMetrics(),
-	}, catalog, goals);
-	return {reader, leftAt: (now: Moment): number => goals.remainingMilliseconds(goals.targetFor('lease')!, now)};
+	}, schema, targets);
+	return {reader, leftAt: (now: Moment): number => targets.remainingMilliseconds(targets.targetFor('lease')!, now)};
 }
 
 test('weights that arrive while the feed is followed count as named on arrival', () => {
-	const {reader, leftAt} = readerOfWeights();
-	reader.takeWhole([], at(0), at(5), 'live');
-	reader.takeChanges([rowOf(2)], at(5), at(1800), 'live');
+	const {reader, leftAt} = handlerOfWeights();
+	reader.handleSnapshot([], at(0), at(5), 'live');
+	reader.handleChanges([rowOf(2)], at(5), at(1800), 'live');
 	assert.equal(leftAt(at(1800)), boundMilliseconds);
 	assert.equal(leftAt(at(4800)), 3000);
 });
@@ -46,27 +46,27 @@
 test('weights that a process finds when it starts may have been named at any time', () => {
 	// An instance restarts seconds after weights were named. If it counted from its own read, it would send requests to engines
 	// with the old weights long after the time granted for them.
-	const {reader, leftAt} = readerOfWeights();
-	reader.takeWhole([rowOf(2)], at(0), at(5), 'live');
+	const {reader, leftAt} = handlerOfWeights();
+	reader.handleSnapshot([rowOf(2)], at(0), at(5), 'live');
 	assert.equal(leftAt(at(5)), 0);
 });
 
 test('weights that arrive after failed calls may have been named at any time since the last answered call', () => {
 	// The store refused the instance's calls for four seconds, and weights were named meanwhile.
-	const {reader, leftAt} = readerOfWeights();
-	reader.takeWhole([], at(0), at(5), 'live');
-	reader.takeChanges([], at(1000), at(3000), 'live');
-	reader.takeFailure();
-	reader.takeChanges([rowOf(2)], at(7000), at(7010), 'live');
+	const {reader, leftAt} = handlerOfWeights();
+	reader.handleSnapshot([], at(0), at(5), 'live');
+	reader.handleChanges([], at(1000), at(3000), 'live');
+	reader.handleFailure();
+	reader.handleChanges([rowOf(2)], at(7000), at(7010), 'live');
 	assert.equal(leftAt(at(7010)), boundMilliseconds - 6010);
 });
 
 test('relayed weights may have been named at any time since the last confirmation', () => {
 	// Guards against older weights that are served for longer than granted: a relayed update takes a while to arrive.
-	const {reader, leftAt} = readerOfWeights();
-	reader.takeWhole([], at(0), at(5), 'live');
-	reader.takeChanges([], at(900), at(1000), 'relayed');
-	reader.takeChanges([rowOf(2)], at(1400), at(1800), 'relayed');
+	const {reader, leftAt} = handlerOfWeights();
+	reader.handleSnapshot([], at(0), at(5), 'live');
+	reader.handleChanges([], at(900), at(1000), 'relayed');
+	reader.handleChanges([rowOf(2)], at(1400), at(1800), 'relayed');
 	assert.equal(leftAt(at(1800)), boundMilliseconds - 900);
 });
 
@@ -74,7 +74,7 @@
 	// Guards against a revoked key that is still accepted: the configuration that revoked it has not been rewritten yet.
 	const configuration = new ConfigurationView({freshMilliseconds: 1000, leaseMilliseconds: 2000});
 	configuration.offer(testConfiguration({version: 7}));
-	const reader = new OperatorReader({
+	const reader = new OperatorFeedHandler({
 		configuration, log: new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now), metrics: new GatewayMetrics(),
 	}, {
 		operatorTable: 'operators',
@@ -84,10 +84,10 @@
 			throw new Error('not read here');
 		},
 	}, new WeightTargets(boundMilliseconds));
-	reader.takeChanges([], at(1000), at(1000), 'live');
-	reader.takeWhole([rowOf(6)], at(2500), at(2500), 'restored');
+	reader.handleChanges([], at(1000), at(1000), 'live');
+	reader.handleSnapshot([rowOf(6)], at(2500), at(2500), 'restored');
 	assert.equal(configuration.current?.version, 7);
-	assert.equal(configuration.trustAt(at(2900)), 'ageing');
-	reader.takeChanges([], at(4000), at(4000), 'live');
-	assert.equal(configuration.trustAt(at(4100)), 'fresh');
+	assert.equal(configuration.validityAt(at(2900)), 'ageing');
+	reader.handleChanges([], at(4000), at(4000), 'live');
+	assert.equal(configuration.validityAt(at(4100)), 'fresh');
 });
--- a/src/gateway/watchers/operator-reader.ts
+++ b/src/gateway/watchers/operator-feed-handler.ts
@@ -3,32 +3,32 @@
 import {type FeedRow} from '../../ports/table-feed.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {type WeightTargets} from '../weights/weight-targets.js';
-import {type Catalog} from './catalog.js';
-import {type Arrival, type FeedReader} from './feed-news.js';
+import {type StoreSchema} from './store-schema.js';
+import {type Arrival, type FeedHandler} from './feed-update.js';
 
-export class OperatorReader implements FeedReader {
+export class OperatorFeedHandler implements FeedHandler {
 	readonly #context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>;
-	readonly #catalog: Catalog;
-	readonly #goals: WeightTargets;
+	readonly #schema: StoreSchema;
+	readonly #targets: WeightTargets;
 	/** As of when the table was last confirmed; rows that arrive after that confirmation were written after this time. */
-	#provenAt: Moment | undefined;
+	#confirmedAt: Moment | undefined;
 	/** Whether the feed has been followed without a gap, so that rows arrive as they are written. */
 	#isFollowing = false;
 
-	constructor(context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>, catalog: Catalog, goals: WeightTargets) {
+	constructor(context: Pick<GatewayContext, 'configuration' | 'log' | 'metrics'>, schema: StoreSchema, targets: WeightTargets) {
 		this.#context = context;
-		this.#catalog = catalog;
-		this.#goals = goals;
+		this.#schema = schema;
+		this.#targets = targets;
 	}
 
-	takeWhole(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void {
+	handleSnapshot(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void {
 		this.#isFollowing = false;
-		this.takeChanges(rows, sentAt, now, arrival);
+		this.handleChanges(rows, sentAt, now, arrival);
 	}
 
-	takeChanges(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void {
+	handleChanges(rows: readonly FeedRow[], sentAt: Moment, now: Moment, arrival: Arrival): void {
 		for (const row of rows) {
-			this.#take(row, sentAt, now, arrival);
+			this.#applyRow(row, sentAt, now, arrival);
 		}
 
 		if (arrival === 'restored') {
@@ -39,22 +39,22 @@
 
 		this.#isFollowing = true;
 		this.#context.configuration.confirm(sentAt);
-		if (this.#provenAt === undefined || sentAt.steady > this.#provenAt.steady) {
-			this.#provenAt = sentAt;
+		if (this.#confirmedAt === undefined || sentAt.steady > this.#confirmedAt.steady) {
+			this.#confirmedAt = sentAt;
 		}
 	}
 
-	takeFailure(): void {
+	handleFailure(): void {
 		// The lease on the configuration expires without further action.
 		this.#isFollowing = false;
 	}
 
-	#take({key, content, isDeleted}: FeedRow, sentAt: Moment, now: Moment, arrival: Arrival): void {
+	#applyRow({key, content, isDeleted}: FeedRow, sentAt: Moment, now: Moment, arrival: Arrival): void {
 		if (isDeleted) {
 			return;
 		}
 
-		this.#catalog.readOperatorRow(key, content).caseOf({
+		this.#schema.readOperatorRow(key, content).caseOf({
 			Left: findings => {
 				this.#context.log.record('configuration-refused', {row: key, findings});
 			},
@@ -66,7 +66,7 @@
 					this.#context.log.record('configuration-taken', {
 						version, isTaken, routes: routes.length, readMilliseconds: Math.round(now.steady - sentAt.steady),
 					});
-				} else if (row.kind === 'weights' && this.#goals.add(row.weights, {observedAt: now, namedNotBefore: this.#isFollowing && arrival === 'live' ? now : this.#provenAt})) {
+				} else if (row.kind === 'weights' && this.#targets.add(row.weights, {observedAt: now, namedNotBefore: this.#isFollowing && arrival === 'live' ? now : this.#confirmedAt})) {
 					this.#context.log.record('weights-named', {...row.weights, isFollowing: this.#isFollowing, arrival});
 				}
 			},
--- a/src/gateway/watchers/catalog.ts
+++ b/src/gateway/watchers/store-schema.ts
@@ -17,7 +17,7 @@
 		| {kind: 'other'};
 
 /** The names of the tables, and decoders for their rows. A `Left` lists everything that is wrong with a row. */
-export interface Catalog {
+export interface StoreSchema {
 	readonly operatorTable: string;
 	readonly endpointTable: string;
 	readOperatorRow(key: string, content: JsonValue | undefined): Either<string[], OperatorRow>;
--- a/src/gateway/watchers/table-feeds.ts
+++ b/src/gateway/watchers/table-feeds.ts
@@ -4,22 +4,22 @@
 import {weightsLeaseTable} from '../leadership/weights-lease.js';
 import {type GatewayContext} from '../gateway-context.js';
 import {type GatewayTimings} from '../gateway-settings.js';
-import {type Catalog} from './catalog.js';
-import {EndpointReader} from './endpoint-reader.js';
+import {type StoreSchema} from './store-schema.js';
+import {EndpointFeedHandler} from './endpoint-feed-handler.js';
 import {FeedFollower} from './feed-follower.js';
-import {type FeedNews, type FeedPlace} from './feed-news.js';
-import {OperatorReader} from './operator-reader.js';
+import {type FeedUpdate, type FeedCursor} from './feed-update.js';
+import {OperatorFeedHandler} from './operator-feed-handler.js';
 
 /** Hints may be late, so the calls of a feed that carries only hints wait long; this keeps their number small. */
 const hintWaitMilliseconds = 20_000;
 /** The same for the reader. */
-const relayedHintWaitMilliseconds = 1000;
+const readerHintWaitMilliseconds = 1000;
 /** An instance that has received no relayed hints for this long calls the store for them itself. */
-const hintLapseMilliseconds = 4000;
+const maxRelayedHintAgeMilliseconds = 4000;
 
-export type TableFeedTools = {
+export type TableFeedDependencies = {
 	store: TableFeed;
-	catalog: Catalog;
+	storeSchema: StoreSchema;
 	clock: MomentClock;
 	random: () => number;
 	/** Whether this instance is the reader, which calls the store for the others. */
@@ -34,39 +34,39 @@
 	readonly followers: readonly FeedFollower[];
 
 	constructor(context: FeedContext, {
-		store, catalog, clock, random, isReader, isStandby,
-	}: TableFeedTools, timings: GatewayTimings) {
-		const {feedWaitMilliseconds: waitMilliseconds, readerWaitMilliseconds, relayLapseMilliseconds} = timings;
-		const waits = {waitMilliseconds, readerWaitMilliseconds, relayLapseMilliseconds};
-		const hintWaits = {waitMilliseconds: hintWaitMilliseconds, readerWaitMilliseconds: relayedHintWaitMilliseconds, relayLapseMilliseconds: hintLapseMilliseconds};
-		const tools = {
+		store, storeSchema: schema, clock, random, isReader, isStandby,
+	}: TableFeedDependencies, timings: GatewayTimings) {
+		const {feedWaitMilliseconds: waitMilliseconds, readerWaitMilliseconds, maxRelayedAgeMilliseconds: maxRelayedAgeMilliseconds} = timings;
+		const waits = {waitMilliseconds, readerWaitMilliseconds, maxRelayedAgeMilliseconds: maxRelayedAgeMilliseconds};
+		const hintWaits = {waitMilliseconds: hintWaitMilliseconds, readerWaitMilliseconds: readerHintWaitMilliseconds, maxRelayedAgeMilliseconds: maxRelayedHintAgeMilliseconds};
+		const dependencies = {
 			clock, random, isReader, isStandby, log: context.log,
 		};
 		this.followers = [
-			new FeedFollower(store, {table: catalog.operatorTable, ...waits}, new OperatorReader(context, catalog, context.goals), tools),
-			new FeedFollower(store, {table: catalog.endpointTable, ...waits}, new EndpointReader(context, catalog), tools),
-			new FeedFollower(store, {table: weightsLeaseTable, ...hintWaits}, context.loadingEngines, tools),
+			new FeedFollower(store, {table: schema.operatorTable, ...waits}, new OperatorFeedHandler(context, schema, context.goals), dependencies),
+			new FeedFollower(store, {table: schema.endpointTable, ...waits}, new EndpointFeedHandler(context, schema), dependencies),
+			new FeedFollower(store, {table: weightsLeaseTable, ...hintWaits}, context.loadingEngines, dependencies),
 		];
 	}
 
 	/** The cursors of this instance by table, without the tables that it has not read yet. */
-	places(): Record<string, FeedPlace> {
-		return Object.fromEntries(this.followers.flatMap(({table, place}) => place === undefined ? [] : [[table, place]]));
+	cursors(): Record<string, FeedCursor> {
+		return Object.fromEntries(this.followers.flatMap(({table, cursor: cursor}) => cursor === undefined ? [] : [[table, cursor]]));
 	}
 
 	/** Returns the updates for an instance with the given cursors. */
-	newsFor(places: Record<string, FeedPlace>): FeedNews[] {
+	updatesFor(cursors: Record<string, FeedCursor>): FeedUpdate[] {
 		return this.followers.flatMap(follower => {
-			const place = places[follower.table];
-			const news = place === undefined ? undefined : follower.newsFor(place);
-			return news === undefined ? [] : [news];
+			const cursor = cursors[follower.table];
+			const update = cursor === undefined ? undefined : follower.updateFor(cursor);
+			return update === undefined ? [] : [update];
 		});
 	}
 
 	/** Applies the updates that another instance sent in answer to a query of `askedAt`. */
-	takeNews(news: readonly FeedNews[], askedAt: Moment): void {
-		for (const one of news) {
-			this.followers.find(({table}) => table === one.table)?.takeRelayed(one, askedAt);
+	applyUpdates(updates: readonly FeedUpdate[], askedAt: Moment): void {
+		for (const update of updates) {
+			this.followers.find(({table}) => table === update.table)?.applyUpdate(update, askedAt);
 		}
 	}
 }
--- a/src/gateway/weights/weight-rollout.test.ts
+++ b/src/gateway/weights/weight-rollout.test.ts
@@ -113,7 +113,7 @@
 		revision = row?.revision ?? 0;
 		for (const {instance, coordinator: rollout, loadingEngines} of rollouts) {
 			if (hasChanged) {
-				loadingEngines.takeChanges([{
+				loadingEngines.handleChanges([{
 					key: weightsLeaseKey, content: row.value, isDeleted: false, revision,
 				}], clock.moment(), clock.moment());
 			}
--- a/src/gateway/weights/weight-targets.ts
+++ b/src/gateway/weights/weight-targets.ts
@@ -1,6 +1,6 @@
 /** The weights that models are to be served with, and since when. */
 import {longestElapsed, type Moment} from '../../ports/moment-clock.js';
-import {type NamedWeights} from '../watchers/catalog.js';
+import {type NamedWeights} from '../watchers/store-schema.js';
 
 /** When weights were named, as far as an instance can tell. */
 export type NamingTime = {
--- a/src/peer/configuration/configuration-fanout.ts
+++ b/src/peer/configuration/configuration-fanout.ts
@@ -16,54 +16,54 @@
 export type FanoutMode = 'announce' | 'push';
 
 /** The configuration in force, as the fan-out reads and changes it. */
-export interface ConfigurationKeeper {
+export interface ReplicatedConfiguration {
 	readonly state: ConfigurationState;
 	/** Brings a change into force. Returns why the change does not follow the present state, or `undefined` on success. */
 	offerChange(change: ConfigurationChange): ApplyFailure | undefined;
 }
 
 /** Changes retained for peers: about an hour at 0.27 changes a second, and about 0.6 MB at 600 bytes each. */
-export const keptChanges = 1024;
+export const maxRetainedChanges = 1024;
 
 /** Maximum number of changes in one message, which keeps a frame far under its limit. */
 export const changesPerMessage = 64;
 
 /** The maximum random delay before a query. */
-export const askBackoffMilliseconds = 20;
+export const queryBackoffMilliseconds = 20;
 
 /** Time without an answer after which another peer is queried: many round trips within a data centre. */
-export const askTimeoutMilliseconds = 100;
+export const queryTimeoutMilliseconds = 100;
 
 /** How long a peer that sent a damaged change is not queried. */
-export const distrustMilliseconds = 30_000;
+export const exclusionMilliseconds = 30_000;
 
 export class ConfigurationFanout {
 	/** Counts for measurements: queries sent, changes that were already in force, changes whose digest was wrong. */
-	readonly counts = {asks: 0, duplicates: 0, damaged: 0};
+	readonly counts = {queries: 0, duplicates: 0, damaged: 0};
 	/** When `tick` has to be called; infinite if no change is missing. */
 	dueAt = Number.POSITIVE_INFINITY;
-	readonly #keeper: ConfigurationKeeper;
+	readonly #configuration: ReplicatedConfiguration;
 	readonly #random: () => number;
 	readonly #backoffMilliseconds: number;
 	readonly #announced = new Map<string, number>();
-	readonly #distrustedUntil = new Map<string, number>();
-	#isAskOpen = false;
-	#kept: ConfigurationChange[] = [];
+	readonly #excludedUntil = new Map<string, number>();
+	#isQueryOpen = false;
+	#retained: ConfigurationChange[] = [];
 
 	/**
-	 * @param keeper - The configuration in force.
+	 * @param configuration - The configuration in force.
 	 * @param random - Returns numbers from 0 up to 1, from a seeded generator.
 	 * @param backoffMilliseconds - The maximum random delay before a query.
 	 */
-	constructor(keeper: ConfigurationKeeper, random: () => number, backoffMilliseconds = askBackoffMilliseconds) {
-		this.#keeper = keeper;
+	constructor(configuration: ReplicatedConfiguration, random: () => number, backoffMilliseconds = queryBackoffMilliseconds) {
+		this.#configuration = configuration;
 		this.#random = random;
 		this.#backoffMilliseconds = backoffMilliseconds;
 	}
 
 	/** Retains a change that came into force here, from any source, for peers that query it. */
-	keep(change: ConfigurationChange): void {
-		this.#kept = [...this.#kept.slice(1 - keptChanges), change];
+	retain(change: ConfigurationChange): void {
+		this.#retained = [...this.#retained.slice(1 - maxRetainedChanges), change];
 	}
 
 	/** Removes the state of a peer whose link ended. */
@@ -77,10 +77,10 @@
 	}
 
 	/** Handles the version that a peer announces. */
-	takeAnnouncement(peer: string, version: number, now: number): void {
+	handleAnnouncement(peer: string, version: number, now: number): void {
 		this.#announced.set(peer, Math.max(version, this.announcedBy(peer)));
 		// While a query is open, another peer's announcement must not cause a second one for the same changes.
-		if (version > this.#keeper.state.version && !this.#isAskOpen) {
+		if (version > this.#configuration.state.version && !this.#isQueryOpen) {
 			this.dueAt = Math.min(this.dueAt, now + (this.#random() * this.#backoffMilliseconds));
 		}
 	}
@@ -90,39 +90,39 @@
 	 *
 	 * @returns The changes that came into force, oldest first.
 	 */
-	takeChanges(peer: string, changes: readonly ConfigurationChange[], now: number): ConfigurationChange[] {
+	applyChanges(peer: string, changes: readonly ConfigurationChange[], now: number): ConfigurationChange[] {
 		const applied: ConfigurationChange[] = [];
 		for (const change of changes) {
-			const failure = this.#keeper.offerChange(change);
+			const failure = this.#configuration.offerChange(change);
 			if (failure === undefined) {
 				applied.push(change);
 			} else if (failure.kind === 'old') {
 				this.counts.duplicates++;
 			} else if (failure.kind === 'wrong-digest') {
 				this.counts.damaged++;
-				this.#distrustedUntil.set(peer, now + distrustMilliseconds);
+				this.#excludedUntil.set(peer, now + exclusionMilliseconds);
 				break;
 			}
 		}
 
 		const last = changes.at(-1);
-		if (last !== undefined && !this.#isDistrusted(peer, now)) {
-			this.takeAnnouncement(peer, last.version, now);
+		if (last !== undefined && !this.#isExcluded(peer, now)) {
+			this.handleAnnouncement(peer, last.version, now);
 		}
 
-		this.#isAskOpen = false;
+		this.#isQueryOpen = false;
 		this.dueAt = this.#isBehind() ? now + (this.#random() * this.#backoffMilliseconds) : Number.POSITIVE_INFINITY;
 		return applied;
 	}
 
 	/** Answers a query for the changes after a version: with changes if they are still retained, otherwise with a snapshot. */
 	answer(after: number): PeerMessage | undefined {
-		const {state} = this.#keeper;
+		const {state} = this.#configuration;
 		if (after >= state.version) {
 			return undefined;
 		}
 
-		const changes = this.#kept.filter(({version}) => version > after).slice(0, changesPerMessage);
+		const changes = this.#retained.filter(({version}) => version > after).slice(0, changesPerMessage);
 		return changes[0]?.version === after + 1 ? {kind: 'changes', changes} : {kind: 'snapshot', snapshot: snapshotOf(state)};
 	}
 
@@ -137,29 +137,29 @@
 			return undefined;
 		}
 
-		this.#isAskOpen = false;
+		this.#isQueryOpen = false;
 
-		const {version} = this.#keeper.state;
+		const {version} = this.#configuration.state;
 		const ahead = [...this.#announced]
-			.filter(([peer, announced]) => announced > version && !this.#isDistrusted(peer, now))
+			.filter(([peer, announced]) => announced > version && !this.#isExcluded(peer, now))
 			.map(([peer]) => peer);
 		const peer = ahead[Math.floor(this.#random() * ahead.length)];
 		if (peer === undefined) {
-			this.dueAt = this.#isBehind() ? now + askTimeoutMilliseconds : Number.POSITIVE_INFINITY;
+			this.dueAt = this.#isBehind() ? now + queryTimeoutMilliseconds : Number.POSITIVE_INFINITY;
 			return undefined;
 		}
 
-		this.counts.asks++;
-		this.#isAskOpen = true;
-		this.dueAt = now + (askTimeoutMilliseconds * (1 + this.#random()));
+		this.counts.queries++;
+		this.#isQueryOpen = true;
+		this.dueAt = now + (queryTimeoutMilliseconds * (1 + this.#random()));
 		return {peer, after: version};
 	}
 
 	#isBehind(): boolean {
-		return [...this.#announced.values()].some(announced => announced > this.#keeper.state.version);
+		return [...this.#announced.values()].some(announced => announced > this.#configuration.state.version);
 	}
 
-	#isDistrusted(peer: string, now: number): boolean {
-		return (this.#distrustedUntil.get(peer) ?? 0) > now;
+	#isExcluded(peer: string, now: number): boolean {
+		return (this.#excludedUntil.get(peer) ?? 0) > now;
 	}
 }
--- a/src/peer/link/peer-link.ts
+++ b/src/peer/link/peer-link.ts
@@ -7,7 +7,7 @@
 import {type Socket} from 'node:net';
 import {createMessageReader, encodeMessage} from '../message/message-codec.js';
 import {
-	type Hello, type MemberRumour, negotiatedVersion, type PeerMessage, peerMessageKinds, type VersionRange,
+	type Hello, type MemberUpdate, negotiateVersion, type PeerMessage, peerMessageKinds, type VersionRange,
 } from '../message/peer-message.js';
 
 /** Maximum number of bytes queued in a connection. A peer that reads nothing costs no more memory than this. */
@@ -31,7 +31,7 @@
 	readonly versions: VersionRange;
 	/** The same on all instances; a process that does not know it is not accepted as a peer. */
 	readonly secret: string;
-	self(): MemberRumour;
+	self(): MemberUpdate;
 	linkReady(link: PeerLink): void;
 	linkMessage(link: PeerLink, message: PeerMessage): void;
 	linkClosed(link: PeerLink, reason: string): void;
@@ -39,7 +39,7 @@
 
 export class PeerLink {
 	/** The peer as its hello describes it; undefined until it has proved that it knows the secret. */
-	peer: MemberRumour | undefined;
+	peer: MemberUpdate | undefined;
 	/** The negotiated protocol version; 0 until the hello. */
 	version = 0;
 	readonly dialled: boolean;
@@ -71,7 +71,7 @@
 			this.close('timed out before the proof');
 		}, helloTimeoutMilliseconds);
 		socket.on('data', bytes => {
-			this.#take(bytes);
+			this.#handleBytes(bytes);
 		});
 		socket.on('error', error => {
 			this.#closeReason = String(error);
@@ -82,10 +82,10 @@
 		});
 		if (dialled) {
 			socket.on('connect', () => {
-				this.#sayHello();
+				this.#sendHello();
 			});
 		} else {
-			this.#sayHello();
+			this.#sendHello();
 		}
 	}
 
@@ -118,28 +118,28 @@
 		this.#socket.end();
 	}
 
-	#sayHello(): void {
+	#sendHello(): void {
 		this.send({
 			kind: 'hello', versions: this.#owner.versions, from: this.#owner.self(), challenge: this.#challenge,
 		});
 	}
 
-	#take(bytes: Buffer): void {
+	#handleBytes(bytes: Buffer): void {
 		this.#counts.bytesIn += bytes.length;
 		this.#reader.read(bytes).caseOf({
 			Left: error => {
 				this.close(`broken frame: ${error.kind}`);
 			},
 			Right: values => {
-				this.#takeAll(values);
+				this.#handleMessages(values);
 			},
 		});
 	}
 
-	#takeAll(values: readonly unknown[]): void {
+	#handleMessages(values: readonly unknown[]): void {
 		try {
 			for (const value of values) {
-				this.#takeMessage(value);
+				this.#handleMessage(value);
 			}
 		} catch (error) {
 			// A message of a faulty release, with missing members or members of another type, would otherwise crash the process
@@ -148,7 +148,7 @@
 		}
 	}
 
-	#takeMessage(value: unknown): void {
+	#handleMessage(value: unknown): void {
 		this.#counts.messagesIn++;
 		this.received++;
 		const kind = typeof value === 'object' && value !== null && 'kind' in value ? String(value.kind) : '';
@@ -160,9 +160,9 @@
 
 		const message = value as PeerMessage;
 		if (message.kind === 'hello') {
-			this.#takeHello(message);
+			this.#handleHello(message);
 		} else if (message.kind === 'proof') {
-			this.#takeProof(message.digest);
+			this.#verifyProof(message.digest);
 		} else if (this.peer === undefined) {
 			this.close('message before the proof of the shared secret');
 		} else {
@@ -170,8 +170,8 @@
 		}
 	}
 
-	#takeHello(hello: Hello): void {
-		const version = negotiatedVersion(this.#owner.versions, hello.versions);
+	#handleHello(hello: Hello): void {
+		const version = negotiateVersion(this.#owner.versions, hello.versions);
 		if (version === undefined) {
 			this.close(`no common protocol version: peer speaks ${hello.versions.least} to ${hello.versions.newest}`);
 			return;
@@ -186,7 +186,7 @@
 	 * Checks the peer's proof. Peers supply the configuration, so without it any process that can connect could bring its own
 	 * configuration into force. The proof covers this side's challenge, so that a proof recorded on another link is useless.
 	 */
-	#takeProof(digest: string): void {
+	#verifyProof(digest: string): void {
 		const hello = this.#hello;
 		if (hello === undefined || digest !== this.#proofOf(hello.from.name, this.#challenge)) {
 			this.close('wrong proof of the shared secret');
--- a/src/peer/link/peer-service.test.ts
+++ b/src/peer/link/peer-service.test.ts
@@ -10,16 +10,16 @@
 import {VirtualKeeper} from '../../bench/virtual-peers.js';
 import {encodeFrame, frameLimitBytes} from '../framing/frame-codec.js';
 import {createMessageReader, encodeMessage} from '../message/message-codec.js';
-import {type Hello, spokenVersions, type VersionRange} from '../message/peer-message.js';
+import {type Hello, supportedVersions, type VersionRange} from '../message/peer-message.js';
 import {seededRandom} from '../random/seeded-random.js';
 import {helloTimeoutMilliseconds} from './peer-link.js';
 import {PeerService} from './peer-service.js';
 
-const usualSecret = 'secret of the test';
+const sharedSecret = 'secret of the test';
 const stepMilliseconds = 10;
 const limitMilliseconds = 10_000;
 
-class Running {
+class RunningPeer {
 	readonly keeper = new VirtualKeeper(() => Date.now());
 	readonly closed: string[] = [];
 	readonly service: PeerService;
@@ -27,14 +27,14 @@
 	readonly #stop = new AbortController();
 	#ended: Promise<void> = Promise.resolve();
 
-	constructor(readonly name: string, versions: VersionRange = spokenVersions, seeds: string[] = [], secret = usualSecret) {
+	constructor(readonly name: string, versions: VersionRange = supportedVersions, seeds: string[] = [], secret = sharedSecret) {
 		this.service = new PeerService({
-			instance: name, dataCentre: 'split', listenAddress: '127.0.0.1:0', clock: systemClock, secret, versions, seeds, keeper: this.keeper, random: seededRandom(7), fanoutMode: 'announce',
+			instance: name, dataCentre: 'split', listenAddress: '127.0.0.1:0', clock: systemClock, secret, versions, seeds, configuration: this.keeper, random: seededRandom(7), fanoutMode: 'announce',
 			listener: {
-				loadsLearned: () => undefined,
+				loadsReceived: () => undefined,
 				snapshotOffered: () => false,
 				memberChanged: () => undefined,
-				endpointsShared: () => undefined,
+				ownershipChanged: () => undefined,
 			},
 			onLinkClosed: (_peer, reason) => {
 				this.closed.push(reason);
@@ -60,7 +60,7 @@
 	}
 }
 
-async function until(holds: () => boolean): Promise<void> {
+async function waitUntil(holds: () => boolean): Promise<void> {
 	const end = Date.now() + limitMilliseconds;
 	while (!holds()) {
 		assert.ok(Date.now() < end, 'timed out while waiting for a condition');
@@ -69,7 +69,7 @@
 }
 
 /** Connects as the peer `b` and sends its hello and proof; reads nothing after that. */
-async function connectAsPeer(one: Running): Promise<Socket> {
+async function connectAsPeer(one: RunningPeer): Promise<Socket> {
 	const socket = connect({host: '127.0.0.1', port: Number(one.address.split(':')[1])});
 	socket.write(encodeMessage({
 		kind: 'hello', versions: {least: 1, newest: 1}, challenge: '', from: {
@@ -78,42 +78,42 @@
 	}));
 	const [bytes] = await once(socket, 'data') as [Buffer];
 	const [hello] = createMessageReader().read(bytes).unsafeCoerce() as [Hello];
-	const digest = createHmac('sha256', usualSecret).update(`peer-link|b|${hello.challenge}`).digest('hex');
+	const digest = createHmac('sha256', sharedSecret).update(`peer-link|b|${hello.challenge}`).digest('hex');
 	socket.write(encodeMessage({kind: 'proof', digest}));
 	return socket;
 }
 
-async function together(running: readonly Running[]): Promise<void> {
+async function startTogether(running: readonly RunningPeer[]): Promise<void> {
 	await Promise.all(running.map(async one => one.start()));
 	for (const {service} of running) {
-		service.takeList(running.map(one => one.listed()));
+		service.applyList(running.map(one => one.listed()));
 	}
 }
 
 test('two releases side by side use the older protocol version and exchange a change', async () => {
-	const old = new Running('a', {least: 1, newest: 1});
-	const later = new Running('b', {least: 1, newest: 2});
-	await together([old, later]);
-	await until(() => old.service.linked.length === 1 && later.service.linked.length === 1);
+	const old = new RunningPeer('a', {least: 1, newest: 1});
+	const later = new RunningPeer('b', {least: 1, newest: 2});
+	await startTogether([old, later]);
+	await waitUntil(() => old.service.linked.length === 1 && later.service.linked.length === 1);
 	const change = changeOf(old.keeper.state, 1);
 	old.keeper.offerChange(change);
-	old.service.changeInForce(change);
-	await until(() => later.keeper.state.version === 1);
+	old.service.announceChange(change);
+	await waitUntil(() => later.keeper.state.version === 1);
 	await Promise.all([old.stop(), later.stop()]);
 });
 
 test('releases without a common protocol version do not link', async () => {
 	// Neither may misinterpret the other's messages. Each goes on separately and reads changes from the table.
-	const old = new Running('a', {least: 1, newest: 1});
-	const later = new Running('b', {least: 2, newest: 3});
-	await together([old, later]);
-	await until(() => old.service.counts.messagesIn > 1 && later.service.counts.messagesIn > 0);
+	const old = new RunningPeer('a', {least: 1, newest: 1});
+	const later = new RunningPeer('b', {least: 2, newest: 3});
+	await startTogether([old, later]);
+	await waitUntil(() => old.service.counts.messagesIn > 1 && later.service.counts.messagesIn > 0);
 	assert.deepEqual([old.service.linked, later.service.linked], [[], []]);
 	await Promise.all([old.stop(), later.stop()]);
 });
 
 test('a connection with a frame over the limit, or with a message before the hello, is closed, and the service goes on', async () => {
-	const one = await new Running('a').start();
+	const one = await new RunningPeer('a').start();
 	const port = Number(one.address.split(':')[1]);
 	const head = Buffer.alloc(4);
 	head.writeUInt32BE(frameLimitBytes + 1, 0);
@@ -127,15 +127,15 @@
 
 	const socket = connect({host: '127.0.0.1', port});
 	socket.write(encodeFrame({kind: 'a kind of a later release'}));
-	await until(() => one.service.counts.unknownKinds === 1);
+	await waitUntil(() => one.service.counts.unknownKinds === 1);
 	socket.destroy();
 	await one.stop();
 });
 
 test('the queue for a peer that reads nothing is bounded, and further messages are dropped and counted', async () => {
-	const one = await new Running('a').start();
+	const one = await new RunningPeer('a').start();
 	const socket = await connectAsPeer(one);
-	await until(() => one.service.linked.length === 1);
+	await waitUntil(() => one.service.linked.length === 1);
 	socket.pause();
 	for (let version = 1; one.service.counts.dropped === 0; version++) {
 		assert.ok(version < 200_000, 'no message was dropped');
@@ -148,20 +148,20 @@
 
 test('the link of a peer that sends a message with missing members is closed, and the process goes on', async () => {
 	// A faulty release sends a view without members. Handling it throws, which must close the link and not crash the process.
-	const one = await new Running('a').start();
+	const one = await new RunningPeer('a').start();
 	const socket = await connectAsPeer(one);
-	await until(() => one.service.linked.length === 1);
+	await waitUntil(() => one.service.linked.length === 1);
 	socket.resume();
 	socket.write(encodeFrame({kind: 'view'}));
 	await once(socket, 'close');
-	await until(() => one.closed.length === 1);
+	await waitUntil(() => one.closed.length === 1);
 	assert.match(one.closed[0]!, /malformed message/v);
 	await one.stop();
 });
 
 test('a connection that sends its hello byte by byte is closed after the timeout', async () => {
 	// Guards against connections that are kept open without end by a byte before each idle timeout.
-	const one = await new Running('a').start();
+	const one = await new RunningPeer('a').start();
 	const socket = connect({host: '127.0.0.1', port: Number(one.address.split(':')[1])});
 	const head = Buffer.alloc(4);
 	head.writeUInt32BE(frameLimitBytes, 0);
@@ -178,35 +178,35 @@
 
 test('a process that does not know the shared secret gets no link', async () => {
 	// It could otherwise bring its own configuration into force at all instances.
-	const [first, stranger] = [new Running('a'), new Running('b', spokenVersions, [], 'another secret')];
-	await together([first, stranger]);
-	await until(() => first.service.counts.messagesIn > 1 && stranger.service.counts.messagesIn > 1);
+	const [first, stranger] = [new RunningPeer('a'), new RunningPeer('b', supportedVersions, [], 'another secret')];
+	await startTogether([first, stranger]);
+	await waitUntil(() => first.service.counts.messagesIn > 1 && stranger.service.counts.messagesIn > 1);
 	assert.deepEqual([first.service.linked, stranger.service.linked], [[], []]);
 	await Promise.all([first.stop(), stranger.stop()]);
 });
 
 test('a restarted peer is linked again', async () => {
-	const first = new Running('a');
-	const second = new Running('b');
-	await together([first, second]);
-	await until(() => second.service.linked.length === 1);
+	const first = new RunningPeer('a');
+	const second = new RunningPeer('b');
+	await startTogether([first, second]);
+	await waitUntil(() => second.service.linked.length === 1);
 	await second.stop();
-	await until(() => first.service.linked.length === 0);
-	const again = await new Running('b').start();
-	again.service.takeList([first.listed(), again.listed()]);
-	await until(() => first.service.linked.length === 1 && again.service.linked.length === 1);
+	await waitUntil(() => first.service.linked.length === 0);
+	const again = await new RunningPeer('b').start();
+	again.service.applyList([first.listed(), again.listed()]);
+	await waitUntil(() => first.service.linked.length === 1 && again.service.linked.length === 1);
 	await Promise.all([first.stop(), again.stop()]);
 });
 
 test('an instance that starts without the platform\'s list finds its peers by the seeds in its settings, and gets the changes', async () => {
 	// The platform is unavailable: there is neither list nor table. One seed address is enough: that peer announces the others,
 	// and the instance queries the changes that it lacks.
-	const [first, second] = [new Running('a'), new Running('b')];
-	await together([first, second]);
+	const [first, second] = [new RunningPeer('a'), new RunningPeer('b')];
+	await startTogether([first, second]);
 	const change = changeOf(first.keeper.state, 1);
 	first.keeper.offerChange(change);
-	first.service.changeInForce(change);
-	const late = await new Running('c', spokenVersions, [first.address]).start();
-	await until(() => late.keeper.state.version === 1 && late.service.linked.length === 2);
+	first.service.announceChange(change);
+	const late = await new RunningPeer('c', supportedVersions, [first.address]).start();
+	await waitUntil(() => late.keeper.state.version === 1 && late.service.linked.length === 2);
 	await Promise.all([first.stop(), second.stop(), late.stop()]);
 });
--- a/src/peer/link/peer-service.ts
+++ b/src/peer/link/peer-service.ts
@@ -13,16 +13,16 @@
 import {type Child} from '../../supervisor/supervisor.js';
 import {encodeMessage} from '../message/message-codec.js';
 import {
-	type MemberRumour, type PeerMessage, spokenVersions, type VersionRange,
+	type MemberUpdate, type PeerMessage, supportedVersions, type VersionRange,
 } from '../message/peer-message.js';
 import {PeerNode} from '../node/peer-node.js';
 import {type PeerNodeOptions} from '../node/peer-node-options.js';
-import {type Outgoing} from '../node/peer-outbox.js';
+import {type OutgoingMessage} from '../node/peer-outbox.js';
 import {type LinkCounts, type LinkOwner, PeerLink} from './peer-link.js';
 import {redialDelay} from './redial-delay.js';
 
-const longestTickMilliseconds = 100;
-const shortestTickMilliseconds = 2;
+const maxTickMilliseconds = 100;
+const minTickMilliseconds = 2;
 
 /** The peer with the smaller name dials. If it has not done so after this time, it may not know the other, which dials too. */
 const dialAnywayMilliseconds = 1500;
@@ -34,10 +34,10 @@
  * Idle timeout of a link. After a network partition TCP retransmits at growing intervals of up to minutes; without this
  * timeout a link would stay unusable for another time as long as the partition.
  */
-const silentLinkMilliseconds = 8000;
+const idleLinkMilliseconds = 8000;
 
 /** Maximum number of incoming connections; far more than the links of any overlay. */
-const acceptedLimit = 256;
+const maxIncomingConnections = 256;
 
 export type PeerServiceOptions = Omit<PeerNodeOptions, 'self'> & {
 	instance: string;
@@ -53,7 +53,7 @@
 	onLinkClosed?(peer: string, reason: string): void;
 };
 
-type Dial = {failures: number; notBefore: number; wantedSince: number; isOpen: boolean};
+type DialState = {failures: number; notBefore: number; wantedSince: number; isOpen: boolean};
 
 export class PeerService implements Child, LinkOwner {
 	readonly name = 'peers';
@@ -67,20 +67,20 @@
 	readonly #server: Server;
 	readonly #links = new Map<string, PeerLink>();
 	readonly #open = new Set<PeerLink>();
-	readonly #dials = new Map<string, Dial>();
-	readonly #seedDials = new Map<string, Dial>();
+	readonly #dials = new Map<string, DialState>();
+	readonly #seedDials = new Map<string, DialState>();
 	readonly #lastReceived = new Map<string, {received: number; at: number}>();
 	readonly #unwantedSince = new Map<string, number>();
 	#node: PeerNode | undefined;
 
 	constructor(options: PeerServiceOptions) {
 		this.#options = options;
-		this.versions = options.versions ?? spokenVersions;
+		this.versions = options.versions ?? supportedVersions;
 		this.secret = options.secret;
 		this.#server = createServer(socket => {
 			this.#accept(socket);
 		});
-		this.#server.maxConnections = acceptedLimit;
+		this.#server.maxConnections = maxIncomingConnections;
 	}
 
 	/** The node; available once `listen` has resolved. */
@@ -119,12 +119,12 @@
 		const {clock} = this.#options;
 		while (!signal.aborted) {
 			const now = clock.now();
-			this.#carry(this.node.tick(now));
-			this.#closeSilent(now);
+			this.#send(this.node.tick(now));
+			this.#closeIdle(now);
 			this.#dialWanted(now);
 			this.#dialSeeds(now);
-			const wait = Math.min(longestTickMilliseconds, this.node.dueAt - clock.now());
-			await clock.sleep(Math.max(shortestTickMilliseconds, wait), signal);
+			const wait = Math.min(maxTickMilliseconds, this.node.dueAt - clock.now());
+			await clock.sleep(Math.max(minTickMilliseconds, wait), signal);
 		}
 
 		this.#close();
@@ -132,25 +132,25 @@
 
 	/** Announces the departure of this instance, so that the peers take over its shards at once. */
 	leave(): void {
-		this.#carry(this.node.leave());
+		this.#send(this.node.leave());
 	}
 
 	/** Applies the platform's list of instances. */
-	takeList(instances: readonly ListedInstance[]): void {
-		this.node.takeList(instances, this.#options.clock.now());
+	applyList(instances: readonly ListedInstance[]): void {
+		this.node.applyList(instances, this.#options.clock.now());
 	}
 
 	/** Handles a load report that this instance polled from an endpoint. */
-	takeReport(name: string, report: LoadReport): void {
-		this.#carry(this.node.takeReport(name, report, this.#options.clock.now()));
+	handleReport(name: string, report: LoadReport): void {
+		this.#send(this.node.handleReport(name, report, this.#options.clock.now()));
 	}
 
 	/** Announces to the peers a change that came into force here through the table or an operator. */
-	changeInForce(change: ConfigurationChange): void {
-		this.#carry(this.node.changeInForce(change));
+	announceChange(change: ConfigurationChange): void {
+		this.#send(this.node.announceChange(change));
 	}
 
-	self(): MemberRumour {
+	self(): MemberUpdate {
 		return this.node.membership.self;
 	}
 
@@ -170,12 +170,12 @@
 
 		this.#links.set(peer.name, link);
 		this.#dials.delete(peer.name);
-		this.#carry(this.node.linkUp(peer, this.#options.clock.now()));
+		this.#send(this.node.linkUp(peer, this.#options.clock.now()));
 	}
 
 	linkMessage(link: PeerLink, message: PeerMessage): void {
 		const now = this.#options.clock.now();
-		this.#carry(this.node.takeMessage(link.peer!.name, message, now));
+		this.#send(this.node.handleMessage(link.peer!.name, message, now));
 	}
 
 	linkClosed(link: PeerLink, reason: string): void {
@@ -192,7 +192,7 @@
 		this.#open.add(new PeerLink(socket, false, this, this.counts));
 	}
 
-	#carry(outgoing: readonly Outgoing[]): void {
+	#send(outgoing: readonly OutgoingMessage[]): void {
 		const frames = new Map<PeerMessage, Buffer>();
 		for (const {to, message} of outgoing) {
 			const link = this.#links.get(to);
@@ -217,12 +217,12 @@
 		}
 	}
 
-	#closeSilent(now: number): void {
+	#closeIdle(now: number): void {
 		for (const [name, link] of this.#links) {
 			const last = this.#lastReceived.get(name);
 			if (last?.received !== link.received) {
 				this.#lastReceived.set(name, {received: link.received, at: now});
-			} else if (now - last.at > silentLinkMilliseconds) {
+			} else if (now - last.at > idleLinkMilliseconds) {
 				this.#lastReceived.delete(name);
 				link.close('silent');
 			}
@@ -254,14 +254,14 @@
 				failures: 0, notBefore: now, wantedSince: now, isOpen: false,
 			};
 			this.#dials.set(name, dial);
-			const isOurs = this.#options.instance < name || now - dial.wantedSince > dialAnywayMilliseconds;
-			if (isOurs && !dial.isOpen && now >= dial.notBefore) {
+			const isDialler = this.#options.instance < name || now - dial.wantedSince > dialAnywayMilliseconds;
+			if (isDialler && !dial.isOpen && now >= dial.notBefore) {
 				this.#dial(peerAddress, dial);
 			}
 		}
 	}
 
-	#dial(address: string, dial: Dial): void {
+	#dial(address: string, dial: DialState): void {
 		const separator = address.lastIndexOf(':');
 		const socket = connect({host: address.slice(0, separator), port: Number(address.slice(separator + 1))});
 		const link = new PeerLink(socket, true, this, this.counts);
--- a/src/peer/link/redial-delay.ts
+++ b/src/peer/link/redial-delay.ts
@@ -1,7 +1,7 @@
 /** The delay before a peer is dialled again: exponential backoff with jitter. */
 
 const firstDelayMilliseconds = 200;
-const longestDelayMilliseconds = 5000;
+const maxDelayMilliseconds = 5000;
 
 /**
  * Computes the delay before the next dial.
@@ -14,6 +14,6 @@
  * @returns Milliseconds.
  */
 export function redialDelay(failures: number, random: number): number {
-	const ceiling = Math.min(longestDelayMilliseconds, firstDelayMilliseconds * (2 ** (failures - 1)));
+	const ceiling = Math.min(maxDelayMilliseconds, firstDelayMilliseconds * (2 ** (failures - 1)));
 	return ceiling * (0.2 + (0.8 * random));
 }
--- a/src/peer/knowledge/load-knowledge.ts
+++ b/src/peer/load/load-gossip.ts
@@ -8,32 +8,32 @@
 import {type LoadSummary, type LoadUpdate, type PeerMessage} from '../message/peer-message.js';
 import {packedUpdateBytes} from '../message/packed-updates.js';
 import {type Member} from '../membership/membership.js';
-import {hashOfText, ownerOf} from '../sharing/rendezvous.js';
+import {hashOfText, ownerOf} from '../ownership/rendezvous.js';
 import {summaryOf} from './load-summary.js';
 
 /** The minimum time between two messages to the cell. */
-export const tellMilliseconds = 500;
+export const publishIntervalMilliseconds = 500;
 
 /** Bytes a second for messages to the cell. With many owned endpoints or a large cell, messages are less frequent. */
-export const tellBudgetBytes = 700;
+export const publishBytesPerSecond = 700;
 
 /** How often the full summary is sent, for peers that missed it. */
-export const wholeSummaryMilliseconds = 30_000;
+export const fullSummaryIntervalMilliseconds = 30_000;
 
 /** Age of a load at which its owner seems to have failed and this instance polls the endpoint: three minimum intervals. */
-export const ownAskAfterMilliseconds = 1500;
+export const pollUnownedAfterMilliseconds = 1500;
 
-type Known = {summary: LoadSummary; heardAt: number; toldWholeAt: number; toldAt: number};
+type KnownLoad = {summary: LoadSummary; measuredAt: number; fullPublishedAt: number; publishedMeasuredAt: number};
 
 /** An endpoint's summary as it was received, for the endpoint directory. */
-export type LearnedLoad = {name: string; summary: LoadSummary; measuredAt: number};
+export type ReceivedLoad = {name: string; summary: LoadSummary; measuredAt: number};
 
-export class LoadKnowledge {
+export class LoadGossip {
 	readonly #self: string;
 	readonly #endpoints = new Map<number, {name: string; dataCentre: string; owner: string}>();
-	readonly #known = new Map<number, Known>();
-	#nextTellAt = 0;
-	#tellInterval = tellMilliseconds;
+	readonly #known = new Map<number, KnownLoad>();
+	#nextPublishAt = 0;
+	#publishInterval = publishIntervalMilliseconds;
 
 	constructor(self: string) {
 		this.#self = self;
@@ -66,7 +66,7 @@
 	}
 
 	/** Replaces the endpoints by those of the list: model engines and plain services, since both report their load. */
-	takeEndpoints(instances: readonly ListedInstance[]): void {
+	setEndpoints(instances: readonly ListedInstance[]): void {
 		const listed = new Set<number>();
 		for (const {name, role, dataCentre} of instances) {
 			if (role === 'model-engine' || role === 'plain-service') {
@@ -89,21 +89,21 @@
 	 *
 	 * @returns How many endpoints this instance acquired and released.
 	 */
-	shareOut(all: readonly Member[]): {taken: number; released: number} {
-		const shared = {taken: 0, released: 0};
+	assignOwners(all: readonly Member[]): {acquired: number; released: number} {
+		const ownership = {acquired: 0, released: 0};
 		const members = new Map<string, Member[]>();
 		for (const [key, endpoint] of this.#endpoints) {
 			const near = members.get(endpoint.dataCentre) ?? all.filter(({dataCentre}) => dataCentre === endpoint.dataCentre);
 			members.set(endpoint.dataCentre, near);
 			const owner = ownerOf(key, near.length > 0 ? near : all)?.name ?? '';
 			if (owner !== endpoint.owner) {
-				shared.taken += owner === this.#self ? 1 : 0;
-				shared.released += endpoint.owner === this.#self ? 1 : 0;
+				ownership.acquired += owner === this.#self ? 1 : 0;
+				ownership.released += endpoint.owner === this.#self ? 1 : 0;
 				endpoint.owner = owner;
 			}
 		}
 
-		return shared;
+		return ownership;
 	}
 
 	/**
@@ -113,12 +113,12 @@
 	 * @param now - Milliseconds since the epoch.
 	 * @param cell - The peers that publish to this instance, by name.
 	 */
-	toAsk(now: number, cell: ReadonlyMap<string, Member>): string[] {
+	endpointsToPoll(now: number, cell: ReadonlyMap<string, Member>): string[] {
 		// If the messages of this instance are rare because they are large, the owner's messages are as rare.
-		const ownAskAfter = Math.max(ownAskAfterMilliseconds, this.#tellInterval * 1.5);
+		const pollAfter = Math.max(pollUnownedAfterMilliseconds, this.#publishInterval * 1.5);
 		return [...this.#endpoints]
 			.filter(([key, {owner}]) => owner === this.#self
-				|| (cell.has(owner) && now - (this.#known.get(key)?.heardAt ?? 0) > ownAskAfter))
+				|| (cell.has(owner) && now - (this.#known.get(key)?.measuredAt ?? 0) > pollAfter))
 			.map(([, {name}]) => name);
 	}
 
@@ -127,9 +127,9 @@
 	 *
 	 * @returns A message for all neighbours if the endpoint has begun to leave.
 	 */
-	takeReport(name: string, report: LoadReport, now: number): PeerMessage | undefined {
+	handleReport(name: string, report: LoadReport, now: number): PeerMessage | undefined {
 		const summary = summaryOf(name, report);
-		return this.#learn(summary, now) ? leavingMessage([summary]) : undefined;
+		return this.#store(summary, now) ? leavingMessage([summary]) : undefined;
 	}
 
 	/**
@@ -137,19 +137,19 @@
 	 *
 	 * @returns The received loads, and a message to forward if an endpoint has begun to leave.
 	 */
-	takeLoads(message: Extract<PeerMessage, {kind: 'loads'}>, now: number): {learned: LearnedLoad[]; passOn?: PeerMessage} {
+	handleLoads(message: Extract<PeerMessage, {kind: 'loads'}>, now: number): {learned: ReceivedLoad[]; forward?: PeerMessage} {
 		const measuredAt = now - message.age;
 		const changed = message.updates.flatMap(update => {
 			const known = this.#known.get(update.endpoint);
 			return known === undefined ? [] : [updated(known.summary, update)];
 		});
 		const summaries = [...message.loads, ...changed];
-		const leaving = summaries.filter(summary => this.#learn(summary, measuredAt));
+		const leaving = summaries.filter(summary => this.#store(summary, measuredAt));
 		const learned = summaries.flatMap(summary => {
 			const endpoint = this.#endpoints.get(summary.endpoint);
 			return endpoint === undefined ? [] : [{name: endpoint.name, summary, measuredAt}];
 		});
-		return leaving.length === 0 ? {learned} : {learned, passOn: leavingMessage(leaving)};
+		return leaving.length === 0 ? {learned} : {learned, forward: leavingMessage(leaving)};
 	}
 
 	/**
@@ -158,8 +158,8 @@
 	 * @param cellSize - The number of peers that will receive it.
 	 * @param now - Milliseconds since the epoch.
 	 */
-	tell(cellSize: number, now: number): PeerMessage | undefined {
-		if (now < this.#nextTellAt || cellSize === 0) {
+	takeDueMessage(cellSize: number, now: number): PeerMessage | undefined {
+		if (now < this.#nextPublishAt || cellSize === 0) {
 			return undefined;
 		}
 
@@ -167,14 +167,14 @@
 		const updates: LoadUpdate[] = [];
 		let age = 0;
 		for (const [key, known] of this.#known) {
-			if (this.#endpoints.get(key)?.owner !== this.#self || known.toldAt === known.heardAt) {
+			if (this.#endpoints.get(key)?.owner !== this.#self || known.publishedMeasuredAt === known.measuredAt) {
 				continue;
 			}
 
-			known.toldAt = known.heardAt;
-			age = Math.max(age, now - known.heardAt);
-			if (now - known.toldWholeAt >= wholeSummaryMilliseconds) {
-				known.toldWholeAt = now;
+			known.publishedMeasuredAt = known.measuredAt;
+			age = Math.max(age, now - known.measuredAt);
+			if (now - known.fullPublishedAt >= fullSummaryIntervalMilliseconds) {
+				known.fullPublishedAt = now;
 				loads.push(known.summary);
 			} else {
 				updates.push(updateOf(known.summary));
@@ -182,8 +182,8 @@
 		}
 
 		const spent = (loads.length + updates.length) * packedUpdateBytes * cellSize;
-		this.#tellInterval = Math.max(tellMilliseconds, spent * 1000 / tellBudgetBytes);
-		this.#nextTellAt = now + this.#tellInterval;
+		this.#publishInterval = Math.max(publishIntervalMilliseconds, spent * 1000 / publishBytesPerSecond);
+		this.#nextPublishAt = now + this.#publishInterval;
 		return loads.length + updates.length === 0
 			? undefined
 			: {
@@ -192,17 +192,17 @@
 	}
 
 	/** Makes the next message contain full summaries, for a new peer. */
-	tellWhole(): void {
+	publishInFull(): void {
 		for (const known of this.#known.values()) {
-			known.toldWholeAt = 0;
-			known.toldAt = 0;
+			known.fullPublishedAt = 0;
+			known.publishedMeasuredAt = 0;
 		}
 	}
 
 	/** Stores a summary. Returns whether it is the first one with the state `leaving`. */
-	#learn(summary: LoadSummary, heardAt: number): boolean {
+	#store(summary: LoadSummary, measuredAt: number): boolean {
 		const known = this.#known.get(summary.endpoint);
-		if (known !== undefined && known.heardAt > heardAt) {
+		if (known !== undefined && known.measuredAt > measuredAt) {
 			return false;
 		}
 
@@ -210,7 +210,7 @@
 		const isSame = before?.model === summary.model
 			&& before.weightVersion === summary.weightVersion && before.state === summary.state;
 		this.#known.set(summary.endpoint, {
-			summary, heardAt, toldAt: known?.toldAt ?? 0, toldWholeAt: isSame ? (known?.toldWholeAt ?? 0) : 0,
+			summary, measuredAt: measuredAt, publishedMeasuredAt: known?.publishedMeasuredAt ?? 0, fullPublishedAt: isSame ? (known?.fullPublishedAt ?? 0) : 0,
 		});
 		return summary.state === 'leaving' && before?.state !== 'leaving';
 	}
--- a/src/peer/knowledge/load-summary.ts
+++ b/src/peer/load/load-summary.ts
@@ -1,9 +1,9 @@
 /** Converts an endpoint's load report to the summary that is sent to peers, and back. */
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type LoadSummary} from '../message/peer-message.js';
-import {hashOfText} from '../sharing/rendezvous.js';
+import {hashOfText} from '../ownership/rendezvous.js';
 
-const keptDigits = 2;
+const significantDigits = 2;
 
 /**
  * Creates the summary of a report.
@@ -54,5 +54,5 @@
 }
 
 function rounded(value: number): number {
-	return Math.round(Number(value.toPrecision(keptDigits)));
+	return Math.round(Number(value.toPrecision(significantDigits)));
 }
--- a/src/peer/membership/membership.ts
+++ b/src/peer/membership/membership.ts
@@ -4,8 +4,8 @@
  * instances with different views do some work twice or not at all, but never give a wrong answer.
  */
 import {type ListedInstance} from '../../shared/types.js';
-import {type MemberRumour, type MemberStatus} from '../message/peer-message.js';
-import {hashOfText} from '../sharing/rendezvous.js';
+import {type MemberUpdate, type MemberStatus} from '../message/peer-message.js';
+import {hashOfText} from '../ownership/rendezvous.js';
 
 /** A neighbour from which nothing is received for longer than this is late: heartbeats are sent every second. */
 export const lateAfterMilliseconds = 1500;
@@ -14,7 +14,7 @@
 export const suspectAfterMilliseconds = 2500;
 
 /** Time without a heartbeat after which a neighbour is `gone`: four heartbeats. Its shards then move, within 5 s in all. */
-export const goneAfterMilliseconds = 4000;
+export const failedAfterMilliseconds = 4000;
 
 /** How long a failed or departed member that is no longer listed is remembered, so that late updates do not bring it back. */
 export const forgetAfterMilliseconds = 60_000;
@@ -31,7 +31,7 @@
 	changedAt: number;
 	isListed: boolean;
 	/** When its last message to this instance arrived, or it became a neighbour; only used for neighbours. */
-	heardAt: number;
+	lastSeenAt: number;
 };
 
 const digestModulus = 2 ** 32;
@@ -50,17 +50,17 @@
 	#digestCache: number | undefined;
 	#liveCache: {revision: number; own: Member[]; all: Member[]} | undefined;
 
-	constructor(self: Omit<MemberRumour, 'status'>, now: number) {
+	constructor(self: Omit<MemberUpdate, 'status'>, now: number) {
 		this.#self = {
-			...self, nameHash: hashOfText(self.name), status: 'alive', changedAt: now, isListed: false, heardAt: now,
+			...self, nameHash: hashOfText(self.name), status: 'alive', changedAt: now, isListed: false, lastSeenAt: now,
 		};
 		this.#members.set(self.name, this.#self);
 		this.#lastTickAt = now;
 	}
 
 	/** The gossip update about this instance itself. */
-	get self(): MemberRumour {
-		return rumourOf(this.#self);
+	get self(): MemberUpdate {
+		return memberUpdateOf(this.#self);
 	}
 
 	/** A digest over the members of the own data centre that have an incarnation; equal views have equal digests. */
@@ -80,19 +80,19 @@
 	}
 
 	/** All remembered members, for operators. */
-	everybody(): readonly Member[] {
+	allMembers(): readonly Member[] {
 		return [...this.#members.values()];
 	}
 
 	/** The remembered members of the own data centre that have an incarnation, as updates for a peer. */
-	view(): MemberRumour[] {
+	view(): MemberUpdate[] {
 		return [...this.#members.values()]
 			.filter(({incarnation, dataCentre}) => incarnation > 0 && dataCentre === this.#self.dataCentre)
-			.map(member => rumourOf(member));
+			.map(member => memberUpdateOf(member));
 	}
 
 	/** Failed members that the platform still lists. They are dialled now and then: after a partition neither side sends. */
-	goneButListed(): readonly Member[] {
+	failedButListed(): readonly Member[] {
 		return [...this.#members.values()].filter(({status, isListed}) => status === 'gone' && isListed);
 	}
 
@@ -104,7 +104,7 @@
 	 * Applies the platform's list. It adds members, and removes those without an incarnation and those whose retention has
 	 * expired. It lags by seconds, so it never overrides what a member or its neighbours have announced.
 	 */
-	takeList(instances: readonly ListedInstance[], now: number): void {
+	applyList(instances: readonly ListedInstance[], now: number): void {
 		const listed = new Map(instances
 			.filter(({role, peerAddress, state}) => role === 'entry' && peerAddress !== '' && state === 'live')
 			.map(instance => [instance.name, instance]));
@@ -132,15 +132,15 @@
 	}
 
 	/** Notes a message that a member sent to this instance itself. */
-	heard(name: string, incarnation: number, now: number): void {
+	observe(name: string, incarnation: number, now: number): void {
 		const member = this.#members.get(name);
 		if (member === undefined || incarnation < member.incarnation) {
 			return;
 		}
 
-		member.heardAt = now;
+		member.lastSeenAt = now;
 		if (incarnation > member.incarnation || member.status === 'suspect') {
-			this.#put({...rumourOf(member), incarnation, status: 'alive'}, now, member.isListed);
+			this.#put({...memberUpdateOf(member), incarnation, status: 'alive'}, now, member.isListed);
 		}
 	}
 
@@ -150,21 +150,21 @@
 	 * @returns The update to forward: this one if it was new, the refutation if it said that this instance has failed or left,
 	 *   otherwise `undefined`.
 	 */
-	takeRumour(rumour: MemberRumour, now: number): MemberRumour | undefined {
-		if (rumour.name === this.#self.name) {
-			return this.#contradict(rumour);
+	applyUpdate(update: MemberUpdate, now: number): MemberUpdate | undefined {
+		if (update.name === this.#self.name) {
+			return this.#refute(update);
 		}
 
-		const known = this.#members.get(rumour.name);
-		const isNews = known === undefined
-			|| rumour.incarnation > known.incarnation
-			|| (rumour.incarnation === known.incarnation && statusRank[rumour.status] > Math.max(statusRank[known.status], statusRank.suspect));
-		if (!isNews) {
+		const known = this.#members.get(update.name);
+		const isNew = known === undefined
+			|| update.incarnation > known.incarnation
+			|| (update.incarnation === known.incarnation && statusRank[update.status] > Math.max(statusRank[known.status], statusRank.suspect));
+		if (!isNew) {
 			return undefined;
 		}
 
-		this.#put(rumour, now, known?.isListed ?? false);
-		return rumour;
+		this.#put(update, now, known?.isListed ?? false);
+		return update;
 	}
 
 	/**
@@ -174,12 +174,12 @@
 	 * @param now - Milliseconds since the epoch.
 	 * @returns Updates to spread.
 	 */
-	tick(neighbours: ReadonlySet<string>, now: number): MemberRumour[] {
+	tick(neighbours: ReadonlySet<string>, now: number): MemberUpdate[] {
 		// After a pause of this process no neighbour has a recent heartbeat, and all of them would be marked as gone at once. So
 		// their time starts again.
 		const wasPaused = now - this.#lastTickAt > suspectAfterMilliseconds;
 		this.#lastTickAt = now;
-		const rumours: MemberRumour[] = [];
+		const updates: MemberUpdate[] = [];
 		for (const member of this.#members.values()) {
 			if (member === this.#self || statusRank[member.status] > statusRank.suspect) {
 				continue;
@@ -187,41 +187,41 @@
 
 			// The time of a late member runs on when a new ring makes it a neighbour no longer. When a rack fails, each detected
 			// failure changes the cells, and would otherwise restart the time of the other failed members.
-			const silence = now - member.heardAt;
-			if (wasPaused || (!neighbours.has(member.name) && silence <= lateAfterMilliseconds)) {
-				member.heardAt = now;
+			const idleMilliseconds = now - member.lastSeenAt;
+			if (wasPaused || (!neighbours.has(member.name) && idleMilliseconds <= lateAfterMilliseconds)) {
+				member.lastSeenAt = now;
 				continue;
 			}
 
-			if (silence > goneAfterMilliseconds) {
-				const rumour: MemberRumour = {...rumourOf(member), status: 'gone'};
-				this.#put(rumour, now, member.isListed);
-				rumours.push(rumour);
-			} else if (silence > suspectAfterMilliseconds) {
+			if (idleMilliseconds > failedAfterMilliseconds) {
+				const update: MemberUpdate = {...memberUpdateOf(member), status: 'gone'};
+				this.#put(update, now, member.isListed);
+				updates.push(update);
+			} else if (idleMilliseconds > suspectAfterMilliseconds) {
 				member.status = 'suspect';
 			}
 		}
 
-		return rumours;
+		return updates;
 	}
 
-	#contradict(rumour: MemberRumour): MemberRumour | undefined {
-		if (rumour.incarnation < this.#self.incarnation || rumour.status === 'alive') {
+	#refute(update: MemberUpdate): MemberUpdate | undefined {
+		if (update.incarnation < this.#self.incarnation || update.status === 'alive') {
 			return undefined;
 		}
 
-		this.#self.incarnation = rumour.incarnation + 1;
+		this.#self.incarnation = update.incarnation + 1;
 		this.#digestCache = undefined;
-		return rumourOf(this.#self);
+		return memberUpdateOf(this.#self);
 	}
 
-	#put(rumour: MemberRumour, now: number, isListed: boolean): void {
-		const known = this.#members.get(rumour.name);
+	#put(update: MemberUpdate, now: number, isListed: boolean): void {
+		const known = this.#members.get(update.name);
 		const wasLive = known !== undefined && statusRank[known.status] <= statusRank.suspect;
-		const isLive = rumour.status === 'alive';
+		const isLive = update.status === 'alive';
 		this.#digestCache = undefined;
-		this.#members.set(rumour.name, {
-			...rumour, nameHash: known?.nameHash ?? hashOfText(rumour.name), changedAt: now, isListed, heardAt: now,
+		this.#members.set(update.name, {
+			...update, nameHash: known?.nameHash ?? hashOfText(update.name), changedAt: now, isListed, lastSeenAt: now,
 		});
 		if (wasLive !== isLive) {
 			this.revision++;
@@ -253,7 +253,7 @@
 }
 
 /** Returns the gossip update about a member. A suspicion is local to this instance: a suspect is announced as alive. */
-export function rumourOf(member: Member): MemberRumour {
+export function memberUpdateOf(member: Member): MemberUpdate {
 	const {
 		name, dataCentre, peerAddress, incarnation, status,
 	} = member;
--- a/src/peer/membership/overlay.ts
+++ b/src/peer/membership/overlay.ts
@@ -5,7 +5,7 @@
  * update crosses it in a few hops. For each pair of data centres, two instances of either side are bridges, which link to
  * each other.
  */
-import {bestMembers, hashOfText} from '../sharing/rendezvous.js';
+import {bestMembers, hashOfText} from '../ownership/rendezvous.js';
 import {type Member} from './membership.js';
 
 /**
@@ -19,7 +19,7 @@
 
 /** Distance of the long links to both sides, as a share of the ring: with them and the cells, six hops cross a ring of 95. */
 const longLinkFraction = 0.3;
-const gatewaysPerDataCentre = 2;
+const bridgesPerDataCentre = 2;
 
 /** The place of an instance in the overlay network. */
 export type Overlay = {
@@ -39,14 +39,14 @@
  */
 export function overlayOf(self: string, own: readonly Member[], all: readonly Member[]): Overlay {
 	if (all.length <= fullMeshLimit) {
-		const everybody = byName(all.filter(({name}) => name !== self));
-		return {neighbours: everybody, cell: everybody};
+		const allOthers = byName(all.filter(({name}) => name !== self));
+		return {neighbours: allOthers, cell: allOthers};
 	}
 
 	const ring = own.toSorted((left, right) => left.nameHash - right.nameHash || (left.name < right.name ? -1 : 1));
 	const place = ring.findIndex(({name}) => name === self);
 	const cell = cellAt(ring, place);
-	const neighbours = [...cell, ...longLinks(ring, place), ...gatewayLinks(self, own, all)];
+	const neighbours = [...cell, ...longLinks(ring, place), ...bridgeLinks(self, own, all)];
 	return {neighbours: byName(neighbours), cell: byName(cell)};
 }
 
@@ -64,13 +64,13 @@
 }
 
 /** Bridges are chosen for each pair of data centres, so that no instance has the links to all other data centres. */
-function gatewayLinks(self: string, own: readonly Member[], all: readonly Member[]): Member[] {
+function bridgeLinks(self: string, own: readonly Member[], all: readonly Member[]): Member[] {
 	const ownName = own.find(({name}) => name === self)?.dataCentre ?? '';
 	const others = byDataCentre(all.filter(({dataCentre}) => dataCentre !== ownName));
 	return [...others].flatMap(([other, members]) => {
 		const key = hashOfText([ownName, other].toSorted().join('|'));
-		const isGateway = bestMembers(key, own, gatewaysPerDataCentre).some(({name}) => name === self);
-		return isGateway ? bestMembers(key, members, gatewaysPerDataCentre) : [];
+		const isBridge = bestMembers(key, own, bridgesPerDataCentre).some(({name}) => name === self);
+		return isBridge ? bestMembers(key, members, bridgesPerDataCentre) : [];
 	});
 }
 
--- a/src/peer/message/message-codec.ts
+++ b/src/peer/message/message-codec.ts
@@ -54,10 +54,10 @@
 
 /** Creates a reader for the bytes of one link. */
 export function createMessageReader(): FrameReader {
-	return new FrameReader(body => unpacked(decoder.decode(body)));
+	return new FrameReader(body => unpack(decoder.decode(body)));
 }
 
-function unpacked(value: unknown): unknown {
+function unpack(value: unknown): unknown {
 	const loads = value as {kind?: unknown; updates?: unknown} | null;
 	return loads?.kind === 'loads' && loads.updates instanceof Uint8Array
 		? {...loads, updates: unpackUpdates(Buffer.from(loads.updates))}
--- a/src/peer/message/packed-updates.ts
+++ b/src/peer/message/packed-updates.ts
@@ -6,8 +6,8 @@
 import {type LoadUpdate} from './peer-message.js';
 
 const updateBytes = 10;
-const largestByte = 255;
-const largestShort = 65_535;
+const maxByte = 255;
+const maxShort = 65_535;
 const prefillUnitTokens = 64;
 
 export const packedUpdateBytes = updateBytes;
@@ -23,10 +23,10 @@
 	for (const [index, update] of updates.entries()) {
 		const start = index * updateBytes;
 		packed.writeUInt32BE(update.endpoint, start);
-		packed.writeUInt8(Math.min(largestByte, update.running), start + 4);
-		packed.writeUInt16BE(Math.min(largestShort, update.waiting), start + 5);
-		packed.writeUInt16BE(Math.min(largestShort, Math.ceil(update.waitingPrefillTokens / prefillUnitTokens)), start + 7);
-		packed.writeUInt8(Math.min(largestByte, Math.ceil(update.kvShare * largestByte)), start + 9);
+		packed.writeUInt8(Math.min(maxByte, update.running), start + 4);
+		packed.writeUInt16BE(Math.min(maxShort, update.waiting), start + 5);
+		packed.writeUInt16BE(Math.min(maxShort, Math.ceil(update.waitingPrefillTokens / prefillUnitTokens)), start + 7);
+		packed.writeUInt8(Math.min(maxByte, Math.ceil(update.kvShare * maxByte)), start + 9);
 	}
 
 	return packed;
@@ -46,7 +46,7 @@
 			running: packed.readUInt8(start + 4),
 			waiting: packed.readUInt16BE(start + 5),
 			waitingPrefillTokens: packed.readUInt16BE(start + 7) * prefillUnitTokens,
-			kvShare: packed.readUInt8(start + 9) / largestByte,
+			kvShare: packed.readUInt8(start + 9) / maxByte,
 		};
 	});
 }
--- a/src/peer/message/peer-message.ts
+++ b/src/peer/message/peer-message.ts
@@ -5,7 +5,7 @@
 import {type ConfigurationChange, type ConfigurationItem} from '../../shared/types.js';
 
 /** The oldest and the newest version of this protocol that this release supports. */
-export const spokenVersions: VersionRange = {least: 1, newest: 1};
+export const supportedVersions: VersionRange = {least: 1, newest: 1};
 
 /** A range of protocol versions, both ends included. */
 export type VersionRange = {
@@ -20,7 +20,7 @@
 export type MemberStatus = 'alive' | 'suspect' | 'gone' | 'left';
 
 /** A gossip update about a member. A higher incarnation overrides a lower one; at the same one, the later status wins. */
-export type MemberRumour = {
+export type MemberUpdate = {
 	name: string;
 	dataCentre: string;
 	peerAddress: string;
@@ -53,7 +53,7 @@
 };
 
 /** The first message of each side of a link. `challenge` is random text that the other side's proof has to cover. */
-export type Hello = {kind: 'hello'; versions: VersionRange; from: MemberRumour; challenge: string};
+export type Hello = {kind: 'hello'; versions: VersionRange; from: MemberUpdate; challenge: string};
 
 /** A heartbeat. It announces the sender's digest and version, so that a peer that missed something notices it at the next one. */
 export type Heartbeat = {
@@ -61,7 +61,7 @@
 	incarnation: number;
 	viewDigest: number;
 	configurationVersion: number;
-	rumours?: MemberRumour[];
+	rumours?: MemberUpdate[];
 };
 
 /** A whole configuration, for an instance whose missing changes its peers no longer retain. */
@@ -78,7 +78,7 @@
 	= | Hello
 		| {kind: 'proof'; digest: string}
 		| Heartbeat
-		| {kind: 'view'; members: MemberRumour[]}
+		| {kind: 'view'; members: MemberUpdate[]}
 		| {kind: 'ask-changes'; after: number}
 		| {kind: 'changes'; changes: ConfigurationChange[]}
 		| {kind: 'snapshot'; snapshot: ConfigurationSnapshot}
@@ -98,7 +98,7 @@
  * @param other - The versions of the peer's release.
  * @returns The newest version that both support; `undefined` if there is none.
  */
-export function negotiatedVersion(own: VersionRange, other: VersionRange): number | undefined {
+export function negotiateVersion(own: VersionRange, other: VersionRange): number | undefined {
 	const version = Math.min(own.newest, other.newest);
 	return version >= own.least && version >= other.least ? version : undefined;
 }
--- a/src/peer/node/gone-retry.ts
+++ b/src/peer/node/failed-member-retry.ts
@@ -6,7 +6,7 @@
 
 const retryMilliseconds = 2000;
 
-export class GoneRetry {
+export class FailedMemberRetry {
 	readonly #random: () => number;
 	#nextAt = 0;
 	#name = '';
@@ -22,13 +22,13 @@
 	}
 
 	/** Chooses another member when the interval has passed. */
-	tick(goneMembers: () => readonly Member[], now: number): void {
+	tick(failedMembers: () => readonly Member[], now: number): void {
 		if (now < this.#nextAt) {
 			return;
 		}
 
 		this.#nextAt = now + (retryMilliseconds * (0.5 + this.#random()));
-		const gone = goneMembers();
-		this.#name = gone[Math.floor(this.#random() * gone.length)]?.name ?? '';
+		const candidates = failedMembers();
+		this.#name = candidates[Math.floor(this.#random() * candidates.length)]?.name ?? '';
 	}
 }
--- a/src/peer/node/rumour-batch.ts
+++ b/src/peer/node/gossip-batch.ts
@@ -1,10 +1,10 @@
 /** Collects gossip updates for a short time, so that a rack's failure or a data centre's start is one message and not dozens. */
-import {type MemberRumour} from '../message/peer-message.js';
+import {type MemberUpdate} from '../message/peer-message.js';
 
 const delayMilliseconds = 25;
 
-export class RumourBatch {
-	readonly #rumours = new Map<string, MemberRumour>();
+export class GossipBatch {
+	readonly #updates = new Map<string, MemberUpdate>();
 	#dueAt = Number.POSITIVE_INFINITY;
 
 	/** When the batch is to be sent; infinite while it is empty. */
@@ -13,19 +13,19 @@
 	}
 
 	/** Adds an update, which replaces an earlier one about the same member. */
-	add(rumour: MemberRumour, now: number): void {
-		this.#rumours.set(rumour.name, rumour);
+	add(update: MemberUpdate, now: number): void {
+		this.#updates.set(update.name, update);
 		this.#dueAt = Math.min(this.#dueAt, now + delayMilliseconds);
 	}
 
 	/** Returns the updates once they are due, and empties the batch; returns none before. */
-	takeDue(now: number): MemberRumour[] {
+	takeDue(now: number): MemberUpdate[] {
 		if (now < this.#dueAt) {
 			return [];
 		}
 
-		const due = [...this.#rumours.values()];
-		this.#rumours.clear();
+		const due = [...this.#updates.values()];
+		this.#updates.clear();
 		this.#dueAt = Number.POSITIVE_INFINITY;
 		return due;
 	}
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -13,7 +13,7 @@
 	name: `${dataCentre}-engine-${index}`, role: 'model-engine', dataCentre, service: 'permits', address: `127.0.0.1:${index}`, peerAddress: '', state: 'live',
 }));
 
-const ownedBy = (peers: readonly VirtualPeer[]) => peers.flatMap(({node}) => node.knowledge.owned()).toSorted();
+const ownedBy = (peers: readonly VirtualPeer[]) => peers.flatMap(({node}) => node.loadGossip.owned()).toSorted();
 
 test('the endpoints of failed instances get a new owner within 5 s when a third of 48 instances fail at once', () => {
 	// The endpoints that the failed instances polled need another owner. Their neighbours receive no more heartbeats and mark
@@ -80,7 +80,7 @@
 	network.run(120_000);
 	const change = changeOf(peers[0]!.keeper.state, 1);
 	peers[0]!.keeper.offerChange(change);
-	network.carry(peers[0]!, peers[0]!.node.changeInForce(change));
+	network.carry(peers[0]!, peers[0]!.node.announceChange(change));
 	network.run(3000);
 	assert.equal(peers.filter(({keeper}) => keeper.state.version === 1).length, 10);
 	network.cut(names(4, 'trogir').map(({name}) => name), '');
@@ -97,7 +97,7 @@
 	for (let version = 1; version <= 3; version++) {
 		const change = changeOf(peers[5]!.keeper.state, version);
 		peers[5]!.keeper.offerChange(change);
-		network.carry(peers[5]!, peers[5]!.node.changeInForce(change));
+		network.carry(peers[5]!, peers[5]!.node.announceChange(change));
 		const took = network.runUntil(() => peers.every(({keeper}) => keeper.state.version === version), 5000);
 		assert.ok(took !== undefined && took <= 3000, `in force after ${took} ms`);
 	}
@@ -111,7 +111,7 @@
 	for (let version = 1; version <= 1100; version++) {
 		const change = changeOf(peers[0]!.keeper.state, version);
 		peers[0]!.keeper.offerChange(change);
-		network.carry(peers[0]!, peers[0]!.node.changeInForce(change));
+		network.carry(peers[0]!, peers[0]!.node.announceChange(change));
 		network.run(5);
 	}
 
@@ -129,9 +129,9 @@
 	const listed = endpoints(400);
 	const peers = network.startAll(names(48), listed);
 	network.run(5000);
-	const owner = peers.find(({node}) => node.knowledge.ownedCount > 0)!;
-	const [leaving] = owner.node.knowledge.owned();
-	network.carry(owner, owner.node.takeReport(leaving!, {...idleReport, state: 'leaving'}, network.now));
+	const owner = peers.find(({node}) => node.loadGossip.ownedCount > 0)!;
+	const [leaving] = owner.node.loadGossip.owned();
+	network.carry(owner, owner.node.handleReport(leaving!, {...idleReport, state: 'leaving'}, network.now));
 	const others = peers.filter(peer => peer !== owner);
 	const took = network.runUntil(() => others.every(({learned}) => learned.get(leaving!)?.summary.state === 'leaving'), 3000);
 	assert.ok(took !== undefined && took <= 1000, `known after ${took} ms`);
@@ -146,7 +146,7 @@
 	assert.ok(peers.every(({node}) => node.overlay.neighbours.size < 30));
 	const change = changeOf(peers[4]!.keeper.state, 1);
 	peers[4]!.keeper.offerChange(change);
-	network.carry(peers[4]!, peers[4]!.node.changeInForce(change));
+	network.carry(peers[4]!, peers[4]!.node.announceChange(change));
 	const took = network.runUntil(() => peers.every(({keeper}) => keeper.state.version === 1), 5000);
 	assert.ok(took !== undefined && took <= 2000, `everywhere after ${took} ms`);
 });
--- a/src/peer/node/peer-node.ts
+++ b/src/peer/node/peer-node.ts
@@ -6,16 +6,16 @@
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type ConfigurationChange, type ListedInstance} from '../../shared/types.js';
 import {ConfigurationFanout} from '../configuration/configuration-fanout.js';
-import {LoadKnowledge} from '../knowledge/load-knowledge.js';
-import {Membership, rumourOf} from '../membership/membership.js';
+import {LoadGossip} from '../load/load-gossip.js';
+import {Membership, memberUpdateOf} from '../membership/membership.js';
 import {type Overlay, overlayOf} from '../membership/overlay.js';
-import {type MemberRumour, type PeerMessage} from '../message/peer-message.js';
-import {bestMembers, hashOfText, ownerOf} from '../sharing/rendezvous.js';
-import {GoneRetry} from './gone-retry.js';
+import {type MemberUpdate, type PeerMessage} from '../message/peer-message.js';
+import {bestMembers, hashOfText, ownerOf} from '../ownership/rendezvous.js';
+import {FailedMemberRetry} from './failed-member-retry.js';
 import {type PeerNodeOptions} from './peer-node-options.js';
-import {type Outgoing, PeerOutbox} from './peer-outbox.js';
-import {RumourBatch} from './rumour-batch.js';
-import {ViewPace} from './view-pace.js';
+import {type OutgoingMessage, PeerOutbox} from './peer-outbox.js';
+import {GossipBatch} from './gossip-batch.js';
+import {ViewRateLimiter} from './view-rate-limiter.js';
 
 /** Time between two heartbeats. */
 export const heartbeatMilliseconds = 1000;
@@ -29,23 +29,23 @@
 export class PeerNode {
 	readonly membership: Membership;
 	readonly fanout: ConfigurationFanout;
-	readonly knowledge: LoadKnowledge;
+	readonly loadGossip: LoadGossip;
 	readonly #options: PeerNodeOptions;
 	readonly #outbox = new PeerOutbox();
-	readonly #rumours = new RumourBatch();
-	readonly #viewPace: ViewPace;
-	readonly #goneRetry: GoneRetry;
+	readonly #gossip = new GossipBatch();
+	readonly #viewRateLimiter: ViewRateLimiter;
+	readonly #failedMemberRetry: FailedMemberRetry;
 	#overlay: {revision: number; overlay: Overlay} | undefined;
-	#sharedRevision = -1;
+	#assignedRevision = -1;
 	#nextHeartbeatAt: number;
 
 	constructor(options: PeerNodeOptions, now: number) {
 		this.#options = options;
-		this.#viewPace = new ViewPace(() => options.random());
-		this.#goneRetry = new GoneRetry(() => options.random());
+		this.#viewRateLimiter = new ViewRateLimiter(() => options.random());
+		this.#failedMemberRetry = new FailedMemberRetry(() => options.random());
 		this.membership = new Membership(options.self, now);
-		this.fanout = new ConfigurationFanout(options.keeper, options.random, options.askBackoffMilliseconds);
-		this.knowledge = new LoadKnowledge(options.self.name);
+		this.fanout = new ConfigurationFanout(options.configuration, options.random, options.queryBackoffMilliseconds);
+		this.loadGossip = new LoadGossip(options.self.name);
 		// Without a random first delay, instances that start at the same time would always send at the same time.
 		this.#nextHeartbeatAt = now + (options.random() * heartbeatMilliseconds);
 	}
@@ -82,41 +82,41 @@
 
 	/** The peers to which links are wanted, with their addresses. */
 	wantedLinks(): Array<{name: string; peerAddress: string}> {
-		const retried = this.membership.member(this.#goneRetry.name);
+		const retried = this.membership.member(this.#failedMemberRetry.name);
 		return [...this.overlay.neighbours.values(), ...(retried === undefined ? [] : [retried])];
 	}
 
 	/** The latest time at which `tick` has to be called again. */
 	get dueAt(): number {
-		return Math.min(this.fanout.dueAt, this.#nextHeartbeatAt, this.#rumours.dueAt);
+		return Math.min(this.fanout.dueAt, this.#nextHeartbeatAt, this.#gossip.dueAt);
 	}
 
 	/** Applies the platform's list of instances. */
-	takeList(instances: readonly ListedInstance[], now: number): void {
-		this.membership.takeList(instances, now);
-		this.knowledge.takeEndpoints(instances);
-		this.#sharedRevision = -1;
+	applyList(instances: readonly ListedInstance[], now: number): void {
+		this.membership.applyList(instances, now);
+		this.loadGossip.setEndpoints(instances);
+		this.#assignedRevision = -1;
 	}
 
 	/** Handles a new link, whichever side dialled; both sides send a heartbeat and publish full load summaries next. */
-	linkUp(peer: MemberRumour, now: number): Outgoing[] {
-		this.#takeRumours([peer], now);
-		this.membership.heard(peer.name, peer.incarnation, now);
+	linkUp(peer: MemberUpdate, now: number): OutgoingMessage[] {
+		this.#applyUpdates([peer], now);
+		this.membership.observe(peer.name, peer.incarnation, now);
 		this.#outbox.linkUp(peer.name);
 		this.#outbox.send(peer.name, this.#heartbeat());
-		this.knowledge.tellWhole();
-		return this.#outbox.take();
+		this.loadGossip.publishInFull();
+		return this.#outbox.flush();
 	}
 
 	/** Handles the end of a link. */
 	linkDown(peer: string): void {
 		this.#outbox.linkDown(peer);
 		this.fanout.forget(peer);
-		this.#viewPace.forget(peer);
+		this.#viewRateLimiter.forget(peer);
 	}
 
 	/** Handles a message of a peer. */
-	takeMessage(from: string, message: PeerMessage, now: number): Outgoing[] {
+	handleMessage(from: string, message: PeerMessage, now: number): OutgoingMessage[] {
 		switch (message.kind) {
 			case 'hello':
 			case 'proof': {
@@ -124,12 +124,12 @@
 			}
 
 			case 'heartbeat': {
-				this.#takeHeartbeat(from, message, now);
+				this.#handleHeartbeat(from, message, now);
 				break;
 			}
 
 			case 'view': {
-				this.#takeRumours(message.members, now);
+				this.#applyUpdates(message.members, now);
 				break;
 			}
 
@@ -143,58 +143,58 @@
 			}
 
 			case 'changes': {
-				this.#announce(this.fanout.takeChanges(from, message.changes, now), from);
+				this.#announceChanges(this.fanout.applyChanges(from, message.changes, now), from);
 				break;
 			}
 
 			case 'snapshot': {
 				this.#options.listener.snapshotOffered(message.snapshot);
-				this.fanout.takeChanges(from, [], now);
+				this.fanout.applyChanges(from, [], now);
 				break;
 			}
 
 			case 'loads': {
-				const {learned, passOn} = this.knowledge.takeLoads(message, now);
-				this.#options.listener.loadsLearned(learned);
-				if (passOn !== undefined) {
-					this.#outbox.sendAll(passOn, from);
+				const {learned, forward: forwarded} = this.loadGossip.handleLoads(message, now);
+				this.#options.listener.loadsReceived(learned);
+				if (forwarded !== undefined) {
+					this.#outbox.sendAll(forwarded, from);
 				}
 
 				break;
 			}
 		}
 
-		return this.#outbox.take();
+		return this.#outbox.flush();
 	}
 
 	/** Announces to the peers a change that came into force here through the table or an operator. */
-	changeInForce(change: ConfigurationChange): Outgoing[] {
-		this.#announce([change], '');
-		return this.#outbox.take();
+	announceChange(change: ConfigurationChange): OutgoingMessage[] {
+		this.#announceChanges([change], '');
+		return this.#outbox.flush();
 	}
 
 	/** Handles a load report that this instance polled from an endpoint. */
-	takeReport(name: string, report: LoadReport, now: number): Outgoing[] {
-		const message = this.knowledge.takeReport(name, report, now);
+	handleReport(name: string, report: LoadReport, now: number): OutgoingMessage[] {
+		const message = this.loadGossip.handleReport(name, report, now);
 		if (message !== undefined) {
 			this.#outbox.sendAll(message);
 		}
 
-		return this.#outbox.take();
+		return this.#outbox.flush();
 	}
 
 	/** Announces the departure of this instance, so that its shards move to others at once. */
-	leave(): Outgoing[] {
+	leave(): OutgoingMessage[] {
 		this.#outbox.sendAll({...this.#heartbeat(), rumours: [{...this.membership.self, status: 'left'}]});
-		return this.#outbox.take();
+		return this.#outbox.flush();
 	}
 
 	/** Does what is due at a time. */
-	tick(now: number): Outgoing[] {
-		this.#spread(this.membership.tick(new Set(this.overlay.neighbours.keys()), now), now);
-		const rumours = this.#rumours.takeDue(now);
-		if (rumours.length > 0) {
-			this.#outbox.sendAll({...this.#heartbeat(), rumours});
+	tick(now: number): OutgoingMessage[] {
+		this.#spreadUpdates(this.membership.tick(new Set(this.overlay.neighbours.keys()), now), now);
+		const updates = this.#gossip.takeDue(now);
+		if (updates.length > 0) {
+			this.#outbox.sendAll({...this.#heartbeat(), rumours: updates});
 		}
 
 		if (now >= this.#nextHeartbeatAt) {
@@ -202,55 +202,55 @@
 			this.#nextHeartbeatAt = now + (heartbeatMilliseconds * (1 - (heartbeatJitter * this.#options.random())));
 		}
 
-		const ask = this.fanout.tick(now);
-		if (ask !== undefined) {
-			this.#outbox.send(ask.peer, {kind: 'ask-changes', after: ask.after});
+		const query = this.fanout.tick(now);
+		if (query !== undefined) {
+			this.#outbox.send(query.peer, {kind: 'ask-changes', after: query.after});
 		}
 
-		this.#tell(now);
-		this.#goneRetry.tick(() => this.membership.goneButListed(), now);
-		this.#shareOut();
-		return this.#outbox.take();
+		this.#publishLoads(now);
+		this.#failedMemberRetry.tick(() => this.membership.failedButListed(), now);
+		this.#assignOwners();
+		return this.#outbox.flush();
 	}
 
-	#takeHeartbeat(from: string, message: Extract<PeerMessage, {kind: 'heartbeat'}>, now: number): void {
-		this.membership.heard(from, message.incarnation, now);
-		this.#takeRumours(message.rumours ?? [], now);
-		this.fanout.takeAnnouncement(from, message.configurationVersion, now);
+	#handleHeartbeat(from: string, message: Extract<PeerMessage, {kind: 'heartbeat'}>, now: number): void {
+		this.membership.observe(from, message.incarnation, now);
+		this.#applyUpdates(message.rumours ?? [], now);
+		this.fanout.handleAnnouncement(from, message.configurationVersion, now);
 		const member = this.membership.member(from);
 		if (member?.status === 'gone') {
-			this.#outbox.send(from, {...this.#heartbeat(), rumours: [rumourOf(member)]});
-		} else if (member?.dataCentre === this.#options.self.dataCentre && message.viewDigest !== this.membership.viewDigest && this.#viewPace.takeTurn(from, now)) {
+			this.#outbox.send(from, {...this.#heartbeat(), rumours: [memberUpdateOf(member)]});
+		} else if (member?.dataCentre === this.#options.self.dataCentre && message.viewDigest !== this.membership.viewDigest && this.#viewRateLimiter.tryAcquire(from, now)) {
 			this.#outbox.send(from, {kind: 'view', members: this.membership.view()});
 		}
 	}
 
-	#takeRumours(rumours: readonly MemberRumour[], now: number): void {
-		const news = rumours
-			.map(rumour => this.membership.takeRumour(rumour, now))
+	#applyUpdates(updates: readonly MemberUpdate[], now: number): void {
+		const newUpdates = updates
+			.map(rumour => this.membership.applyUpdate(rumour, now))
 			.filter(rumour => rumour !== undefined);
-		this.#spread(news, now);
+		this.#spreadUpdates(newUpdates, now);
 	}
 
-	#spread(rumours: readonly MemberRumour[], now: number): void {
-		for (const rumour of rumours) {
+	#spreadUpdates(updates: readonly MemberUpdate[], now: number): void {
+		for (const rumour of updates) {
 			this.#options.listener.memberChanged(rumour);
 		}
 
-		for (const rumour of rumours) {
+		for (const rumour of updates) {
 			if (rumour.dataCentre === this.#options.self.dataCentre) {
-				this.#rumours.add(rumour, now);
+				this.#gossip.add(rumour, now);
 			}
 		}
 	}
 
-	#announce(changes: readonly ConfigurationChange[], from: string): void {
+	#announceChanges(changes: readonly ConfigurationChange[], from: string): void {
 		if (changes.length === 0) {
 			return;
 		}
 
 		for (const change of changes) {
-			this.fanout.keep(change);
+			this.fanout.retain(change);
 		}
 
 		const newest = changes.at(-1)!.version;
@@ -262,9 +262,9 @@
 		}
 	}
 
-	#tell(now: number): void {
+	#publishLoads(now: number): void {
 		const {cell} = this.overlay;
-		const message = this.knowledge.tell(cell.size, now);
+		const message = this.loadGossip.takeDueMessage(cell.size, now);
 		if (message !== undefined) {
 			for (const name of cell.keys()) {
 				this.#outbox.send(name, message);
@@ -272,13 +272,13 @@
 		}
 	}
 
-	#shareOut(): void {
+	#assignOwners(): void {
 		const {revision} = this.membership;
-		if (this.#sharedRevision !== revision) {
-			this.#sharedRevision = revision;
-			const shared = this.knowledge.shareOut(this.membership.allLive());
-			if (shared.taken + shared.released > 0) {
-				this.#options.listener.endpointsShared(shared);
+		if (this.#assignedRevision !== revision) {
+			this.#assignedRevision = revision;
+			const ownership = this.loadGossip.assignOwners(this.membership.allLive());
+			if (ownership.acquired + ownership.released > 0) {
+				this.#options.listener.ownershipChanged(ownership);
 			}
 		}
 	}
@@ -288,7 +288,7 @@
 			kind: 'heartbeat',
 			incarnation: this.membership.self.incarnation,
 			viewDigest: this.membership.viewDigest,
-			configurationVersion: this.#options.keeper.state.version,
+			configurationVersion: this.#options.configuration.state.version,
 		};
 	}
 }
--- a/src/peer/node/peer-outbox.ts
+++ b/src/peer/node/peer-outbox.ts
@@ -2,12 +2,12 @@
 import {type PeerMessage} from '../message/peer-message.js';
 
 /** A message and its receiver. */
-export type Outgoing = {to: string; message: PeerMessage};
+export type OutgoingMessage = {to: string; message: PeerMessage};
 
 export class PeerOutbox {
 	/** Peers with a link, whichever side opened it: each gets heartbeats, since it may expect them by its own view. */
 	readonly #linked = new Set<string>();
-	#outgoing: Outgoing[] = [];
+	#outgoing: OutgoingMessage[] = [];
 
 	get linked(): ReadonlySet<string> {
 		return this.#linked;
@@ -38,7 +38,7 @@
 	}
 
 	/** Returns the queued messages and empties the queue. */
-	take(): Outgoing[] {
+	flush(): OutgoingMessage[] {
 		const outgoing = this.#outgoing;
 		this.#outgoing = [];
 		return outgoing;
--- a/src/peer/node/view-pace.ts
+++ b/src/peer/node/view-rate-limiter.ts
@@ -3,9 +3,9 @@
  * in flight.
  */
 
-const pauseMilliseconds = 2000;
+const intervalMilliseconds = 2000;
 
-export class ViewPace {
+export class ViewRateLimiter {
 	readonly #random: () => number;
 	readonly #sentAt = new Map<string, number>();
 
@@ -15,14 +15,14 @@
 	}
 
 	/** Returns whether to send the view to a peer now; `true` counts as sent. The first difference only starts the interval. */
-	takeTurn(peer: string, now: number): boolean {
+	tryAcquire(peer: string, now: number): boolean {
 		const sentAt = this.#sentAt.get(peer);
 		if (sentAt === undefined) {
-			this.#sentAt.set(peer, now - (pauseMilliseconds * this.#random()));
+			this.#sentAt.set(peer, now - (intervalMilliseconds * this.#random()));
 			return false;
 		}
 
-		const isDue = now - sentAt >= pauseMilliseconds;
+		const isDue = now - sentAt >= intervalMilliseconds;
 		if (isDue) {
 			this.#sentAt.set(peer, now);
 		}
--- a/src/peer/sharing/rendezvous.ts
+++ b/src/peer/ownership/rendezvous.ts
@@ -25,7 +25,7 @@
  */
 export function bestMembers<Named extends {name: string; nameHash: number}>(key: number, members: readonly Named[], count: number): Named[] {
 	return members
-		.map(member => ({member, weight: mixed(member.nameHash, key)}))
+		.map(member => ({member, weight: combinedHash(member.nameHash, key)}))
 		.toSorted((left, right) => right.weight - left.weight || (left.member.name < right.member.name ? -1 : 1))
 		.slice(0, count)
 		.map(({member}) => member);
@@ -42,7 +42,7 @@
 	let best: Named | undefined;
 	let bestWeight = -1;
 	for (const member of members) {
-		const weight = mixed(member.nameHash, key);
+		const weight = combinedHash(member.nameHash, key);
 		if (weight > bestWeight || (weight === bestWeight && member.name < best!.name)) {
 			best = member;
 			bestWeight = weight;
@@ -53,7 +53,7 @@
 }
 
 /** The finalizer of MurmurHash3, applied to the sum: each bit of the input changes half of the output's bits on average. */
-function mixed(nameHash: number, key: number): number {
+function combinedHash(nameHash: number, key: number): number {
 	let hash = Math.imul(nameHash + key, 1);
 	hash = Math.imul(hash ^ (hash >>> 16), 0x85_EB_CA_6B); // eslint-disable-line no-bitwise -- the function is defined on bits
 	hash = Math.imul(hash ^ (hash >>> 13), 0xC2_B2_AE_35); // eslint-disable-line no-bitwise -- the function is defined on bits
--- a/src/platform/platform-catalog.ts
+++ b/src/platform/platform-catalog.ts
@@ -5,7 +5,7 @@
 	type Route, type RoutedConfiguration, type RoutedService, type WorkspaceGrant,
 } from '../shared/routed-configuration.js';
 import {type EndpointRecord} from '../shared/endpoint-record.js';
-import {type Catalog, type OperatorRow} from '../gateway/watchers/catalog.js';
+import {type StoreSchema, type OperatorRow} from '../gateway/watchers/store-schema.js';
 import {type JsonValue} from '../shared/types.js';
 
 const routeSchema = zod.object({
@@ -79,7 +79,7 @@
 const configurationKey = 'config';
 const weightsPrefix = 'version/';
 
-export const platformCatalog: Catalog = {
+export const platformCatalog: StoreSchema = {
 	operatorTable: 'op',
 	endpointTable: 'servers',
 	readOperatorRow(key, content): Either<string[], OperatorRow> {
--- a/src/platform/settings-file.test.ts
+++ b/src/platform/settings-file.test.ts
@@ -24,7 +24,7 @@
 	const settings = readSettingsFile(whole, 'boot.conf').unsafeCoerce();
 	assert.equal(settings.instance, 'front-split-1');
 	assert.equal(settings.bounds.graceMilliseconds, 8000);
-	assert.equal(settings.bounds.repeatRatio, 0.2);
+	assert.equal(settings.bounds.retryRatio, 0.2);
 	assert.equal(settings.bounds.leaseMilliseconds, 3000);
 });
 
