--- a/src/decision/admission/admission-window.ts
+++ b/src/decision/admission/admission-window.ts
@@ -101,7 +101,7 @@
 		};
 	}
 
-	#adjust(pressure: number, {inFlight: inFlight}: WindowUse, maxWindow: number): void {
+	#adjust(pressure: number, {inFlight}: WindowUse, maxWindow: number): void {
 		const window = this.#window ?? maxWindow / 2;
 		if (pressure > 1) {
 			this.#window = Math.max(minWindow, window * (1 - Math.min(maxShrink, shrinkShare * (pressure - 1))));
--- a/src/decision/admission/fair-share-admission.ts
+++ b/src/decision/admission/fair-share-admission.ts
@@ -200,7 +200,7 @@
 }
 
 /** Expected time from admission to first token of a normal request that is admitted now. */
-function firstTokenDelay({firstTokenMilliseconds: firstTokenMilliseconds, firstTokenAt: firstTokenAt}: ServiceState, now: number): number {
+function firstTokenDelay({firstTokenMilliseconds, firstTokenAt}: ServiceState, now: number): number {
 	return firstTokenMilliseconds * Math.exp(-(now - firstTokenAt) / firstTokenDecayMilliseconds);
 }
 
--- a/src/decision/placement/admit-prompt.ts
+++ b/src/decision/placement/admit-prompt.ts
@@ -9,7 +9,7 @@
  * Urgent prompts may evict others, so their limits are wider. An engine with nothing left to prefill accepts every
  * prompt, since it would be idle otherwise.
  */
-import {type EndpointLoad, unreadBefore} from './endpoint-load.js';
+import {type EndpointLoad, prefillTokensUpTo} from './endpoint-load.js';
 
 /** What a prompt needs from an engine. */
 export type PromptNeed = {
@@ -19,7 +19,7 @@
 	/** KV memory that it needs from start to end, in tokens. */
 	heldTokens: number;
 	/** Tokens that this engine would have to prefill for it. */
-	readTokens: number;
+	prefillTokens: number;
 };
 
 /**
@@ -44,12 +44,12 @@
  */
 export function admitsPrompt(need: PromptNeed, load: EndpointLoad, engine: {capacityTokens: number; tokensPerMillisecond: number}): boolean {
 	const rank = Math.min(maxWaitShares.length - 1, need.rank);
-	const tokensAhead = unreadBefore(load, rank);
-	if (unreadBefore(load, maxWaitShares.length - 1) === 0) {
+	const tokensAhead = prefillTokensUpTo(load, rank);
+	if (prefillTokensUpTo(load, maxWaitShares.length - 1) === 0) {
 		return true;
 	}
 
-	const waitMilliseconds = (tokensAhead + need.readTokens) / engine.tokensPerMillisecond;
+	const waitMilliseconds = (tokensAhead + need.prefillTokens) / engine.tokensPerMillisecond;
 	const isInTime = waitMilliseconds <= maxWaitShares[rank]! * need.objectiveMilliseconds;
 	const fits = load.heldTokens + need.heldTokens <= maxMemoryShares[rank]! * engine.capacityTokens;
 	return isInTime && fits;
--- a/src/decision/placement/candidate-estimator.ts
+++ b/src/decision/placement/candidate-estimator.ts
@@ -103,7 +103,7 @@
 		};
 		return request.prompt === undefined
 			? this.#estimateCall(endpoint, occupied)
-			: this.#estimatePrompt(request, endpoint, {isOwner: isOwner, shared, occupied}, now);
+			: this.#estimatePrompt(request, endpoint, {isOwner, shared, occupied}, now);
 	}
 
 	/**
@@ -123,8 +123,8 @@
 		return {endpoint, isAdmitted: occupancy < fullOccupancyFactor * slots, basis};
 	}
 
-	#estimatePrompt(request: PlacementRequest, endpoint: EndpointRecord, {isOwner: isOwner, shared, occupied}: EstimateInputs, now: number): Candidate {
-		const {load, includesOthers: includesOthers} = shared;
+	#estimatePrompt(request: PlacementRequest, endpoint: EndpointRecord, {isOwner, shared, occupied}: EstimateInputs, now: number): Candidate {
+		const {load, includesOthers} = shared;
 		const {occupancy, slots} = occupied;
 		const work = this.#workAt(request, endpoint, isOwner, now);
 		const before = prefillTokensAhead(load, request.rank, slots);
@@ -165,14 +165,14 @@
 	}
 
 	/** Accepts every prompt while the load of the other instances is unknown; the engine's own queue is the limit then. */
-	#admits(request: PlacementRequest, readTokens: number, load: EndpointLoad | undefined): boolean {
+	#admits(request: PlacementRequest, prefillTokens: number, load: EndpointLoad | undefined): boolean {
 		const capacityTokens = request.engine?.capacityTokens ?? 0;
 		if (load === undefined || capacityTokens === 0) {
 			return true;
 		}
 
 		return admitsPrompt({
-			rank: request.rank, objectiveMilliseconds: request.objectiveMilliseconds, heldTokens: heldTokensOf(request), readTokens,
+			rank: request.rank, objectiveMilliseconds: request.objectiveMilliseconds, heldTokens: heldTokensOf(request), prefillTokens,
 		}, load, {capacityTokens, tokensPerMillisecond: this.#state.prefillSpeedOf(request.service).tokensPerMillisecond});
 	}
 
@@ -187,7 +187,7 @@
 		const since = cached === undefined ? Number.NEGATIVE_INFINITY : now - sentBlockLifetimeMilliseconds;
 		const isPresumed = (index: number): boolean => isOwner && cached === undefined && index < parts.length - 1;
 		return promptWork(request.prompt!, {
-			keptTokens: index => isPresumed(index) ? parts[index]!.tokens : Math.max(cached?.[index] ?? 0, sentBlocks.cachedTokens(scope, parts[index]!, since)),
+			cachedTokens: index => isPresumed(index) ? parts[index]!.tokens : Math.max(cached?.[index] ?? 0, sentBlocks.cachedTokens(scope, parts[index]!, since)),
 			isFetchable: index => fetchable[index] ?? false,
 		});
 	}
--- a/src/decision/placement/cost-placement.ts
+++ b/src/decision/placement/cost-placement.ts
@@ -17,7 +17,7 @@
 import {type EndpointRecord, incarnationOf} from '../../shared/endpoint-record.js';
 import {CandidateEstimator, heldTokensOf, cacheScopeAt} from './candidate-estimator.js';
 import {
-	type EndpointLoad, isUnresponsive, unresponsiveOwnViewMilliseconds, unresponsiveMilliseconds, unreadBefore,
+	type EndpointLoad, isUnresponsive, unresponsiveOwnViewMilliseconds, unresponsiveMilliseconds, prefillTokensUpTo,
 } from './endpoint-load.js';
 import {PlacementState} from './placement-state.js';
 import {ownersOf} from './prompt-owners.js';
@@ -144,7 +144,7 @@
 	}
 
 	isUnresponsive(endpoint: EndpointRecord, now: number): boolean {
-		const {load, includesOthers: includesOthers} = this.#estimator.loadAt(endpoint, now);
+		const {load, includesOthers} = this.#estimator.loadAt(endpoint, now);
 		return isUnresponsive(load, includesOthers ? unresponsiveMilliseconds : unresponsiveOwnViewMilliseconds);
 	}
 
@@ -166,7 +166,7 @@
 	/** Retry delay of a refused caller: until the least loaded engine has prefilled what is ahead of such a prompt. */
 	#overloadRetryDelay(request: PlacementRequest, endpoints: readonly EndpointRecord[], now: number): number {
 		const speed = this.#state.prefillSpeedOf(request.service).tokensPerMillisecond;
-		const waits = endpoints.map(endpoint => unreadBefore(this.#estimator.loadAt(endpoint, now).load, request.rank) / speed);
+		const waits = endpoints.map(endpoint => prefillTokensUpTo(this.#estimator.loadAt(endpoint, now).load, request.rank) / speed);
 		const wait = Math.min(maxOverloadRetryMilliseconds, overloadRetryMilliseconds + Math.min(...waits));
 		return spreadRetry(wait, request.id);
 	}
--- a/src/decision/placement/endpoint-load.ts
+++ b/src/decision/placement/endpoint-load.ts
@@ -32,7 +32,7 @@
 }
 
 /** Tokens to prefill of a rank and all more urgent ones; engines prefill more urgent prompts first. */
-export function unreadBefore({pendingPrefillTokens: pendingPrefillTokens}: EndpointLoad, rank: number): number {
+export function prefillTokensUpTo({pendingPrefillTokens}: EndpointLoad, rank: number): number {
 	return pendingPrefillTokens.slice(0, rank + 1).reduce((sum, tokens) => sum + tokens, 0);
 }
 
@@ -45,7 +45,7 @@
  * @param rank - The prompt's rank.
  * @param slots - Requests that the engine runs concurrently.
  */
-export function prefillTokensAhead({requests, pendingPrefillTokens: pendingPrefillTokens}: EndpointLoad, rank: number, slots: number): number {
+export function prefillTokensAhead({requests, pendingPrefillTokens}: EndpointLoad, rank: number, slots: number): number {
 	const admittedShare = Math.min(1, slots / Math.max(1, requests));
 	return pendingPrefillTokens.reduce((sum, tokens, other) => sum + (other <= rank ? tokens : admittedShare * tokens), 0);
 }
@@ -64,6 +64,6 @@
 export const unresponsiveOwnViewMilliseconds = 1400;
 
 /** Whether an endpoint has had a request waiting and sent no byte for longer than a limit in milliseconds. */
-export function isUnresponsive({oldestWaitMilliseconds, lastByteAgoMilliseconds: lastByteAgoMilliseconds}: EndpointLoad, limitMilliseconds = unresponsiveMilliseconds): boolean {
+export function isUnresponsive({oldestWaitMilliseconds, lastByteAgoMilliseconds}: EndpointLoad, limitMilliseconds = unresponsiveMilliseconds): boolean {
 	return oldestWaitMilliseconds > limitMilliseconds && lastByteAgoMilliseconds > limitMilliseconds;
 }
--- a/src/decision/placement/endpoint-tracker.ts
+++ b/src/decision/placement/endpoint-tracker.ts
@@ -137,7 +137,7 @@
 		}
 
 		return {
-			requests: this.#requests.size, pendingPrefillTokens: pendingPrefillTokens, heldTokens, oldestWaitMilliseconds: now - oldest, lastByteAgoMilliseconds: now - this.#lastByteAt,
+			requests: this.#requests.size, pendingPrefillTokens, heldTokens, oldestWaitMilliseconds: now - oldest, lastByteAgoMilliseconds: now - this.#lastByteAt,
 		};
 	}
 
--- a/src/decision/placement/prompt-work.ts
+++ b/src/decision/placement/prompt-work.ts
@@ -8,7 +8,7 @@
 /** Where the blocks of a prompt are cached, by their index in the prompt. */
 export type BlockSources = {
 	/** Tokens of a block that the engine has cached. */
-	keptTokens(index: number): number;
+	cachedTokens(index: number): number;
 	/** Whether a store or another engine has the whole block. */
 	isFetchable(index: number): boolean;
 };
@@ -32,7 +32,7 @@
 	let keptTokens = 0;
 	let fetchTokens = 0;
 	for (const [index, {tokens}] of parts.entries()) {
-		const cached = Math.min(tokens, sources.keptTokens(index));
+		const cached = Math.min(tokens, sources.cachedTokens(index));
 		if (cached < tokens && index < parts.length - 1 && sources.isFetchable(index)) {
 			fetchTokens += tokens;
 			continue;
--- a/src/decision/placement/shortlist.ts
+++ b/src/decision/placement/shortlist.ts
@@ -37,7 +37,7 @@
 		return [...endpoints];
 	}
 
-	const {id, prompt, cacheScope, attempted: attempted} = request;
+	const {id, prompt, cacheScope, attempted} = request;
 	const chosen = new Set(prompt === undefined ? [] : ownersOf(prompt, cacheScope, endpoints, ownerCount));
 	const near = endpoints.filter(endpoint => endpoint.dataCentre === dataCentre);
 	const seed = `${id}|${attempted.size}|${sample}`;
--- a/src/decision/routing/expected-first-token-policy.ts
+++ b/src/decision/routing/expected-first-token-policy.ts
@@ -182,7 +182,7 @@
 	}
 
 	#estimate(request: RouteRequest, endpoint: EndpointView, known: PrefixKnowledge, now: number): Estimate {
-		const {blockTokens: blockTokens} = this.#settings;
+		const {blockTokens} = this.#settings;
 		const rate = Math.max(1, endpoint.load?.prefillTokensPerSecond ?? 1000);
 		const slowness = this.#historyOf(endpoint.name).slownessAt(now, this.#usualRatio);
 		const wait = this.#waitAt(request, endpoint, rate, now) * slowness;
@@ -226,7 +226,7 @@
 	}
 
 	/** Cost of the blocks that non-urgent work would evict, by how much urgent work has its prefixes at the endpoint. */
-	#evictionCost({priority, pieceKeys}: RouteRequest, endpoint: EndpointView, {cached: cached, meanUrgentSends}: PrefixKnowledge, now: number): number {
+	#evictionCost({priority, pieceKeys}: RouteRequest, endpoint: EndpointView, {cached, meanUrgentSends}: PrefixKnowledge, now: number): number {
 		if (priority === 'urgent' || meanUrgentSends === 0) {
 			return 0;
 		}
--- a/src/gateway/coordinator/block-directory.ts
+++ b/src/gateway/coordinator/block-directory.ts
@@ -48,7 +48,7 @@
 	}
 
 	/** Answers a query about the blocks of one prompt. */
-	answer({endpoints, keys, partCount}: PlacementQuery, {stores, isUpToDate: isUpToDate, requestsAt}: HolderStates): BlocksAnswer {
+	answer({endpoints, keys, partCount}: PlacementQuery, {stores, isUpToDate, requestsAt}: HolderStates): BlocksAnswer {
 		if (keys.length === 0) {
 			return {kept: [], engines: [], unknown: []};
 		}
--- a/src/gateway/coordinator/cache-store-manager.ts
+++ b/src/gateway/coordinator/cache-store-manager.ts
@@ -52,7 +52,7 @@
 	 * the manager before knew it: if that is unchanged, the store has not restarted since, and no block in it is being written
 	 * again.
 	 */
-	constructor(service: string, store: StoreTraits, dependencies: CacheStoreManagerDependencies, {lastPublishedAt: lastPublishedAt, handoverEpoch: handoverEpoch}: {lastPublishedAt: number; handoverEpoch: number | undefined}) {
+	constructor(service: string, store: StoreTraits, dependencies: CacheStoreManagerDependencies, {lastPublishedAt, handoverEpoch}: {lastPublishedAt: number; handoverEpoch: number | undefined}) {
 		this.inventory = new StoreInventory(store.capacityTokens);
 		this.#service = service;
 		this.#store = store;
--- a/src/gateway/coordinator/cache-store-managers.ts
+++ b/src/gateway/coordinator/cache-store-managers.ts
@@ -34,7 +34,7 @@
 		this.#fencingNumber = fencingNumber;
 		for (const [name, store] of stores) {
 			if (!this.#managers.has(name)) {
-				const manager = new CacheStoreManager(name, store, this.#dependenciesUntil(signal), {lastPublishedAt: lastPublishedAt, handoverEpoch: epochs[name]});
+				const manager = new CacheStoreManager(name, store, this.#dependenciesUntil(signal), {lastPublishedAt, handoverEpoch: epochs[name]});
 				this.#managers.set(name, manager);
 				void this.#run(name, manager, signal);
 			}
@@ -53,7 +53,7 @@
 
 		this.#managing?.abort();
 		this.#managing = undefined;
-		for (const [name, {inventory: inventory}] of this.#managers) {
+		for (const [name, {inventory}] of this.#managers) {
 			this.#dependencies.publish(name, inventory.close(now));
 		}
 
@@ -72,13 +72,13 @@
 
 	/** Stores that blocks may be saved to and fetched from, and the tokens of the blocks that they offer. */
 	openStores(): Array<[store: string, heldTokens: number]> {
-		return [...this.#managers].filter(([, {isOpen}]) => isOpen).map(([name, {inventory: inventory}]) => [name, inventory.offeredTokens]);
+		return [...this.#managers].filter(([, {isOpen}]) => isOpen).map(([name, {inventory}]) => [name, inventory.offeredTokens]);
 	}
 
 	/** Records that blocks were used. */
 	recordUses(keys: readonly string[]): void {
 		const now = this.#dependencies.clock.moment().steady;
-		for (const {inventory: inventory} of this.#managers.values()) {
+		for (const {inventory} of this.#managers.values()) {
 			for (const key of keys) {
 				inventory.markUsed(key, now);
 			}
--- a/src/gateway/coordinator/coordinator-client.ts
+++ b/src/gateway/coordinator/coordinator-client.ts
@@ -211,7 +211,7 @@
 		const now = this.#clock.moment();
 		this.#number++;
 		this.#lastQueryAt = now.steady;
-		this.#pending.set(this.#number, {sentAt: now, query: query});
+		this.#pending.set(this.#number, {sentAt: now, query});
 		const {instance, cores} = this.#follower;
 		const frame: FollowerFrame = {
 			kind: 'ask', number: this.#number, instance, cores, uses: this.#follower.takeUses(), loads: this.#follower.loads(), about: query, places: this.#follower.cursors(),
--- a/src/gateway/coordinator/coordinator-messages.ts
+++ b/src/gateway/coordinator/coordinator-messages.ts
@@ -17,7 +17,7 @@
 /** One day: an upper bound of the time since the last byte, which also stands for an endpoint that has never sent one. */
 const maxLastByteAgoMilliseconds = 86_400_000;
 
-export function packLoad({requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: lastByteAgoMilliseconds, pendingPrefillTokens: pendingPrefillTokens}: EndpointLoad): PackedLoad {
+export function packLoad({requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds, pendingPrefillTokens}: EndpointLoad): PackedLoad {
 	return [requests, heldTokens, Math.round(oldestWaitMilliseconds), Math.round(Math.min(maxLastByteAgoMilliseconds, lastByteAgoMilliseconds)), ...pendingPrefillTokens];
 }
 
@@ -28,7 +28,7 @@
 
 export function unpackLoad([requests = 0, heldTokens = 0, oldestWaitMilliseconds = 0, lastByteAgoMilliseconds = maxLastByteAgoMilliseconds, ...pendingPrefillTokens]: PackedLoad): EndpointLoad {
 	return {
-		requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds: lastByteAgoMilliseconds, pendingPrefillTokens: pendingPrefillTokens,
+		requests, heldTokens, oldestWaitMilliseconds, lastByteAgoMilliseconds, pendingPrefillTokens,
 	};
 }
 
--- a/src/gateway/coordinator/coordinator-pair.ts
+++ b/src/gateway/coordinator/coordinator-pair.ts
@@ -40,7 +40,7 @@
 	readonly #coordinators: Record<CoordinatorRole, Coordinator>;
 
 	constructor(context: CoordinatorContext, dependencies: CoordinatorPairDependencies) {
-		const {view, follower: follower} = dependencies;
+		const {view, follower} = dependencies;
 		this.#clients = {
 			hub: new CoordinatorClient(view, {
 				...follower,
@@ -97,22 +97,22 @@
 		await Promise.all(Object.values(this.#coordinators).map(async coordinator => coordinator.resign()));
 	}
 
-	#create(role: CoordinatorRole, context: CoordinatorContext, {store, control, addresses, follower: follower, tableUpdates: tableUpdates}: CoordinatorPairDependencies): Coordinator {
+	#create(role: CoordinatorRole, context: CoordinatorContext, {store, control, addresses, follower, tableUpdates}: CoordinatorPairDependencies): Coordinator {
 		const {instance, cores} = follower;
 		const other: CoordinatorRole = role === 'hub' ? 'hub-deputy' : 'hub';
 		const address = addresses[role];
 		const election = new LeaderElection({
-			table: coordinatorLeaseTable, lease: role, instance, address, leaseMilliseconds, grantMilliseconds: grantMilliseconds, acquisitionDelayMilliseconds: (): number => coordinator.acquisitionDelayMilliseconds(),
+			table: coordinatorLeaseTable, lease: role, instance, address, leaseMilliseconds, grantMilliseconds, acquisitionDelayMilliseconds: (): number => coordinator.acquisitionDelayMilliseconds(),
 		}, {store, clock: context.clock, log: context.log});
 		const coordinator: Coordinator = new Coordinator(context, {
 			role,
 			instance,
 			address,
-			election: election,
+			election,
 			client: this.#clients[role],
 			control,
 			cores,
-			tableUpdates: tableUpdates,
+			tableUpdates,
 			// Called for the first time while the other role does not exist yet.
 			holdsOtherLease: () => (this.#coordinators as Record<CoordinatorRole, Coordinator> | undefined)?.[other].holdsLease() ?? false,
 			isOtherUp: () => this.#clients[other].isResponsive,
--- a/src/gateway/coordinator/coordinator-view.ts
+++ b/src/gateway/coordinator/coordinator-view.ts
@@ -60,11 +60,11 @@
 		this.#engineClock.clear();
 		this.#engineClock.record(clock, now.steady);
 		for (const [endpoint, load] of Object.entries(loads)) {
-			remember(this.#loads, endpoint, {queriedAt: queriedAt, load}, maxLoads);
+			remember(this.#loads, endpoint, {queriedAt, load}, maxLoads);
 		}
 
 		const unknown = new Set(parts.unknown);
-		const locations = keys.map((): BlockLocations => ({queriedAt: queriedAt, holders: new Map(), unknown}));
+		const locations = keys.map((): BlockLocations => ({queriedAt, holders: new Map(), unknown}));
 		for (const [holder, cachedBlocks] of parts.kept) {
 			for (const [index, tokens] of cachedBlocks) {
 				locations[index]?.holders.set(holder, tokens);
--- a/src/gateway/coordinator/coordinator.ts
+++ b/src/gateway/coordinator/coordinator.ts
@@ -107,7 +107,7 @@
 		};
 
 		this.#stores = new CacheStoreManagers({
-			control, clock, log, publish: publish, holdsLease: () => this.holdsLease(), isExpired: salt => isExpiredSalt(salt, context.endpoints.all()),
+			control, clock, log, publish, holdsLease: () => this.holdsLease(), isExpired: salt => isExpiredSalt(salt, context.endpoints.all()),
 		});
 		this.#engines = new EngineCacheWatchers({
 			control,
@@ -153,7 +153,7 @@
 	 * must not wait for them.
 	 */
 	step(): void {
-		const {election: election, client} = this.#options;
+		const {election, client} = this.#options;
 		const isActive = !this.#hasResigned;
 		this.#steps++;
 		if (isActive && this.holdsLease() && this.#mustYieldLease()) {
@@ -181,7 +181,7 @@
 
 	/** Whether followers are served: under the lease, and for a while after it has lapsed. */
 	isServing(): boolean {
-		const {election: election, instance} = this.#options;
+		const {election, instance} = this.#options;
 		const hasSuccessor = election.lastSeenRow !== undefined && election.lastSeenRow.holder !== instance;
 		return !this.#hasResigned && (this.holdsLease() || (!hasSuccessor && this.#now() - this.#lastHeldAt < lapsedServingMilliseconds));
 	}
@@ -249,9 +249,9 @@
 
 	/** Reads the lease row: acquires the lease if it is free, otherwise dials its holder. */
 	async #search(): Promise<void> {
-		const {election: election, client, instance, address} = this.#options;
+		const {election, client, instance, address} = this.#options;
 		await (this.#mustYieldLease() ? election.readHolder() : election.acquireOrRenew());
-		const {lastSeenRow: lastSeenRow} = election;
+		const {lastSeenRow} = election;
 		const coordinatorAddress = this.holdsLease() ? address : lastSeenRow?.address ?? '';
 		const isOther = this.holdsLease() || lastSeenRow?.holder !== instance;
 		if (coordinatorAddress !== '' && isOther && client.address !== coordinatorAddress) {
@@ -298,7 +298,7 @@
 	}
 
 	#acquisitionDelay(): number {
-		const {client, cores, holdsOtherLease: holdsOtherLease, otherDataCentre} = this.#options;
+		const {client, cores, holdsOtherLease, otherDataCentre} = this.#options;
 		return leaseAcquisitionDelay({
 			cores, maxCores: client.maxCores, holdsOtherLease: holdsOtherLease(), isCoLocated: otherDataCentre() === this.#context.dataCentre,
 		});
--- a/src/gateway/coordinator/engine-cache-watchers.ts
+++ b/src/gateway/coordinator/engine-cache-watchers.ts
@@ -48,7 +48,7 @@
 
 	/** The engines' clock in milliseconds, if any engine has reported it. */
 	engineClock(): number | undefined {
-		return [...this.#watched.values()].map(({watcher: watcher}) => watcher.engineClock).find(clock => clock !== undefined);
+		return [...this.#watched.values()].map(({watcher}) => watcher.engineClock).find(clock => clock !== undefined);
 	}
 
 	#start(engine: EndpointRecord): void {
@@ -70,7 +70,7 @@
 
 	/** Removes a watcher that fails; the next call of `watch` starts a new one. */
 	async #run(watched: WatchedEngine): Promise<void> {
-		const {watcher: watcher, stop, engine} = watched;
+		const {watcher, stop, engine} = watched;
 		try {
 			await watcher.run(stop.signal);
 		} catch (error) {
--- a/src/gateway/coordinator/lease-acquisition-delay.ts
+++ b/src/gateway/coordinator/lease-acquisition-delay.ts
@@ -30,7 +30,7 @@
 const coLocatedDelayMilliseconds = 300;
 
 /** Returns how long an instance waits for others to acquire a lease, in milliseconds. */
-export function leaseAcquisitionDelay({cores, maxCores: maxCores, holdsOtherLease: holdsOtherLease, isCoLocated: isCoLocated}: LeaseCandidate): number {
+export function leaseAcquisitionDelay({cores, maxCores, holdsOtherLease, isCoLocated}: LeaseCandidate): number {
 	const largeCores = maxCores === 0 ? defaultLargeCores : largeShare * maxCores;
 	return (cores < largeCores ? smallMachineDelayMilliseconds : 0)
 		+ (holdsOtherLease ? otherLeaseDelayMilliseconds : 0)
--- a/src/gateway/data-path/answer-transfer.ts
+++ b/src/gateway/data-path/answer-transfer.ts
@@ -94,7 +94,7 @@
  * @returns `in-order` if all of the body arrived, otherwise why the rest is missing.
  */
 export function classifyBodyEnd({
-	framing, promisedBytes, isComplete, stopsWithinEvent: stopsWithinEvent, connectionEnd,
+	framing, promisedBytes, isComplete, stopsWithinEvent, connectionEnd,
 }: AnswerEnd, bodyBytes: number): BodyEnd {
 	const isWhole = isComplete && {
 		length: bodyBytes === promisedBytes,
--- a/src/gateway/data-path/attempt-watch.ts
+++ b/src/gateway/data-path/attempt-watch.ts
@@ -91,7 +91,7 @@
 	}
 
 	#isUnresponsive(): boolean {
-		const {response, splitter: splitter} = this.#work;
+		const {response, splitter} = this.#work;
 		const mayBeCancelled = !response.headersSent || (splitter !== undefined && !response.writableNeedDrain);
 		return mayBeCancelled && (this.#context.placement.isUnresponsive(this.#target.endpoint, this.#now()) || this.#isEngineStopped());
 	}
--- a/src/gateway/data-path/endpoint-attempt.ts
+++ b/src/gateway/data-path/endpoint-attempt.ts
@@ -52,7 +52,7 @@
 	/** Sends the request and relays the answer. */
 	async run(): Promise<AttemptResult> {
 		const {placement, exchanges, names, metrics} = this.#context;
-		const {head, permitted, body, splitter: splitter, deadline} = this.#work;
+		const {head, permitted, body, splitter, deadline} = this.#work;
 		const {endpoint, request, basis} = this.#target;
 		placement.observe({
 			kind: 'sent', request, endpoint, basis,
@@ -155,7 +155,7 @@
 
 	async #relay(answer: EndpointAnswer): Promise<AttemptResult> {
 		const {placement, names, log} = this.#context;
-		const {head, response, splitter: splitter} = this.#work;
+		const {head, response, splitter} = this.#work;
 		const {endpoint, request, onFirstBytes} = this.#target;
 		const {outcome, ...read} = await relayAnswer({
 			answer,
@@ -213,7 +213,7 @@
 
 	/** Explains why an attempt failed. The endpoint must not be blamed for an attempt that this process cancelled. */
 	#detailOf(observedDetail: string): string {
-		const {cancelReason: cancelReason} = this.#watch;
+		const {cancelReason} = this.#watch;
 		if (cancelReason !== undefined) {
 			return cancelDetails[cancelReason];
 		}
@@ -226,7 +226,7 @@
 			return outcome;
 		}
 
-		const {cancelReason: cancelReason} = this.#watch;
+		const {cancelReason} = this.#watch;
 		if (this.#isCancelled || cancelReason === 'older-weights' || outcome === 'client-left') {
 			return 'cancelled';
 		}
--- a/src/gateway/data-path/endpoint-headers.ts
+++ b/src/gateway/data-path/endpoint-headers.ts
@@ -74,7 +74,7 @@
  * The salt names both, and the engine rejects the request if it no longer has those weights, so no block under this salt was
  * computed otherwise.
  */
-function addPromptHeaders({head, permitted, endpoint, blockTransfers: blockTransfers}: SendPlan, names: WireNames, add: (name: string, value: string) => void): void {
+function addPromptHeaders({head, permitted, endpoint, blockTransfers}: SendPlan, names: WireNames, add: (name: string, value: string) => void): void {
 	if (head.prompt === undefined || !permitted.route.carriesPrompt) {
 		return;
 	}
--- a/src/gateway/data-path/placement-request.ts
+++ b/src/gateway/data-path/placement-request.ts
@@ -16,7 +16,7 @@
 export function placementRequestOf(context: GatewayContext, {head, permitted}: {head: RequestHead; permitted: PermittedRequest}, attempted: ReadonlySet<string>): PlacementRequest {
 	const sources = new PromptBlockSources(context, head, permitted);
 	const now = context.clock.moment();
-	const goal = context.goals.targetFor(head.prompt?.model ?? '');
+	const goal = context.weightTargets.targetFor(head.prompt?.model ?? '');
 	return {
 		id: head.attemptId,
 		service: permitted.service,
@@ -25,12 +25,12 @@
 		prompt: permitted.route.carriesPrompt ? head.prompt : undefined,
 		cacheScope: cacheScopeOf(permitted),
 		engine: context.configuration.current?.services.get(permitted.service)?.engine,
-		attempted: attempted,
+		attempted,
 		fetchableUnder: version => sources.fetchableUnder(version),
 		isSourceNear: endpoint => sources.isSourceNear(endpoint),
 		cachedTokensAt: endpoint => sources.cachedTokensAt(endpoint),
 		wantedVersion: goal?.version,
-		olderWeightsUntil: weightVersion => goal === undefined ? Number.POSITIVE_INFINITY : now.steady + context.goals.remainingMilliseconds(goal, now, weightVersion),
+		olderWeightsUntil: weightVersion => goal === undefined ? Number.POSITIVE_INFINITY : now.steady + context.weightTargets.remainingMilliseconds(goal, now, weightVersion),
 		loading: context.loadingEngines.current,
 	};
 }
--- a/src/gateway/data-path/plan-block-transfers.ts
+++ b/src/gateway/data-path/plan-block-transfers.ts
@@ -7,7 +7,7 @@
 import {PromptBlockSources, type SourceContext} from './prompt-block-sources.js';
 import {type RequestHead} from './request-head.js';
 
-type BlockTransferContext = SourceContext & Pick<GatewayContext, 'partPlanner'>;
+type BlockTransferContext = SourceContext & Pick<GatewayContext, 'blockPlanner'>;
 
 /**
  * Plans the block transfers for one send of a request.
@@ -18,16 +18,16 @@
 export function planBlockTransfers(context: BlockTransferContext, {head, permitted}: {head: RequestHead; permitted: PermittedRequest}, endpoint: EndpointRecord): BlockTransfers | undefined {
 	const version = endpoint.weightVersions.get(head.prompt?.model ?? '');
 	const now = context.clock.moment();
-	const engineClock = context.hubView.engineClock(now);
+	const engineClock = context.coordinatorView.engineClock(now);
 	const sources = new PromptBlockSources(context, head, permitted);
 	if (!permitted.route.carriesPrompt || version === undefined || engineClock === undefined || sources.sharedBlocks.length === 0) {
 		return undefined;
 	}
 
 	const known = sources.blockLocatorFor(endpoint);
-	const plan = context.partPlanner.plan(sources.sharedBlocks, sources.saltUnder(version), {stores: sources.stores, known}, now.steady);
+	const plan = context.blockPlanner.plan(sources.sharedBlocks, sources.saltUnder(version), {stores: sources.stores, known}, now.steady);
 	for (const key of plan.used) {
-		context.hubView.recordUse(key);
+		context.coordinatorView.recordUse(key);
 	}
 
 	return {fetchFrom: plan.fetchFrom, saveTo: plan.saveTo, fetchUntil: engineClock + fetchTimeoutMilliseconds};
--- a/src/gateway/data-path/prompt-block-sources.ts
+++ b/src/gateway/data-path/prompt-block-sources.ts
@@ -12,7 +12,7 @@
 import {type PermittedRequest} from './validate-request.js';
 import {type RequestHead} from './request-head.js';
 
-export type SourceContext = Pick<GatewayContext, 'clock' | 'configuration' | 'endpoints' | 'hubView' | 'loadingEngines' | 'placement'>;
+export type SourceContext = Pick<GatewayContext, 'clock' | 'configuration' | 'endpoints' | 'coordinatorView' | 'loadingEngines' | 'placement'>;
 
 /** Blocks are queried under this many versions of the weights; while new weights are loaded, engines have two. */
 const maxVersions = 2;
@@ -61,7 +61,7 @@
 		const {stores} = this;
 		const fetchable = this.sharedBlocks.map(({id}) => {
 			const key = blockKey({salt: this.saltUnder(version), id});
-			return stores.some(({name}) => this.#context.hubView.holds(name, key, this.#now)) || this.#enginesWith(key).length > 0;
+			return stores.some(({name}) => this.#context.coordinatorView.holds(name, key, this.#now)) || this.#enginesWith(key).length > 0;
 		});
 		this.#fetchable.set(version, fetchable);
 		return fetchable;
@@ -76,7 +76,7 @@
 		}
 
 		const key = blockKey({salt: this.saltUnder(version), id: block.id});
-		const holder = this.stores.find(({name}) => this.#context.hubView.holds(name, key, this.#now));
+		const holder = this.stores.find(({name}) => this.#context.coordinatorView.holds(name, key, this.#now));
 		return holder === undefined
 			? this.#enginesWith(key).some(engine => engine.dataCentre === dataCentre)
 			: holder.store.dataCentre === dataCentre;
@@ -89,7 +89,7 @@
 			return undefined;
 		}
 
-		const cachedTokens = this.#keysUnder(version).map(key => this.#context.hubView.tokensAt(name, key, this.#now));
+		const cachedTokens = this.#keysUnder(version).map(key => this.#context.coordinatorView.tokensAt(name, key, this.#now));
 		return cachedTokens.includes(undefined) ? undefined : cachedTokens as number[];
 	}
 
@@ -105,14 +105,14 @@
 
 	/** Engines that are known to cache a block of the prompt. */
 	cachingEngines(): EndpointRecord[] {
-		const {endpoints, hubView} = this.#context;
+		const {endpoints, coordinatorView: hubView} = this.#context;
 		const names = new Set(this.query([]).keys.flatMap(key => hubView.enginesWith(key, this.#now)));
 		return endpoints.usable(this.#service, this.#now.steady).filter(({name}) => names.has(name));
 	}
 
 	/** What is known about the sources that an engine can fetch blocks from. */
 	blockLocatorFor(target: EndpointRecord): BlockLocator {
-		const {hubView} = this.#context;
+		const {coordinatorView: hubView} = this.#context;
 		return {
 			isOpen: store => hubView.isOpen(store, this.#now),
 			holds: (store, key) => hubView.holds(store, key, this.#now),
@@ -131,7 +131,7 @@
 
 	/** Engines that cache a block and can send it. One that loads weights or is unresponsive would let the fetch time out. */
 	#enginesWith(key: string): EndpointRecord[] {
-		const {endpoints, hubView, loadingEngines, placement} = this.#context;
+		const {endpoints, coordinatorView: hubView, loadingEngines, placement} = this.#context;
 		return hubView.enginesWith(key, this.#now)
 			.map(name => endpoints.byName(name))
 			.filter((engine): engine is EndpointRecord => engine?.service === this.#service && engine.state === 'ready'
--- a/src/gateway/data-path/relay-answer.ts
+++ b/src/gateway/data-path/relay-answer.ts
@@ -42,7 +42,7 @@
  * @param relay - The answer and the response to the caller.
  * @returns How it ended. After `whole` the response is ended, otherwise it is left open.
  */
-export async function relayAnswer({answer, response, splitter: splitter, onFirstBytes, onBytes, onFault}: Relay): Promise<Relayed> {
+export async function relayAnswer({answer, response, splitter, onFirstBytes, onBytes, onFault}: Relay): Promise<Relayed> {
 	const {body} = answer;
 	const boundaryTracker = new EventBoundaryTracker();
 	const isEventStream = answer.header('content-type')?.toLowerCase().startsWith('text/event-stream') ?? false;
--- a/src/gateway/data-path/request-head.ts
+++ b/src/gateway/data-path/request-head.ts
@@ -58,7 +58,7 @@
 	}
 
 	return {
-		model, promptTokens, maxOutputTokens: maxOutputTokens, blocks: parseBlocks(promptBlocks ?? ''),
+		model, promptTokens, maxOutputTokens, blocks: parseBlocks(promptBlocks ?? ''),
 	};
 }
 
--- a/src/gateway/gateway-context.ts
+++ b/src/gateway/gateway-context.ts
@@ -25,11 +25,11 @@
 	placement: PlacementPolicy;
 	retryBudget: SharedRetryBudget;
 	exchanges: EndpointExchanges;
-	goals: WeightTargets;
+	weightTargets: WeightTargets;
 	loadingEngines: LoadingEngines;
-	hubView: CoordinatorView;
+	coordinatorView: CoordinatorView;
 	peerUpdates: PeerUpdates;
-	partPlanner: BlockPlanner;
+	blockPlanner: BlockPlanner;
 	eventLoopLag: Pick<EventLoopLag, 'current'>;
 	log: DecisionLog;
 	metrics: GatewayMetrics;
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -108,13 +108,13 @@
 			...shared,
 			names: ports.names,
 			placement: this.#placement,
-			hubView: coordinatorView,
+			coordinatorView,
 			peerUpdates: this.#coordinators.peerUpdates,
-			partPlanner: new BlockPlanner(),
+			blockPlanner: new BlockPlanner(),
 			eventLoopLag: this.#eventLoopLag,
 			retryBudget: new SharedRetryBudget({ratio: settings.bounds.retryRatio, windowMilliseconds: settings.bounds.retryWindowMilliseconds}),
 			exchanges: this.#exchanges,
-			goals: new WeightTargets(settings.bounds.weightsMilliseconds),
+			weightTargets: new WeightTargets(settings.bounds.weightsMilliseconds),
 			loadingEngines: new LoadingEngines(() => clock.moment().steady),
 			metrics,
 			refuse: createRefuse(metrics),
@@ -181,7 +181,7 @@
 	}
 
 	#createCoordinators(shared: CoordinatorContext, view: CoordinatorView, {store, storeControl, clock}: GatewayPorts): CoordinatorPair {
-		const {instance, cores, listenPeers, listenStandby: listenStandby} = this.#settings;
+		const {instance, cores, listenPeers, listenStandby} = this.#settings;
 		return new CoordinatorPair(shared, {
 			store,
 			control: storeControl,
@@ -212,7 +212,7 @@
 
 	#createSupervisor(ports: GatewayPorts): Supervisor {
 		const {store, clock, control} = ports;
-		const {log, goals} = this.#context;
+		const {log, weightTargets: goals} = this.#context;
 		const {instance, bounds: {leaseMilliseconds, weightsMilliseconds}} = this.#settings;
 		return new Supervisor({
 			name: 'gateway',
--- a/src/gateway/gateway-settings.ts
+++ b/src/gateway/gateway-settings.ts
@@ -86,7 +86,7 @@
 	return {
 		feedWaitMilliseconds,
 		readerWaitMilliseconds: Math.round(readerWaitShare * maxRelayedAgeMilliseconds),
-		maxRelayedAgeMilliseconds: maxRelayedAgeMilliseconds,
+		maxRelayedAgeMilliseconds,
 		freshMilliseconds: freshWaits * feedWaitMilliseconds,
 		keyLeaseMilliseconds: bounds.revocationMilliseconds - keyLeaseMarginMilliseconds,
 	};
--- a/src/gateway/leadership/leader-election.ts
+++ b/src/gateway/leadership/leader-election.ts
@@ -74,7 +74,7 @@
 	}
 
 	get #grantMilliseconds(): number {
-		const {grantMilliseconds: grantMilliseconds, leaseMilliseconds} = this.#options;
+		const {grantMilliseconds, leaseMilliseconds} = this.#options;
 		return Math.max(grantMilliseconds, Math.min(maxGrantMilliseconds(leaseMilliseconds), renewalsInGrant * this.#lastRenewalMilliseconds));
 	}
 
--- a/src/gateway/testing/test-gateway.ts
+++ b/src/gateway/testing/test-gateway.ts
@@ -61,8 +61,8 @@
 			placement: new CostPlacement('split'),
 			retryBudget: new SharedRetryBudget({ratio: 1, windowMilliseconds: 10_000}),
 			exchanges: this.#exchanges,
-			goals: new WeightTargets(10_000),
-			hubView: new CoordinatorView(),
+			weightTargets: new WeightTargets(10_000),
+			coordinatorView: new CoordinatorView(),
 			peerUpdates: {
 				async refresh() {
 					// A single instance has no other instances to query.
@@ -71,7 +71,7 @@
 					// It has no other instances to publish to.
 				},
 			},
-			partPlanner: new BlockPlanner(),
+			blockPlanner: new BlockPlanner(),
 			loadingEngines: new LoadingEngines(() => systemMomentClock.moment().steady),
 			eventLoopLag: this.#eventLoopLag,
 			log,
--- a/src/gateway/watchers/table-feeds.ts
+++ b/src/gateway/watchers/table-feeds.ts
@@ -28,7 +28,7 @@
 	isStandby: () => boolean;
 };
 
-type FeedContext = Pick<GatewayContext, 'configuration' | 'endpoints' | 'goals' | 'loadingEngines' | 'log' | 'metrics' | 'placement'>;
+type FeedContext = Pick<GatewayContext, 'configuration' | 'endpoints' | 'weightTargets' | 'loadingEngines' | 'log' | 'metrics' | 'placement'>;
 
 export class TableFeeds {
 	readonly followers: readonly FeedFollower[];
@@ -36,14 +36,14 @@
 	constructor(context: FeedContext, {
 		store, storeSchema: schema, clock, random, isReader, isStandby,
 	}: TableFeedDependencies, timings: GatewayTimings) {
-		const {feedWaitMilliseconds: waitMilliseconds, readerWaitMilliseconds, maxRelayedAgeMilliseconds: maxRelayedAgeMilliseconds} = timings;
-		const waits = {waitMilliseconds, readerWaitMilliseconds, maxRelayedAgeMilliseconds: maxRelayedAgeMilliseconds};
+		const {feedWaitMilliseconds: waitMilliseconds, readerWaitMilliseconds, maxRelayedAgeMilliseconds} = timings;
+		const waits = {waitMilliseconds, readerWaitMilliseconds, maxRelayedAgeMilliseconds};
 		const hintWaits = {waitMilliseconds: hintWaitMilliseconds, readerWaitMilliseconds: readerHintWaitMilliseconds, maxRelayedAgeMilliseconds: maxRelayedHintAgeMilliseconds};
 		const dependencies = {
 			clock, random, isReader, isStandby, log: context.log,
 		};
 		this.followers = [
-			new FeedFollower(store, {table: schema.operatorTable, ...waits}, new OperatorFeedHandler(context, schema, context.goals), dependencies),
+			new FeedFollower(store, {table: schema.operatorTable, ...waits}, new OperatorFeedHandler(context, schema, context.weightTargets), dependencies),
 			new FeedFollower(store, {table: schema.endpointTable, ...waits}, new EndpointFeedHandler(context, schema), dependencies),
 			new FeedFollower(store, {table: weightsLeaseTable, ...hintWaits}, context.loadingEngines, dependencies),
 		];
@@ -51,7 +51,7 @@
 
 	/** The cursors of this instance by table, without the tables that it has not read yet. */
 	cursors(): Record<string, FeedCursor> {
-		return Object.fromEntries(this.followers.flatMap(({table, cursor: cursor}) => cursor === undefined ? [] : [[table, cursor]]));
+		return Object.fromEntries(this.followers.flatMap(({table, cursor}) => cursor === undefined ? [] : [[table, cursor]]));
 	}
 
 	/** Returns the updates for an instance with the given cursors. */
--- a/src/gateway/weights/weight-rollout.ts
+++ b/src/gateway/weights/weight-rollout.ts
@@ -82,7 +82,7 @@
 		this.#dependencies = dependencies;
 		const {instance, leaseMilliseconds, store} = dependencies;
 		this.#election = new LeaderElection({
-			table: weightsLeaseTable, lease: weightsLeaseKey, instance, address: '', leaseMilliseconds, grantMilliseconds: grantMilliseconds,
+			table: weightsLeaseTable, lease: weightsLeaseKey, instance, address: '', leaseMilliseconds, grantMilliseconds,
 		}, {store, clock: context.clock, log: context.log});
 	}
 
@@ -124,7 +124,7 @@
 
 	/** Whether to try to acquire the lease: not while another holder is observed. */
 	#mayAcquire(targets: readonly WeightTarget[], now: number): boolean {
-		const {instance, isCoordinator: isCoordinator, instances} = this.#dependencies;
+		const {instance, isCoordinator, instances} = this.#dependencies;
 		const observedAt = Math.max(...targets.map(target => target.observedAt.steady));
 		const spread = Math.max(minSpreadMilliseconds, spreadPerInstanceMilliseconds * instances());
 		const share = isCoordinator() ? 1 : hashOf(`${instance}|${observedAt}`) / (2 ** 32);
@@ -133,7 +133,7 @@
 
 	async #advance(target: WeightTarget): Promise<void> {
 		await this.#readReports();
-		const {switchoverMilliseconds: switchoverMilliseconds} = this.#dependencies;
+		const {switchoverMilliseconds} = this.#dependencies;
 		// Weights of unknown age are scheduled as if named when they were observed, since all engines must not load at once.
 		const dueAt = (target.namedNotBefore ?? target.observedAt).steady + switchoverMilliseconds - rolloutMarginMilliseconds;
 		const next = planRollout(this.#enginesOf(target), {...target, dueAt, loadMilliseconds: this.#loadMilliseconds}, [...this.#loading.values()], this.#now());
--- a/src/gateway/weights/weight-targets.ts
+++ b/src/gateway/weights/weight-targets.ts
@@ -58,7 +58,7 @@
 		return [...this.#targets.values()].map(([newest]) => newest!);
 	}
 
-	#remainingSince({namedNotBefore: namedNotBefore}: WeightTarget, now: Moment): number {
+	#remainingSince({namedNotBefore}: WeightTarget, now: Moment): number {
 		return namedNotBefore === undefined ? 0 : this.#switchoverMilliseconds - longestElapsed(namedNotBefore, now);
 	}
 }
--- a/src/peer/load/load-gossip.ts
+++ b/src/peer/load/load-gossip.ts
@@ -210,7 +210,7 @@
 		const isSame = before?.model === summary.model
 			&& before.weightVersion === summary.weightVersion && before.state === summary.state;
 		this.#known.set(summary.endpoint, {
-			summary, measuredAt: measuredAt, publishedMeasuredAt: known?.publishedMeasuredAt ?? 0, fullPublishedAt: isSame ? (known?.fullPublishedAt ?? 0) : 0,
+			summary, measuredAt, publishedMeasuredAt: known?.publishedMeasuredAt ?? 0, fullPublishedAt: isSame ? (known?.fullPublishedAt ?? 0) : 0,
 		});
 		return summary.state === 'leaving' && before?.state !== 'leaving';
 	}
