--- a/src/gateway/data-path/request-head.test.ts
+++ b/src/gateway/data-path/request-head.test.ts
@@ -19,7 +19,7 @@
 	assert.equal(head.target, '//a/../b');
 	assert.equal(head.deadlineMilliseconds, 1500);
 	assert.deepEqual(head.prompt, {
-		model: 'permit', promptTokens: 1460, mostOutputTokens: 80, parts: [{id: '5c', tokens: 800}, {id: '91', tokens: 410}, {id: 'e4', tokens: 250}],
+		model: 'permit', promptTokens: 1460, maxOutputTokens: 80, blocks: [{id: '5c', tokens: 800}, {id: '91', tokens: 410}, {id: 'e4', tokens: 250}],
 	});
 });
 
--- a/src/gateway/data-path/weights-grant.test.ts
+++ b/src/gateway/data-path/weights-grant.test.ts
@@ -27,7 +27,7 @@
 	// longer valid. The gateway closes the connection before that and sends the prompt to an engine with the new weights.
 	const route = testRoute({kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds: 5000});
 	const gateway = await new TestGateway(testConfiguration({routes: [route]})).start();
-	Object.assign(gateway.context, {goals: new WeightTargets(boundMilliseconds)});
+	Object.assign(gateway.context, {weightTargets: new WeightTargets(boundMilliseconds)});
 	const namedAt = gateway.context.clock.moment();
 	gateway.context.weightTargets.add({model: 'lease', version: 2}, {observedAt: namedAt, namedNotBefore: namedAt});
 	// The engine goes on serving other prompts.
