--- a/src/entry/callers/admission-gate.ts
+++ b/src/entry/callers/admission-gate.ts
@@ -1,6 +1,6 @@
 /**
- * The shell around an admission policy: callers wait for the action that concerns them, and time is passed on to the
- * policy so that deadlines are seen.
+ * Runs an admission policy: requests wait here until the policy admits or refuses them. The policy is called at short
+ * intervals, so that it notices deadlines that have passed.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {
@@ -16,7 +16,7 @@
 	readonly name = 'admission-gate';
 	readonly #policy: AdmissionPolicy;
 	readonly #clock: Clock;
-	/** Requests that were let in and have not ended. */
+	/** Requests that were admitted and have not ended. */
 	readonly #admitted = new Map<string, AdmissionRequest>();
 	readonly #arriving = new Map<string, AdmissionRequest>();
 	readonly #waiting = new Map<string, (answer: Either<Refusal, void>) => void>();
@@ -37,7 +37,7 @@
 		}
 	}
 
-	/** Waits until the request is let in or refused. */
+	/** Waits until the request is admitted or refused. */
 	async enter(request: AdmissionRequest): Promise<Either<Refusal, void>> {
 		return new Promise(resolve => {
 			this.#waiting.set(request.requestId, resolve);
@@ -46,25 +46,25 @@
 		});
 	}
 
-	/** The first token of an admitted request came. */
+	/** Notes that the first token of an admitted request has arrived. */
 	firstToken(requestId: string): void {
 		this.#policy.firstToken(requestId, this.#clock.now());
 	}
 
-	/** An admitted request ended. */
+	/** Notes that an admitted request has ended. */
 	leave(requestId: string): void {
 		this.#admitted.delete(requestId);
 		this.#carryOut(this.#policy.finish(requestId, this.#clock.now()));
 	}
 
-	/** The caller hung up; if the request still waits, its wait ends. */
+	/** Cancels a request, because its caller has disconnected or an operator cancelled it. If it still waits, it is refused. */
 	cancel(requestId: string): void {
 		this.#admitted.delete(requestId);
 		this.#carryOut(this.#policy.cancel(requestId, this.#clock.now()));
 		this.#answer(requestId, Left({reason: 'cancelled', ran: 'not-run', message: 'the request was cancelled while it waited'}));
 	}
 
-	/** Requests of a service that can wait and were let in. */
+	/** Counts the admitted requests of a service whose priority allows them to wait, that is, all but the urgent ones. */
 	underWay(service: string): number {
 		let count = 0;
 		for (const request of this.#admitted.values()) {
--- a/src/entry/callers/answer-unrouted.ts
+++ b/src/entry/callers/answer-unrouted.ts
@@ -1,7 +1,7 @@
 import {type NodeExchange} from '../../shared/node-route.js';
 import {sendRefusal} from '../../serving/send-refusal.js';
 
-/** The methods of each path; a path under `/services/` takes any. */
+/** The methods that each path allows; a path under `/services/` allows any. */
 const methodsOfPath: ReadonlyMap<string, string> = new Map([
 	['/healthz', 'GET, HEAD, OPTIONS'],
 	['/readyz', 'GET, HEAD, OPTIONS'],
@@ -11,7 +11,7 @@
 ]);
 
 /**
- * Answers a request that no route took: `OPTIONS`, a known path with another method, or a path that does not exist.
+ * Answers a request that matches no route: `OPTIONS`, a known path with another method, or an unknown path.
  *
  * @param exchange - The exchange.
  */
--- a/src/entry/callers/authenticate.test.ts
+++ b/src/entry/callers/authenticate.test.ts
@@ -15,7 +15,7 @@
 const second = {...first, workspaces: new Map([workspaceOf('quay', 'new-key')])};
 const nameOf = (state: typeof first, header?: string): string => authenticate(state, header).map(({name}) => name).orDefault('refused');
 
-test('each key of a workspace finds it, and nothing else does', () => {
+test('each key of a workspace authenticates it, and nothing else does', () => {
 	assert.equal(nameOf(first, 'Bearer old-key'), 'quay');
 	assert.equal(nameOf(first, 'Bearer new-key'), 'quay');
 	assert.equal(nameOf(first, 'Bearer parish-key'), 'parish');
@@ -24,7 +24,7 @@
 	}
 });
 
-test('a key that was taken away is refused from the next configuration on', () => {
+test('a removed key is refused from the next configuration on', () => {
 	assert.equal(nameOf(second, 'Bearer old-key'), 'refused');
 	assert.equal(nameOf(second, 'Bearer parish-key'), 'refused');
 	assert.equal(nameOf(first, 'Bearer old-key'), 'quay');
--- a/src/entry/callers/authenticate.ts
+++ b/src/entry/callers/authenticate.ts
@@ -10,15 +10,15 @@
 type KnownKey = {digest: Buffer; workspace: WorkspaceItem};
 type KeyIndex = ReadonlyMap<string, KnownKey>;
 
-/** One index per set of workspaces; a set that is no longer in force takes its index along. */
+/** One index for each set of workspaces; it is garbage collected with the set. */
 const indexes = new WeakMap<ConfigurationState['workspaces'], KeyIndex>();
 
 /**
  * Finds the workspace of a bearer key.
  *
- * Only digests are kept, so a copy of the configuration tells no key. The index is asked for the digest of what the
- * caller sent: how long that takes depends on a digest that the caller cannot steer towards a known one, and the last
- * comparison takes constant time, so the time of a refusal tells no key either.
+ * The configuration holds only digests, so a copy of it reveals no key. The index is searched for the digest of the key
+ * that the caller sent. The duration of the search depends on that digest, which a caller cannot bring close to a known
+ * one, and the final comparison takes constant time, so the timing of a refusal reveals no key either.
  *
  * @param configuration - The configuration in force.
  * @param authorization - The `Authorization` header.
--- a/src/entry/callers/caller-routes.ts
+++ b/src/entry/callers/caller-routes.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP: completions, the list of models, and plain services by path. */
+/** The callers' HTTP routes: completions, the list of models, the state of claimed calls, plain services, and health. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type EventHandler, H3, type HTTPError} from 'h3';
 import {type Either, Left, Right} from 'purify-ts/Either';
@@ -30,7 +30,7 @@
 const hangUpReason = new Error('the caller hung up');
 const operatorReason = new Error('an operator cancelled the request');
 
-/** What the routes pass work on to. */
+/** The components that the routes pass requests to. */
 export type CallerParts = {
 	gate: AdmissionGate;
 	runner: CompletionRunner;
@@ -234,7 +234,7 @@
 		await this.#parts.plainRoute.call(workspace.extract() as WorkspaceItem, exchange);
 	}
 
-	/** Finds out who calls and takes a place among the open requests, before any of the body is read. */
+	/** Authenticates the caller and counts its request as open, before any of the body is read. */
 	#enter({request, response}: NodeExchange): Either<Refusal, WorkspaceItem> {
 		const {limits} = this.#context.configuration.state;
 		return this.#workspaceOf(request).chain(workspace => this.#open.enter(workspace.name, limits).map(leave => {
@@ -281,7 +281,7 @@
 	}
 }
 
-/** What h3 itself finds wrong, a path that cannot be decoded for one, in the shape of all our refusals. */
+/** Converts an error of h3 itself, such as a path that cannot be decoded, to a refusal in the usual format. */
 function typedErrorResponse({status}: HTTPError): Response {
 	const refusal: Refusal = status < 500
 		? {reason: 'bad-request', ran: 'not-run', message: 'the request line cannot be understood'}
--- a/src/entry/callers/calls-route.ts
+++ b/src/entry/callers/calls-route.ts
@@ -1,6 +1,6 @@
 /**
- * Tells what became of a call that may never run twice: `GET /v1/calls/{service}/{key}`, for the workspace that sent it.
- * A caller who was told `unknown`, or whose connection broke, asks here; asking never runs anything.
+ * Reports the state of a call that runs at most once: `GET /v1/calls/{service}/{key}`, for the workspace that sent it. A
+ * caller whose call was refused as `unknown`, or whose connection broke, queries it here; a query never runs the call.
  */
 import {type ServerResponse} from 'node:http';
 import {
@@ -16,19 +16,19 @@
 const pathPattern = /^\/v1\/calls\/(?<service>[^\/?]+)\/(?<key>[^\/?]+)$/v;
 
 /**
- * What became of a call. `none`: no call under this key was claimed so far. `in-progress`: it may be running now.
- * `not-run`: its attempts so far were not sent. `unknown`: it may have run, and will not be sent again.
+ * State of a call. `none`: no call with this key has been claimed. `in-progress`: it may be running now. `not-run`: none of
+ * its attempts so far was sent. `answered`: its answer is recorded. `unknown`: it may have run, and is not sent again.
  */
 export type CallState = 'none' | 'in-progress' | 'not-run' | 'answered' | 'unknown';
 
-/** The answer to the question. */
+/** The body of the answer: the state of the call, and its recorded answer if there is one. */
 export type CallReport = {
 	state: CallState;
 	answer?: RecordedAnswer;
 };
 
 /**
- * Gives what is known of a call by its claim.
+ * Derives the state of a call from its claim.
  *
  * @param row - The claim, if there is one.
  * @param now - Milliseconds since the epoch.
@@ -53,7 +53,7 @@
 		}
 
 		case 'claimed': {
-			// A lapsed claim may still be confirmed by a holder that was paused, so it is not called `not-run`.
+			// A holder that was paused may still confirm an expired claim and send the call, so it is not reported as `not-run`.
 			return {state: 'in-progress'};
 		}
 
@@ -70,7 +70,7 @@
 		this.#context = context;
 	}
 
-	/** Answers the question for one workspace; other workspaces' calls cannot be named. */
+	/** Answers a query for a call of one workspace; the path cannot name calls of other workspaces. */
 	async ask(workspace: WorkspaceItem, {request, response}: NodeExchange): Promise<void> {
 		const {table, clock} = this.#context;
 		const parts = pathPattern.exec(request.url ?? '')?.groups;
--- a/src/entry/callers/completion-attempt.ts
+++ b/src/entry/callers/completion-attempt.ts
@@ -1,4 +1,7 @@
-/** One attempt at a prompt, at one endpoint. */
+/**
+ * One attempt at a prompt: sends it to one endpoint, relays the answer to the caller, and reports the outcome to the
+ * routing policy and the timeline.
+ */
 import {type Either} from 'purify-ts/Either';
 import {unresponsiveAfterMilliseconds} from '../../decision/routing/is-candidate.js';
 import {type EndpointView, type RouteRequest, type RoutingPolicy} from '../../decision/routing/routing-policy.js';
@@ -12,30 +15,30 @@
 	firstTokenLimit, StreamWatch, type StreamWatches, tokenSilenceMilliseconds, unheardSilenceMilliseconds,
 } from './stream-watch.js';
 
-/** How an attempt ended. `refused` is final: no endpoint would take this prompt. */
+/** How an attempt ended. `refused` is final: every endpoint would reject this prompt. `again` allows another attempt. */
 export type AttemptOutcome
 	= | {kind: 'whole'; usage: CompletionUsage}
 		| {kind: 'refused'; status: number}
 		| {kind: 'again'; avoid: boolean; mayHaveRun: boolean; detail: string; holdMilliseconds?: number};
 
-/** What is tried where. */
+/** The prompt to send and the endpoint that it is sent to. */
 export type AttemptPlan = {job: CompletionJob; route: RouteRequest; endpoint: EndpointView};
 
-/** The engine's word that the prompt itself is at fault; another endpoint of the same model would say the same. */
+/** Statuses with which an engine rejects the prompt itself. Another endpoint of the same model would reject it too. */
 const finalStatuses: ReadonlySet<number> = new Set([400, 413, 422]);
 
-/** What all attempts of an instance share. */
+/** Dependencies that all attempts of an instance share. */
 export type AttemptParts = {
 	context: EntryContext;
 	policy: RoutingPolicy;
 	watches: StreamWatches;
 	kept: KeptContext;
-	/** Gives the cache salt of a workspace. */
+	/** Returns the cache salt of a workspace. */
 	saltOf: (workspace: string) => string;
 };
 
-const silenceReason = new Error('a side of the stream fell silent');
-const overReason = new Error('the attempt is over');
+const silenceReason = new Error('the engine or the caller became unresponsive');
+const overReason = new Error('the attempt has ended');
 
 export class CompletionAttempt {
 	readonly #parts: AttemptParts;
@@ -57,7 +60,7 @@
 		this.#watch = new StreamWatch(context.clock, () => this.#silenceLimit());
 	}
 
-	/** Runs the attempt; gives its outcome and the answer as far as it came. */
+	/** Runs the attempt; returns its outcome and how much of the answer was relayed. */
 	async run(sink: AnswerSink): Promise<{outcome: AttemptOutcome; relay: RelayState}> {
 		const {job, endpoint, route} = this.#plan;
 		this.#policy.observe({kind: 'sent', endpoint: endpoint.name, request: route}, this.#sentAt);
@@ -152,7 +155,7 @@
 			}
 
 			case 'broken': {
-				const detail = this.#watch.silent === 'engine' ? 'the endpoint fell silent' : 'the stream broke';
+				const detail = this.#watch.silent === 'engine' ? 'the endpoint became unresponsive' : 'the stream broke';
 				return {
 					kind: 'again', avoid: true, mayHaveRun: true, detail,
 				};
@@ -174,7 +177,7 @@
 		};
 	}
 
-	/** An endpoint whose load reports are missing too is hung as a whole, and is given up sooner. */
+	/** If the endpoint's load reports are missing as well, the whole endpoint hangs, and a shorter timeout applies. */
 	#silenceLimit(): number {
 		const {endpoint, route} = this.#plan;
 		const known = this.#context.endpoints.engines().find(({name}) => name === endpoint.name);
@@ -213,8 +216,8 @@
 
 	#end(outcome: AttemptOutcome): void {
 		const {job, endpoint, route} = this.#plan;
-		// A prompt that no endpoint would take, or a swap of weights, is no evidence against the endpoint: counted as one, a
-		// single bad caller could open the circuits of all endpoints.
+		// A rejected prompt or a swap of weights does not count as a failure of the endpoint. Otherwise a single caller with
+		// invalid prompts could open the circuits of all endpoints.
 		const failed = !job.signal.aborted && outcome.kind === 'again' && outcome.avoid ? 'failed' : 'cancelled';
 		this.#policy.observe({
 			kind: 'ended',
--- a/src/entry/callers/completion-job.ts
+++ b/src/entry/callers/completion-job.ts
@@ -1,4 +1,4 @@
-/** What a prompt to serve is made of, and where its answer goes. */
+/** A prompt to serve, and the interface that receives its answer. */
 import {type RouteRequest} from '../../decision/routing/routing-policy.js';
 import {type CompletionRequest} from './completion-request.js';
 
@@ -9,16 +9,16 @@
 	dataCentres: readonly string[];
 	prompt: string;
 	arrivedAt: number;
-	/** Aborts when the caller hangs up. */
+	/** Aborts when the caller disconnects or the request is cancelled. */
 	signal: AbortSignal;
 };
 
-/** Where the answer goes. */
+/** Receives the answer of a prompt. */
 export interface AnswerSink {
-	/** Passes text on. Resolves when more can be taken. */
+	/** Writes text to the answer. Resolves when more can be written. */
 	pass(text: string): Promise<void>;
-	/** Takes back all text passed on; false if the caller may have seen any of it. */
+	/** Discards all text written so far; returns false if the caller may have received any of it. */
 	takeBack(): boolean;
-	/** Cuts a caller off who takes nothing any more. */
+	/** Closes the connection of a caller that has stopped reading. */
 	abandon(): void;
 }
--- a/src/entry/callers/completion-request.ts
+++ b/src/entry/callers/completion-request.ts
@@ -1,4 +1,4 @@
-/** The requests of the published completions protocol, as far as savorygauge looks into them. */
+/** Parses the requests of the published completions protocol; members that savorygauge does not use are passed through. */
 import {type Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {z} from 'zod';
@@ -25,7 +25,7 @@
 /** The two shapes of the protocol: `chat` has messages, `text` has a prompt. */
 export type CompletionShape = 'chat' | 'text';
 
-/** A request that was understood. `body` is what the engine gets. */
+/** A parsed request. `body` is sent to the engine. */
 export type CompletionRequest = {
 	shape: CompletionShape;
 	model: string;
@@ -35,11 +35,11 @@
 };
 
 /**
- * Reads a completions request.
+ * Parses a completions request.
  *
- * @param shape - Which of the two paths it came by.
+ * @param shape - The shape that belongs to the request's path.
  * @param body - The bytes of its body.
- * @returns The request, or the refusal that names what is wrong.
+ * @returns The request, or a refusal that lists the invalid members.
  */
 export function parseCompletionRequest(shape: CompletionShape, body: Buffer): Either<Refusal, CompletionRequest> {
 	let value: unknown;
--- a/src/entry/callers/completion-runner.test.ts
+++ b/src/entry/callers/completion-runner.test.ts
@@ -1,4 +1,4 @@
-/** What a caller gets of a prompt when engines die, hang, swap weights or refuse, over an engine port in memory. */
+/** The answer to a prompt when engines fail, hang, swap weights or reject it. The engine port is in memory. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {LeastLoadedPolicy} from '../../decision/routing/least-loaded-policy.js';
@@ -70,7 +70,7 @@
 	return result;
 }
 
-/** Moves time on in small steps, as a real clock does, until something happened. */
+/** Advances the clock in small steps until the step returns true or the limit is reached. */
 async function moveTime(clock: TestEntry['clock'], limitMilliseconds: number, step: () => boolean): Promise<void> {
 	for (let spent = 0; spent <= limitMilliseconds && !step(); spent += 500) {
 		clock.advance(500);
@@ -80,9 +80,9 @@
 	}
 }
 
-test('a stream whose endpoint dies goes on elsewhere at exactly the next token', async () => {
-	// The caller reads two tokens; then the endpoint's connection is cut. The other endpoint is asked for the answer
-	// behind token 2, and the caller reads one text without a gap or a repeat.
+test('a stream whose endpoint fails continues at another endpoint from exactly the next token', async () => {
+	// The caller reads two tokens before the endpoint's connection breaks. The other endpoint continues after token 2, and
+	// the caller receives one text without a gap or a duplicate token.
 	const {engine, sink, run} = setUp({streamed: true});
 	engine.failNext(first, {kind: 'cut', afterTokens: 2});
 	const usage = await run();
@@ -93,9 +93,9 @@
 });
 
 for (const streamed of [true, false]) {
-	test(`an answer without its end mark is never taken for whole (${streamed ? 'streamed' : 'not streamed'})`, async () => {
-		// Every endpoint cuts its connection behind the last token but before the end mark. The text looks complete; the
-		// caller must get the typed error nevertheless, since nobody can know.
+	test(`an answer without its end mark is never reported as complete (${streamed ? 'streamed' : 'not streamed'})`, async () => {
+		// Every endpoint closes its connection after the last token but before the end mark. The text looks complete, but the
+		// entry cannot know that, so the caller must receive the typed error.
 		const {engine, sink, run} = setUp({streamed});
 		engine.failNext(first, {kind: 'cut', afterTokens: 3});
 		engine.failNext(second, {kind: 'cut', afterTokens: 5});
@@ -106,8 +106,9 @@
 	});
 }
 
-test('a stream that goes silent with its connection open is found by a time limit and goes on elsewhere', async () => {
-	// The engine hangs: no token, no error, the connection stays. Without a limit the caller would wait for ever.
+test('a stream that stalls with its connection open is detected by a timeout and continues at another endpoint', async () => {
+	// The engine hangs: it sends no token and no error, and its connection stays open. Without a timeout the caller would
+	// wait forever.
 	const {engine, entry, sink, clock, run} = setUp({streamed: true});
 	engine.failNext(first, {kind: 'stall', afterTokens: 2});
 	const startedAt = clock.now();
@@ -123,7 +124,7 @@
 	assert.ok(clock.now() - startedAt <= tokenSilenceMilliseconds + 1000);
 });
 
-test('an endpoint whose load reports are missing too is given up sooner', async () => {
+test('an endpoint whose load reports are missing as well has a shorter timeout', async () => {
 	const {engine, entry, sink, clock, run} = setUp({streamed: true});
 	engine.failNext(first, {kind: 'stall', afterTokens: 2});
 	const startedAt = clock.now();
@@ -138,9 +139,9 @@
 	assert.ok(clock.now() - startedAt <= unheardSilenceMilliseconds + 1000);
 });
 
-test('a stream that has begun never goes on under other weights', async () => {
-	// The caller read two tokens of w1. Its endpoint dies, and the only other one runs w2 by now. Going on there would
-	// join two models into one text; the stream ends with a typed error, and no work is sent to the other endpoint.
+test('a stream that has begun never continues under other weights', async () => {
+	// The caller has read two tokens of w1 when its endpoint fails, and the only other endpoint runs w2. Continuing there
+	// would join the output of two models in one text. The stream ends with a typed error, and nothing is sent there.
 	const {engine, entry, sink, run} = setUp({streamed: true});
 	engine.weightVersions.set(second, 'w2');
 	entry.reportEngines();
@@ -151,7 +152,7 @@
 	assert.equal(engine.calls.length, 1);
 });
 
-test('a swap that is not known yet is told by the endpoint, and the stream still ends with a typed error', async () => {
+test('a weight swap that only the endpoint knows of is reported by it, and the stream ends with a typed error', async () => {
 	const {engine, entry, sink, run} = setUp({streamed: true});
 	engine.weightVersions.set(second, 'w2');
 	entry.reportEngine(second, 'w1');
@@ -161,7 +162,7 @@
 	assert.equal(engine.calls.length, 2);
 });
 
-test('an answer of which the caller has seen nothing starts again under the new weights', async () => {
+test('an answer of which the caller has received nothing is restarted under the new weights', async () => {
 	const {engine, entry, sink, run} = setUp({streamed: false});
 	engine.weightVersions.set(second, 'w2');
 	entry.reportEngines();
@@ -171,9 +172,9 @@
 	assert.equal(sink.text, textOf('w2'));
 });
 
-test('endpoints that are full are left alone for as long as they ask, and the caller is told', async () => {
-	// Both engines refuse with Retry-After. Nothing ran, so "not-run" is true; the next caller is answered at once
-	// without asking them again, until the shorter time is over.
+test('full endpoints are excluded for their Retry-After time, and the refusal tells the caller when to retry', async () => {
+	// Both engines answer with Retry-After. Nothing ran, so "not-run" is correct. The next caller is refused without another
+	// attempt, until the shorter of the two times has passed.
 	const {engine, entry, sink, clock, run} = setUp({streamed: true});
 	const full = (retryAfterMilliseconds: number) => ({
 		kind: 'fail' as const, failure: {
@@ -193,14 +194,14 @@
 	assert.equal(sink.text, textOf('w1'));
 });
 
-test('a prompt that the engine finds at fault is not tried elsewhere', async () => {
+test('a prompt that the engine rejects as invalid is not sent to another endpoint', async () => {
 	const {engine, run} = setUp({streamed: true});
 	engine.failNext(first, {kind: 'fail', failure: {kind: 'refused', status: 400, detail: 'too long'}});
 	const refusal = refusalOf(await run());
 	assert.deepEqual([refusal.reason, refusal.ran, engine.calls.length], ['bad-request', 'not-run', 1]);
 });
 
-test('"not-run" is said only while no engine can have begun', async () => {
+test('a refusal says "not-run" only if no engine can have started the prompt', async () => {
 	const unreachable = {kind: 'fail' as const, failure: {kind: 'not-sent' as const, detail: ''}};
 	const sent = setUp({streamed: true});
 	sent.engine.failNext(first, unreachable);
@@ -212,7 +213,7 @@
 	assert.equal(refusalOf(await unsent.run()).ran, 'not-run');
 });
 
-test('a caller that takes nothing for long is cut off, and its place at the engine is free', async () => {
+test('a caller that stops reading is disconnected after a timeout, and its request is cancelled', async () => {
 	const {engine, sink, clock, caller, run} = setUp({streamed: true});
 	sink.pass = async () => new Promise(resolve => {
 		caller.signal.addEventListener('abort', () => {
--- a/src/entry/callers/completion-runner.ts
+++ b/src/entry/callers/completion-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Serves one admitted prompt: chooses an endpoint, relays its stream, and goes on at another endpoint from the token
- * that is due when a stream breaks. Prompts are idempotent, so an attempt may be repeated; the caller sees one answer.
+ * Serves one admitted prompt: chooses an endpoint and relays its stream. When the stream breaks, another endpoint continues
+ * the answer at the next token. Prompts are idempotent, so an attempt may be retried; the caller receives one answer.
  */
 import {cacheSaltOf, promptBlockKeysOf} from '../../cache/block-keys.js';
 import {RetryBudget} from '../../decision/limits/retry-budget.js';
@@ -21,7 +21,7 @@
 const attemptLimit = 4;
 const failedRetryMilliseconds = 1000;
 
-/** How far a prompt came over its attempts. */
+/** State of a prompt across its attempts. */
 type Progress = {
 	relay: RelayState;
 	avoid: readonly string[];
@@ -49,8 +49,8 @@
 	 * Serves a prompt.
 	 *
 	 * @param job - The prompt.
-	 * @param sink - Gets the text as it comes.
-	 * @returns The figures of the whole answer, or why there is none.
+	 * @param sink - Receives the text as the engine generates it.
+	 * @returns The token usage of the complete answer, or the refusal if there is none.
 	 */
 	async run(job: CompletionJob, sink: AnswerSink): Promise<CompletionUsage | Refusal> {
 		let progress: Progress = {
@@ -127,7 +127,7 @@
 		});
 	}
 
-	/** An answer that has begun goes on only where the weight version that it began under still runs. */
+	/** An answer of which tokens were already passed on continues only on endpoints with the weight version it began with. */
 	#endpointsFor(job: CompletionJob, {relay}: Progress): readonly EndpointView[] {
 		const reachable = this.#reachable(job);
 		if (this.#holds.isEmpty && relay.tokensPassedOn === 0) {
@@ -151,7 +151,7 @@
 		return promptBlockKeysOf({salt: this.#saltOf(workspace), model: job.request.model, weightVersion}, job.prompt);
 	}
 
-	/** A salt does not change while a process lives; there are as many as workspaces. */
+	/** A salt does not change during the lifetime of the process. The map holds one salt for each workspace. */
 	#saltOf(workspace: string): string {
 		const salt = this.#salts.get(workspace) ?? cacheSaltOf(this.#context.settings.cacheSecret, workspace);
 		this.#salts.set(workspace, salt);
--- a/src/entry/callers/completion-writer.ts
+++ b/src/entry/callers/completion-writer.ts
@@ -1,6 +1,7 @@
 /**
- * Writes an answer in the published completions protocol: as server-sent events closed by `[DONE]`, or whole. A stream
- * that cannot be finished ends with an error event and without `[DONE]`, so that no client takes it for whole.
+ * Writes an answer in the published completions protocol, either as server-sent events that end with `[DONE]` or as one
+ * JSON body. A stream that cannot be completed ends with an error event and without `[DONE]`, so that a client can tell it
+ * from a complete answer.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -11,10 +12,10 @@
 import {type AnswerSink} from './completion-job.js';
 import {type CompletionRequest} from './completion-request.js';
 
-/** Stands for the text while the frame of a streamed event is made; no member of an event can hold it. */
+/** Placeholder for the text while the template of a streamed event is built; it cannot occur in any member of an event. */
 const textPlace = '\u0000text\u0000';
 
-/** The figures of a finished answer. */
+/** Finish reason and token counts of a complete answer. */
 export type CompletionUsage = {
 	finishReason: string;
 	promptTokens: number;
@@ -22,10 +23,10 @@
 	completionTokens: number;
 };
 
-/** What does not change over one answer. */
+/** The members that are the same in all events of one answer. */
 export type CompletionIdentity = {
 	requestId: string;
-	/** Seconds since the epoch, as the protocol has it. */
+	/** Seconds since the epoch, the unit of the protocol's `created`. */
 	createdSeconds: number;
 };
 
@@ -33,7 +34,7 @@
 	readonly #response: ServerResponse;
 	readonly #request: CompletionRequest;
 	readonly #head: {id: string; object: string; created: number; model: string};
-	/** What stands around the text in a streamed event; made once, since it is the same for every token. */
+	/** The text of a streamed event before and after the token; built once, since it is the same for every token. */
 	readonly #frame: [before: string, behind: string];
 	#text = '';
 
@@ -78,7 +79,7 @@
 		abortAnswer(this.#response);
 	}
 
-	/** Closes a whole answer. */
+	/** Ends a complete answer. */
 	finish(usage: CompletionUsage): void {
 		const protocolUsage = {
 			prompt_tokens: usage.promptTokens,
@@ -99,7 +100,7 @@
 		this.#response.end(body);
 	}
 
-	/** Ends an answer that will not become whole. */
+	/** Ends an answer that cannot be completed. */
 	fail(refusal: Refusal): void {
 		if (!this.#response.headersSent) {
 			sendRefusal(this.#response, refusal);
--- a/src/entry/callers/endpoint-holds.ts
+++ b/src/entry/callers/endpoint-holds.ts
@@ -1,21 +1,21 @@
 /**
- * Endpoints that asked to be left alone for a while: an engine that refuses with Retry-After is full, and asking it
- * again at once costs it work and the caller a round trip.
+ * Endpoints that are excluded for a time because they answered with Retry-After. Such an engine is full, and sending to it
+ * again immediately would cost the engine work and the caller a round trip.
  */
 export class EndpointHolds {
 	readonly #until = new Map<string, number>();
 
-	/** Leaves an endpoint alone until a time, in milliseconds since the epoch. */
+	/** Excludes an endpoint until a time, in milliseconds since the epoch. */
 	hold(endpoint: string, until: number): void {
 		this.#until.set(endpoint, until);
 	}
 
-	/** True while no endpoint asked to be left alone. */
+	/** True if no endpoint is recorded as excluded. */
 	get isEmpty(): boolean {
 		return this.#until.size === 0;
 	}
 
-	/** Tells whether an endpoint is to be left alone now. */
+	/** Returns whether an endpoint is excluded now. */
 	isHeld(endpoint: string, now: number): boolean {
 		const until = this.#until.get(endpoint);
 		if (until !== undefined && until <= now) {
@@ -25,7 +25,7 @@
 		return until !== undefined && until > now;
 	}
 
-	/** How long until the first of these endpoints may be asked again, in milliseconds; `undefined` if none is held. */
+	/** Returns the milliseconds until the first of these endpoints may be used again; `undefined` if none is excluded. */
 	shortestHold(endpoints: readonly string[], now: number): number | undefined {
 		const holds = endpoints
 			.map(endpoint => (this.#until.get(endpoint) ?? now) - now)
--- a/src/entry/callers/first-token-relay.ts
+++ b/src/entry/callers/first-token-relay.ts
@@ -1,4 +1,4 @@
-/** A routing policy that also tells the admission gate of first tokens, since only attempts see them. */
+/** A routing policy that also notifies the admission gate of first tokens, which only attempts observe. */
 import {
 	type AttemptEvent, type EndpointView, type RouteChoice, type RouteRequest, type RoutingPolicy,
 } from '../../decision/routing/routing-policy.js';
--- a/src/entry/callers/give-up.ts
+++ b/src/entry/callers/give-up.ts
@@ -1,27 +1,28 @@
 import {type RelayState} from '../../protocol/stream/stream-relay.js';
 import {type Refusal} from '../../shared/types.js';
 
-/** How far a prompt came before it was given up. */
+/** The state of a prompt that is no longer attempted. */
 export type LostCause = {
 	relay: RelayState;
-	/** True once an engine may have worked on the prompt. */
+	/** True if an engine may have worked on the prompt. */
 	mayHaveRun: boolean;
 	/** Why the request was cancelled, if it was. */
 	cancelledBecause: string | undefined;
-	/** What the last attempt said. */
+	/** Why the last attempt failed. */
 	detail: string;
-	/** True when an endpoint was left to try, or was tried. */
+	/** True if at least one attempt was sent to an endpoint. */
 	wasTried: boolean;
-	/** Set when the endpoints said themselves that they are full. */
+	/** Milliseconds until the first of the endpoints that are full accepts requests again; absent if none reported that. */
 	fullMilliseconds?: number | undefined;
 	retryAfterMilliseconds: number;
 };
 
 /**
- * Gives the final word on a prompt that cannot be served: a typed error in the stream, or a refusal before it.
+ * Determines the refusal of a prompt that cannot be served. It is sent as an error event if the stream has begun, otherwise
+ * as the answer.
  *
- * @param cause - How far it came.
- * @returns The refusal; "not-run" only if no engine can have begun.
+ * @param cause - The state in which the prompt failed.
+ * @returns The refusal; "not-run" only if no engine can have started the prompt.
  */
 export function giveUp(cause: LostCause): Refusal {
 	const {relay, detail, retryAfterMilliseconds, fullMilliseconds} = cause;
--- a/src/entry/callers/gone-caller.test.ts
+++ b/src/entry/callers/gone-caller.test.ts
@@ -24,8 +24,9 @@
 };
 
 for (const [kind, {bytes, sentOf}] of Object.entries(kinds)) {
-	test(`a ${kind} whose caller left before it was read is not sent on`, async () => {
-		// Guards against work for callers who left while the process did not read: the request is acted on before the close behind it.
+	test(`a ${kind} whose caller disconnected before it was read is not sent to an endpoint`, async () => {
+		// Guards against work for callers that disconnect while the event loop is blocked: the process reads the request before
+		// the close of the connection that follows it.
 		const entry = new TestEntry();
 		await entry.start();
 		const callers = await connectCallers(entry.callersAddress, Array.from({length: calls}, (_, index) => {
--- a/src/entry/callers/never-twice-runner.test.ts
+++ b/src/entry/callers/never-twice-runner.test.ts
@@ -46,9 +46,9 @@
 	return {run, sent: () => sent, told};
 }
 
-test('with the platform down a call that needs a claim is refused not-run at once', async () => {
-	// The table refuses connections, or is cut off and answers nothing. The first caller waits at most for one write and
-	// one reading; those behind are refused without a wait, and nothing is ever sent.
+test('while the platform is down, a call that needs a claim is refused as not-run without a long wait', async () => {
+	// The table service refuses connections, or is partitioned and does not answer. The first caller waits at most for one
+	// write and one read; later callers are refused without a wait, and nothing is sent.
 	const down: TableFailure = {kind: 'unavailable', detail: 'refused'};
 	const silent: TableFailure = {kind: 'outcome-unknown', detail: 'timeout'};
 	for (const [failure, milliseconds] of [[down, 0], [silent, timeoutMilliseconds]] as const) {
@@ -69,9 +69,9 @@
 	}
 });
 
-test('claims beyond the instance\'s share are refused instead of piling up', async () => {
-	// Two hundred calls come at once at one of 18 instances while the table takes a second for each answer. A few begin;
-	// all others hear at once that they were not run and when to return.
+test('claims beyond the instance\'s share of the rate limit are refused instead of queued', async () => {
+	// 200 calls arrive together at one of 18 instances while the table service takes a second for each answer. A few start;
+	// all others are refused immediately, as not run and with the time after which to retry.
 	const world = new VirtualWorld(Choices.replay([]));
 	const {run, told} = startRunner(world, tableThatFails(world, {kind: 'unavailable', detail: 'slow'}, 1000));
 	for (let index = 0; index < 200; index++) {
--- a/src/entry/callers/never-twice-runner.ts
+++ b/src/entry/callers/never-twice-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what `ClaimMachine` decides for a call that may never run twice: writes and reads at the table service,
- * the one send, and the waits. It decides nothing itself.
+ * Runs a call at most once. `ClaimMachine` decides each step; this module executes the steps: reads and writes of the claim
+ * at the table service, the single send, and the waits.
  */
 import {randomUUID} from 'node:crypto';
 import {type Either, Left, Right} from 'purify-ts/Either';
@@ -18,16 +18,16 @@
 import {type Refusal} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
 
-/** A call under a key. */
+/** A call with an idempotency key. */
 export type NeverTwiceCall = {
 	/** The key of the claim's row; see `claimKeyOf`. */
 	claimKey: string;
 	bodyDigest: string;
-	/** Where the outcome can be asked later. */
+	/** Path at which the caller can query the outcome later. */
 	askAt: string;
-	/** The configuration version by which the call was let in. */
+	/** The configuration version under which the call was admitted. */
 	configurationVersion: number;
-	/** Judges the call anew by the configuration now in force. */
+	/** Validates the call against the configuration now in force; returns the refusal if it is no longer allowed. */
 	refuseByConfiguration(): Refusal | undefined;
 	/** Sends the call once. */
 	send(): Promise<Either<PlainFailure, PlainAnswer>>;
@@ -50,7 +50,7 @@
 		this.#context = context;
 	}
 
-	/** Runs the call at most once, or answers from the first run under its key. */
+	/** Runs the call at most once. A duplicate call receives the recorded answer of the first one with the same key. */
 	async run(call: NeverTwiceCall): Promise<Either<Refusal, PlainAnswer>> {
 		const {clock, endpoints, configuration} = this.#context;
 		const claimsPerSecond = configuration.state.limits.get('claims-per-second')?.value ?? defaultClaimsPerSecond;
@@ -68,7 +68,7 @@
 		});
 	}
 
-	/** Resolves when the ends of all claims are written, or were tried to the last. */
+	/** Resolves when the final state of every open claim is written, or when the last attempt to write it has failed. */
 	async settle(): Promise<void> {
 		await Promise.all(this.#open);
 	}
@@ -124,8 +124,8 @@
 
 	async #write(call: NeverTwiceCall, {row, revision, version}: ClaimStep & {kind: 'write'}): Promise<ClaimEvent> {
 		const name = {table: claimTable, key: call.claimKey};
-		// An instance whose declarations are old could start a call under rules that no longer hold. The row of the next
-		// change is absent exactly as long as this instance's version is the newest.
+		// An instance with an old configuration could start a call under rules that are no longer in force. The row of the
+		// next configuration change is absent exactly as long as this instance's version is the newest.
 		const isNewest = version === undefined ? [] : [{table: configurationTable, key: changeKeyOf(version + 1), revision: 0}];
 		const written = await this.#context.table.commit({
 			conditions: [{...name, revision}, ...isNewest],
--- a/src/entry/callers/open-requests.ts
+++ b/src/entry/callers/open-requests.ts
@@ -1,13 +1,13 @@
 /**
- * Counts the requests that callers have open here. It answers a client that opens requests without end: each one holds
- * a body and a socket, and without a bound the process dies of memory with all other answers. The bound per workspace
- * keeps one workspace from taking all places of an instance.
+ * Limits the number of requests that callers have open at this instance. Each open request holds a body and a socket, so
+ * without a limit a client that keeps opening requests exhausts the memory of the process, and all other answers are lost
+ * with it. The limit for each workspace prevents one workspace from using up the limit of the instance.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type ConfigurationState} from '../../protocol/configuration/configuration-state.js';
 import {type Refusal} from '../../shared/types.js';
 
-/** In force where `open-requests` is not declared: bodies of 8 MB at most, few of them near it, in some hundred MB. */
+/** Applies where `open-requests` is not declared. With bodies of at most 8 MB, few of them near that, it takes some 100 MB. */
 export const defaultOpenRequests = 2000;
 
 const comeBackMilliseconds = 1000;
@@ -16,17 +16,17 @@
 	readonly #byWorkspace = new Map<string, number>();
 	#total = 0;
 
-	/** Requests open now. */
+	/** Number of requests open now. */
 	get total(): number {
 		return this.#total;
 	}
 
 	/**
-	 * Takes a place for a request, before its body is read.
+	 * Counts a request as open, before its body is read.
 	 *
-	 * @param workspace - Who calls.
+	 * @param workspace - The caller's workspace.
 	 * @param limits - The declared limits.
-	 * @returns What gives the place back, to be called once; or the refusal.
+	 * @returns A function that ends the count, to be called once; or the refusal.
 	 */
 	enter(workspace: string, limits: ConfigurationState['limits']): Either<Refusal, () => void> {
 		const open = this.#byWorkspace.get(workspace) ?? 0;
--- a/src/entry/callers/plain-route.test.ts
+++ b/src/entry/callers/plain-route.test.ts
@@ -4,9 +4,9 @@
 import {exchangeRaw} from '../../test/raw-http.js';
 import {TestEntry, testKey} from '../../test/test-entry.js';
 
-test('an answer that is known whole leaves with its length, also for a caller who knows no chunks', async () => {
-	// A caller of HTTP/1.0 takes half of a booking's answer for all of it. The entry has the whole answer but sends it without
-	// a length, so that the end of the connection ends it; the entry's machine goes down while it is on its way.
+test('a complete answer is sent with its length, also to a caller without support for chunked encoding', async () => {
+	// Guards against a truncated answer that an HTTP/1.0 caller accepts as complete: without a length, the end of the
+	// connection marks the end of the answer, even if the entry's machine fails while the answer is being sent.
 	const entry = new TestEntry();
 	await entry.start();
 	const authorization = `Bearer ${testKey}`;
--- a/src/entry/callers/plain-route.ts
+++ b/src/entry/callers/plain-route.ts
@@ -1,4 +1,7 @@
-/** Passes calls on to plain services; those declared as never twice go through a claim. */
+/**
+ * Forwards calls to plain services. A call with an idempotency key that must run at most once is sent under a claim in the
+ * table service.
+ */
 import {randomUUID} from 'node:crypto';
 import {type Buffer} from 'node:buffer';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
@@ -89,13 +92,13 @@
 			bodyDigest: digestOf(`${call.method} ${call.path}\n${call.body.toString('base64')}`),
 			configurationVersion: version,
 			refuseByConfiguration: () => this.#refuse(workspace.name, service.name),
-			// A claimed call goes on when its caller hangs up: its answer is recorded for the repeat.
+			// A claimed call continues when its caller disconnects: its answer is recorded for a duplicate request.
 			send: async () => this.#send(request),
 			askAt: `/v1/calls/${encodeURIComponent(service.name)}/${encodeURIComponent(idempotencyKey)}`,
 		});
 	}
 
-	/** Judges a call by the configuration now in force. */
+	/** Validates a call against the configuration now in force; returns the refusal if it is not allowed. */
 	#refuse(workspaceName: string, serviceName: string): Refusal | undefined {
 		const {workspaces, services} = this.#context.configuration.state;
 		const service = services.get(serviceName);
@@ -111,8 +114,8 @@
 	}
 
 	/**
-	 * Sends to one endpoint after the other. A failure before the first byte goes on to the next endpoint; a later one
-	 * only if the call is idempotent: else the next endpoint could run it a second time.
+	 * Sends the call to one endpoint after another until one answers. After a failure with unknown outcome, only idempotent
+	 * calls are sent to the next endpoint, because it could run any other call a second time.
 	 */
 	async #send({service, call}: PlainRequest, hangUp?: AbortSignal): Promise<Either<PlainFailure, PlainAnswer>> {
 		const {endpoints, settings, plain, clock} = this.#context;
@@ -131,12 +134,12 @@
 			mayHaveRun ||= failure.kind === 'outcome-unknown';
 		}
 
-		// "Not sent" by the last endpoint says nothing of the one before that may have run the call.
+		// The last endpoint's "not sent" does not show that an earlier endpoint did not run the call.
 		return mayHaveRun ? sent.mapLeft(({detail}) => ({kind: 'outcome-unknown', detail})) : sent;
 	}
 }
 
-/** Reads the idempotency key; a missing one is `undefined`, an unusable one is refused. */
+/** Reads the idempotency key: `undefined` if there is none, a refusal if it is invalid. */
 function keyOf(request: IncomingMessage): Either<Refusal, string | undefined> {
 	const key = request.headers['idempotency-key'];
 	if (key === undefined) {
@@ -147,7 +150,7 @@
 	return isUsable ? Right(key) : Left({reason: 'bad-request', ran: 'not-run', message: `an idempotency key has 1 to ${longestKeyCharacters} characters`});
 }
 
-/** Aborts when the caller is gone before its answer is. */
+/** Returns a signal that aborts if the caller disconnects before the answer was written. */
 function hangUpOf(response: ServerResponse): AbortSignal {
 	const hangUp = new AbortController();
 	response.once('close', () => {
@@ -163,8 +166,8 @@
 }
 
 /**
- * A keyed call is claimed when it is declared never twice, and also when its method is not idempotent: an instance that
- * is cut off may not have heard yet that the call became never twice, and would send a repeat a second time.
+ * A call with a key needs a claim if it is declared to run at most once, and also if its method is not idempotent: a
+ * partitioned instance may not have received the change that declares the call, and would send a duplicate request again.
  */
 function needsClaim(service: PlainServiceItem, call: PlainCall): boolean {
 	return isNeverTwice(service, call) || !idempotentMethods.has(call.method);
--- a/src/entry/callers/request-rule.ts
+++ b/src/entry/callers/request-rule.ts
@@ -1,15 +1,15 @@
 import {type ConfigurationState} from '../../protocol/configuration/configuration-state.js';
 import {type PriorityClass, type RuleItem, type WorkspaceItem} from '../../shared/types.js';
 
-/** How a request is to be served. */
+/** Priority, deadline and data centres with which a request is served. */
 export type RequestRule = {
 	priority: PriorityClass;
 	deadlineMilliseconds: number;
-	/** Data centres that may serve it; empty for all. */
+	/** Data centres that may serve it; empty means all. */
 	dataCentres: readonly string[];
 };
 
-/** Who calls what, with the texts of the headers `X-Priority` and `X-Deadline-Milliseconds`. */
+/** The workspace and service of a request, with the raw values of `X-Priority` and `X-Deadline-Milliseconds`. */
 export type RuleCaller = {
 	workspace: WorkspaceItem;
 	service: string;
@@ -17,7 +17,7 @@
 	deadlineMilliseconds: string | undefined;
 };
 
-/** How long a request may wait for its first token when neither caller nor rule says it. */
+/** How long a request may wait for its first token if neither the caller nor a rule sets a deadline. */
 export const defaultDeadlineMilliseconds: Record<PriorityClass, number> = {
 	urgent: 10_000,
 	normal: 60_000,
@@ -27,12 +27,12 @@
 const priorities: ReadonlySet<string> = new Set(['urgent', 'normal', 'overnight']);
 
 /**
- * Works out how a request is to be served: the caller's headers go before the first matching rule, and the rule before
- * the workspace's own priority.
+ * Determines how a request is served. The caller's headers take precedence over the first matching rule, and the rule over
+ * the workspace's priority.
  *
  * @param configuration - The configuration in force.
- * @param caller - Who calls what.
- * @returns The rule of this request.
+ * @param caller - The workspace and service of the request, and its headers.
+ * @returns The rule for this request.
  */
 export function requestRule(configuration: ConfigurationState, caller: RuleCaller): RequestRule {
 	const declared = [...configuration.rules.values()]
--- a/src/entry/callers/send-whole.ts
+++ b/src/entry/callers/send-whole.ts
@@ -3,7 +3,7 @@
 
 const statusesWithoutBody: ReadonlySet<number> = new Set([204, 304]);
 
-/** An answer that is known whole. */
+/** An answer whose whole body is known. */
 export type WholeAnswer = {
 	status: number;
 	headers: Record<string, string>;
@@ -11,14 +11,14 @@
 };
 
 /**
- * Sends an answer that is known whole, with its length. Without one, a caller who knows no chunks would take every end of
- * the connection for the end of the answer, and half of it for all of it.
+ * Sends a complete answer with its content length. Without the length, a caller that does not support chunked encoding
+ * would mistake a broken connection for the end of the answer, and accept a truncated body as complete.
  *
- * @param response - Where to write; no head was sent yet.
+ * @param response - Where to write; its head must not have been sent.
  * @param answer - The answer.
  */
 export function sendWhole(response: ServerResponse, {status, headers, body}: WholeAnswer): void {
-	// An answer to HEAD would need the length that GET has; the other two have none.
+	// An answer to HEAD would need the length of the answer to GET; answers with status 204 or 304 have no length.
 	const hasBody = response.req.method !== 'HEAD' && !statusesWithoutBody.has(status);
 	response.writeHead(status, hasBody ? {...headers, 'content-length': body.length} : headers);
 	response.end(body);
@@ -27,8 +27,8 @@
 /**
  * Sends a JSON answer with status 200.
  *
- * @param response - Where to write; no head was sent yet.
- * @param value - What JSON can carry.
+ * @param response - Where to write; its head must not have been sent.
+ * @param value - Any value that can be encoded as JSON.
  */
 export function sendJson(response: ServerResponse, value: unknown): void {
 	sendWhole(response, {status: 200, headers: {'content-type': 'application/json'}, body: Buffer.from(JSON.stringify(value))});
--- a/src/entry/callers/stream-watch.ts
+++ b/src/entry/callers/stream-watch.ts
@@ -1,31 +1,32 @@
 /**
- * Watches one stream for silence. An engine that hangs with its connection open sends neither tokens nor an error, and
- * without a time limit the caller waits for ever; a caller that stops reading holds a place in the engine's batch.
+ * Detects streams of which one side is unresponsive. An engine that hangs with its connection open sends neither tokens nor
+ * an error, so that without a timeout the caller waits forever. A caller that stops reading occupies a place in the
+ * engine's batch.
  */
 import {type Clock} from '../../ports/clock.js';
 import {type LoadReport} from '../../ports/model-engine.js';
 
-/** Who fell silent. */
+/** The side of a stream that is waited for, or that became unresponsive. */
 export type StreamSilence = 'engine' | 'caller';
 
 const checkMilliseconds = 500;
 
-/** Between two tokens; far above the 28 ms of the target, so that a long prefill in the same batch is no silence. */
+/** Timeout between two tokens. Far above the target of 28 ms, so that a long prefill in the same batch does not exceed it. */
 export const tokenSilenceMilliseconds = 10_000;
 
-/** The same while the endpoint's load reports are missing as well: then the whole endpoint hangs, not one batch. */
+/** Timeout while the endpoint's load reports are missing as well: the whole endpoint hangs then, not just one batch. */
 export const unheardSilenceMilliseconds = 3000;
 
-/** Before the first token, on top of the prefill that the endpoint has before it by its own report. */
+/** Timeout before the first token, in addition to an allowance for the prefill that is pending by the endpoint's report. */
 export const firstTokenSilenceMilliseconds = 30_000;
 
-/** A caller that took nothing for this long is gone, or will not keep up. */
+/** Timeout of a caller that does not read: it has disconnected, or is too slow to keep up. */
 export const callerSilenceMilliseconds = 60_000;
 
 const prefillAllowance = 4;
 
 export class StreamWatch {
-	/** Who fell silent; absent while nobody did. */
+	/** The side that became unresponsive, if any. */
 	silent?: StreamSilence;
 	readonly #clock: Clock;
 	readonly #limit: () => number;
@@ -33,8 +34,8 @@
 	#waitsFor: StreamSilence = 'engine';
 
 	/**
-	 * @param clock - Time.
-	 * @param engineLimit - How long the engine may be silent now, in milliseconds.
+	 * @param clock - The source of the current time.
+	 * @param engineLimit - Returns the current timeout for the engine, in milliseconds.
 	 */
 	constructor(clock: Clock, engineLimit: () => number) {
 		this.#clock = clock;
@@ -42,13 +43,13 @@
 		this.#since = clock.now();
 	}
 
-	/** Something moved, and the stream now waits for this side. */
+	/** Notes progress: the stream waits for this side from now on, and the timeout starts again. */
 	waitFor(side: StreamSilence): void {
 		this.#waitsFor = side;
 		this.#since = this.#clock.now();
 	}
 
-	/** Says, once, who has been silent for too long; `undefined` while nobody has. */
+	/** Returns the side that has exceeded its timeout, once for each stream; otherwise `undefined`. */
 	look(now: number): StreamSilence | undefined {
 		const limit = this.#waitsFor === 'caller' ? callerSilenceMilliseconds : this.#limit();
 		if (this.silent !== undefined || now - this.#since < limit) {
@@ -60,7 +61,7 @@
 	}
 }
 
-/** Looks at all streams of an instance in one loop; a timer for each stream cost more than the text of a short one. */
+/** Checks all streams of an instance in one loop. A timer for each stream cost more than relaying a short answer. */
 export class StreamWatches {
 	readonly #clock: Clock;
 	readonly #watched = new Map<StreamWatch, (silent: StreamSilence) => void>();
@@ -71,7 +72,7 @@
 		this.#clock = clock;
 	}
 
-	/** Watches a stream until `remove`; `onSilent` is called at most once. */
+	/** Watches a stream until `remove`; the callback is called at most once, with the unresponsive side. */
 	add(watch: StreamWatch, onSilent: (silent: StreamSilence) => void): void {
 		this.#watched.set(watch, onSilent);
 		if (!this.#isLooking) {
@@ -101,11 +102,11 @@
 }
 
 /**
- * Gives how long an endpoint may be silent before the first token.
+ * Calculates the timeout for the first token of an answer.
  *
- * @param load - Its newest report, if any.
+ * @param load - The endpoint's newest load report, if any.
  * @param promptTokens - Tokens of this prompt.
- * @returns Milliseconds: a base, and several times the prefill that it has to do.
+ * @returns Milliseconds: a base, plus several times the estimated duration of the pending prefill.
  */
 export function firstTokenLimit(load: LoadReport | undefined, promptTokens: number): number {
 	if (load === undefined) {
