--- a/src/entry/kept/cache-event-reader.ts
+++ b/src/entry/kept/cache-event-reader.ts
@@ -1,25 +1,26 @@
 /**
- * Reads engines' cache events into this instance's beliefs of who keeps which prefix: all engines in turn, and those that
- * a prompt is about to rely on at once. Events that come late or not at all make a belief wrong; the answers correct it.
+ * Reads the cache events of engines and records which engine has which prefix cached: of all engines at intervals, and of
+ * the engines that a prompt is about to rely on immediately. Late or missing events make this record wrong until the next
+ * answer corrects it.
  */
 import {blockCharacters, charactersPerToken} from '../../cache/block-keys.js';
 import {type CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type EndpointView} from '../../decision/routing/routing-policy.js';
 import {type EntryContext} from '../entry-context.js';
 
-/** Tokens of one piece, as keys are made. */
+/** Tokens of one cache block, as block keys are calculated. */
 export const pieceTokens = blockCharacters / charactersPerToken;
-/** Events read so recently are not read again for the next prompt, which bounds what hot prefixes cost an engine. */
+/** Events read this recently are not read again for the next prompt. This bounds the reads that popular prefixes cause. */
 const freshMilliseconds = 100;
-/** A prompt waits no longer than this for an engine's events, and then relies on what was believed before. */
+/** The longest wait of a prompt for an engine's events. After it, the prompt relies on the events read before. */
 const confirmMilliseconds = 100;
 
-/** What the reader knows of one engine's answers. */
+/** State of the reads from one engine. */
 type Reading = {
 	address: string;
 	askedAt: number;
 	answeredAt: number;
-	/** The last question failed; nobody waits for this engine until one is answered. */
+	/** True if the last query failed. Prompts do not wait for this engine until a query succeeds. */
 	hasFailed: boolean;
 	underWay: Promise<void> | undefined;
 };
@@ -34,7 +35,7 @@
 		this.#prefixes = prefixes;
 	}
 
-	/** Reads the events of all engines that have reported, and forgets engines that are gone. */
+	/** Reads the events of all engines that have reported, and removes engines that are no longer listed. */
 	async readAll(): Promise<void> {
 		const engines = this.#context.endpoints.engines().filter(({heardAt}) => heardAt > 0);
 		const names = new Set(engines.map(({name}) => name));
@@ -47,14 +48,13 @@
 	}
 
 	/**
-	 * Reads the events of those engines that are believed to keep leading pieces of a prompt.
+	 * Reads the events of those engines that are recorded as having leading blocks of a prompt cached.
 	 *
-	 * Between two readings of all engines other prompts evict what is believed kept. A prompt that returned within that
-	 * time was sent to such an engine and computed again while its pieces lay in a store: one to three of eight prompts
-	 * in a run over real processes. The events on record when the prompt returns are the engine's own word of what it has
-	 * left.
+	 * Between two reads of all engines, other prompts evict blocks that are still recorded as cached. A prompt that returned
+	 * in that time was sent to such an engine and prefilled again although its blocks were in a store: one to three of eight
+	 * prompts in a run with real processes. Reading the engine's events when the prompt returns shows what it still has.
 	 *
-	 * @param pieceKeys - The prompt's pieces, first one first.
+	 * @param pieceKeys - Keys of the prompt's blocks, in the order of the prompt.
 	 */
 	async confirm(pieceKeys: readonly string[]): Promise<void> {
 		const {clock, endpoints} = this.#context;
@@ -73,7 +73,7 @@
 		answered.abort();
 	}
 
-	/** An engine that let a prompt wait in vain is not waited for again, so that prompts do not wait for it in turn. */
+	/** An engine that did not answer one prompt in time is not queried for the next, so that each prompt does not wait again. */
 	#isWorthAsking(name: string, now: number): boolean {
 		const reading = this.#readings.get(name);
 		if (reading === undefined) {
@@ -84,7 +84,7 @@
 		return !isSilent && !reading.hasFailed && now - reading.answeredAt >= freshMilliseconds;
 	}
 
-	/** One question at a time goes to an engine; whoever asks meanwhile gets the same answer. */
+	/** Sends at most one query at a time to an engine; concurrent callers share its answer. */
 	async #read(engine: EndpointView): Promise<void> {
 		const reading = this.#readingOf(engine);
 		reading.underWay ??= this.#ask(engine, reading);
@@ -97,8 +97,8 @@
 		const events = await engine.cacheEvents(address, this.#prefixes.lastSequenceOf(name)).finally(() => {
 			reading.underWay = undefined;
 		});
-		// The answer of an engine that was replaced meanwhile counts by the old one's sequence: taken, it would hide the
-		// events of the new one, which counts from the start.
+		// If the engine was replaced during the query, the answer has the sequence numbers of the old engine. Applied, it would
+		// hide the events of the new engine, which numbers them from the start.
 		if (this.#readings.get(name) !== reading) {
 			return;
 		}
@@ -110,7 +110,7 @@
 		});
 	}
 
-	/** An engine that came back at another address starts empty, and counts its events from the start. */
+	/** An engine that returned at another address has an empty cache, and numbers its events from the start. */
 	#readingOf({name, address, load}: EndpointView): Reading {
 		let reading = this.#readings.get(name);
 		if (reading?.address !== address) {
--- a/src/entry/kept/kept-context.test.ts
+++ b/src/entry/kept/kept-context.test.ts
@@ -1,4 +1,4 @@
-/** Kept context over HTTP against the stand-ins of engines and a store, in one process. */
+/** Cached context over HTTP with stand-ins of engines and a store, in one process. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {type TestContext, test} from 'node:test';
@@ -35,9 +35,9 @@
 	store: CacheStoreStandIn;
 	storeStandIn: StandIn;
 	route: RouteRequest;
-	/** An instance of its own: it shares nothing with another but the store. */
+	/** Creates an instance, which shares only the store with other instances. */
 	instance(): {kept: StoreKeptContext; saver: PieceSaver; prefixes: CachedPrefixes; reader: CacheEventReader};
-	/** Sends the prompt, or another one; gives how many of its tokens were not computed. */
+	/** Sends the prompt, or another one; returns how many of its tokens were cached. */
 	cachedTokensAt(endpoint: EndpointView, sent?: string): Promise<number>;
 };
 
@@ -122,23 +122,23 @@
 	}, new LeastLoadedPolicy());
 }
 
-test('what one instance saved another brings to an endpoint that never saw the prompt', async context => {
-	// A rulebook is checked at one engine. Hours later it returns by another entry, which has learnt nothing from the
-	// first, and goes to an engine that never saw it. Its pieces come out of the store and are not computed again.
+test('an instance transfers blocks that another instance saved to an endpoint without the prompt', async context => {
+	// A rulebook is prefilled at one engine. Hours later it returns at another entry, which shares no state with the first,
+	// and goes to an engine that does not have it. Its blocks are read from the store and are not prefilled again.
 	const scene = await createScene(context);
 	assert.equal(await saveFrom(scene), pieces);
 	await bringToSecond(scene);
 	assert.equal(await scene.cachedTokensAt(scene.second), pieces * 2048);
 });
 
-test('a piece is saved once, whoever asks for it again', async context => {
+test('a block is saved once, also if several instances save it', async context => {
 	const scene = await createScene(context);
 	assert.equal(await saveFrom(scene), pieces);
 	assert.equal(await saveFrom(scene), 0);
 	assert.equal(scene.store.counts().pieces, pieces);
 });
 
-test('a piece that was freed between the question and the reading is recomputed', async context => {
+test('a block that was freed between the query and the read is prefilled again', async context => {
 	const scene = await createScene(context);
 	await saveFrom(scene);
 	const {kept} = scene.instance();
@@ -155,7 +155,7 @@
 	assert.equal(await scene.cachedTokensAt(scene.second), 0);
 });
 
-test('a dead store costs no answer and is asked only once', async context => {
+test('a failed store prevents no answer and is queried only once', async context => {
 	const scene = await createScene(context);
 	await scene.storeStandIn.close();
 	const {kept} = scene.instance();
@@ -166,7 +166,7 @@
 	assert.equal(await scene.cachedTokensAt(scene.second), 0);
 });
 
-test('a full store frees what was unused for longest, and the new pieces are kept', async context => {
+test('in a full store the least recently used blocks are freed, and the new blocks are saved', async context => {
 	const scene = await createScene(context, {room: 2 * pieceBytes});
 	const stores = new HttpCacheStore();
 	const {saver} = scene.instance();
@@ -181,9 +181,9 @@
 	assert.equal(found.orDefault([]).length, 1);
 });
 
-test('an engine that swapped its weights takes no piece of the old ones', async context => {
-	// Between the choice of the endpoint and the arrival of the pieces the engine loads new weights. It refuses the pieces,
-	// and the prompt is computed under the new version.
+test('an engine that swapped its weights imports no block of the old weights', async context => {
+	// The engine loads new weights after it was chosen and before the blocks arrive. It rejects the blocks, and the prompt is
+	// prefilled under the new version.
 	const scene = await createScene(context);
 	await saveFrom(scene);
 	const engine = new HttpModelEngine();
@@ -202,10 +202,10 @@
 	assert.deepEqual(stored.orDefault([]), []);
 });
 
-test('an engine that evicted a prompt since all events were read is not believed to keep it', async context => {
-	// A rulebook is computed and saved, and the instance reads that the engine keeps it. Another prompt pushes it out, and
-	// the rulebook returns before the instance reads again. Sent to that engine as if it were kept, it would be computed
-	// again; its pieces are found in the store instead.
+test('an engine that evicted a prompt after the last read of all events is not treated as having it cached', async context => {
+	// A rulebook is prefilled and saved, and the instance reads that the engine has it cached. Another prompt evicts it, and
+	// the rulebook returns before the next read of all events. If it were sent to that engine as cached, it would be
+	// prefilled again; instead its blocks are found in the store.
 	const scene = await createScene(context, {engineBlocks});
 	await saveFrom(scene);
 	const {kept, prefixes, reader} = scene.instance();
@@ -219,7 +219,7 @@
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), 1);
 });
 
-test('an engine that keeps a prompt still is believed, and the store is not asked', async context => {
+test('the store is not queried if an engine still has the whole prompt cached', async context => {
 	const scene = await createScene(context);
 	await saveFrom(scene);
 	const {kept, prefixes} = scene.instance();
@@ -228,9 +228,9 @@
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
 });
 
-test('an engine that does not tell its events holds up one prompt, and that for a tenth of a second', async context => {
-	// The engine hangs. The first prompt that would rely on it waits for its events until the limit, and goes on with what
-	// was believed before; the next one does not wait at all.
+test('an engine that does not answer delays only one prompt, by 100 ms', async context => {
+	// The engine hangs. The first prompt that would rely on it waits for its events until the timeout, and continues with
+	// the events read before. The next prompt does not wait.
 	const scene = await createScene(context);
 	await saveFrom(scene);
 	const {kept, prefixes} = scene.instance();
@@ -248,9 +248,9 @@
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
 });
 
-test('a prompt whose store was late when it was asked is saved all the same', async context => {
-	// The store is busy when the prompt arrives, so the prompt is computed and the next prompts do not wait for the store.
-	// When the first token came the store answers again: the prompt's pieces go there, and are found when it returns.
+test('a prompt is saved even if its store timed out when it was queried', async context => {
+	// The store is busy when the prompt arrives, so the prompt is prefilled and the next prompts do not wait for the store.
+	// When the first token arrives the store answers again: the blocks are saved there, and are found when the prompt returns.
 	const scene = await createScene(context);
 	const {kept, saver} = scene.instance();
 	scene.store.faults.slowMilliseconds = 300;
--- a/src/entry/kept/kept-context.ts
+++ b/src/entry/kept/kept-context.ts
@@ -1,10 +1,10 @@
 /**
- * The shell around kept context: asks the store that a prompt's pieces belong to what it has, brings pieces to the
- * endpoint that routing chose, and has saved what was computed.
+ * Uses the cached context of prompts: queries the store that owns a prompt's blocks, transfers blocks to the endpoint that
+ * routing chose, and orders that prefilled blocks are saved to the store.
  *
- * No instance keeps a directory of the stores. The store of a prompt is worked out by rendezvous hashing of its first
- * piece, and the store itself is asked, so that a new instance knows as much as one that it replaced. All that is learnt
- * is a hint: a piece that is gone, damaged or late is recomputed.
+ * No instance keeps a directory of the stores. Rendezvous hashing of a prompt's first block gives its store, and the store
+ * itself is queried, so that a new instance can use the same blocks as the instance it replaces. The answers are hints: a
+ * block that was removed, is damaged or arrives late is prefilled again.
  */
 import {type SavePolicy} from '../../decision/cache/save-policy.js';
 import {type CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
@@ -21,17 +21,17 @@
 import {type PieceSaver} from './piece-saver.js';
 import {StoreSuspicion} from './store-suspicion.js';
 
-/** Bringing pieces is given up when it takes so many times as long as was expected, and this much more. */
+/** A transfer is stopped when it takes longer than this multiple of the expected time, plus the milliseconds below. */
 const patienceTimes = 4;
 const patienceMilliseconds = 200;
 
-/** What a store has of a prompt. */
+/** The blocks of a prompt that a store has. */
 export type FoundPieces = {
 	store: string;
 	pieces: readonly SealedBlock[];
 };
 
-/** Where pieces are brought to, and for whom. */
+/** A transfer of blocks from a store to an endpoint, for one prompt. */
 export type BringOrder = {
 	plan: FetchPlan;
 	found: FoundPieces | undefined;
@@ -39,23 +39,23 @@
 	route: RouteRequest;
 };
 
-/** Kept context as the data path uses it. */
+/** Access to cached context for the data path. */
 export interface KeptContext {
-	/** Finds out what the prompt's store has, unless an endpoint has it all by its newest events. */
+	/** Queries which blocks the prompt's store has, unless an endpoint has all of them by its newest events. */
 	find(pieceKeys: readonly string[]): Promise<FoundPieces | undefined>;
-	/** Brings pieces to an endpoint; resolves when they are there or were given up. */
+	/** Transfers blocks to an endpoint; resolves when the transfer is complete or was stopped. */
 	bring(order: BringOrder, policy: RoutingPolicy): Promise<void>;
-	/** A prompt was prefilled at an endpoint: what it computed may be worth keeping. */
+	/** Notes that an endpoint has prefilled a prompt, whose blocks may be worth saving. */
 	prefilled(route: RouteRequest, endpoint: EndpointView): void;
 }
 
-/** The parts that kept context is made of. */
+/** Dependencies of the cached context. */
 export type KeptParts = {
 	prefixes: CachedPrefixes;
 	stores: CacheStore;
 	reader: CacheEventReader;
 	saver: PieceSaver;
-	/** The links by store, which routing reads; kept in step with the list here. */
+	/** Estimates of the links by store. Routing reads them; they are updated here from the instance list. */
 	links: Map<string, LinkEstimate>;
 };
 
@@ -72,7 +72,7 @@
 		this.#keeping = new SaveAllPolicy(parts.prefixes, []);
 	}
 
-	/** Takes the stores of the platform's list. A store that went is forgotten with all that it was believed to have. */
+	/** Applies the platform's instance list. A store that is no longer listed is removed, with the record of its blocks. */
 	takeList(instances: readonly ListedInstance[]): void {
 		const {links, prefixes} = this.#parts;
 		const live = instances.filter(({role, state}) => role === 'cache-store' && state === 'live');
@@ -150,8 +150,8 @@
 	}
 
 	prefilled(route: RouteRequest, endpoint: EndpointView): void {
-		// The keys name the declared weight version. Under another one they would name pieces that this endpoint does not
-		// have.
+		// The keys are calculated with the declared weight version. The blocks of an endpoint with another version have other
+		// keys.
 		if (endpoint.weightVersion !== route.weightVersion) {
 			return;
 		}
@@ -160,8 +160,8 @@
 		const actions = this.#keeping.prefilled({
 			workspace, endpoint: endpoint.name, pieceKeys, reusedBlocks: 0,
 		}, this.#context.clock.now());
-		// A store that was late for a caller is not passed over here: nobody waits for a save, and a prompt that is not saved
-		// is computed again when it returns. The saver has its own patience.
+		// A store in backoff is not skipped here: no caller waits for a save, and a prompt that is not saved is prefilled again
+		// when it returns. The saver has its own retries and pauses.
 		for (const {store, pieceKeys: keys} of actions) {
 			this.#parts.saver.enqueue({
 				store, storeAddress: this.#addresses.get(store)!, endpointAddress: endpoint.address, pieceKeys: keys,
@@ -169,7 +169,7 @@
 		}
 	}
 
-	/** Gives how many leading pieces of the plan came to the endpoint. */
+	/** Transfers the blocks in order, and returns how many leading blocks of the plan reached the endpoint. */
 	async #bringInTurn({plan, found, endpoint, route}: BringOrder, startedAt: number): Promise<number> {
 		const {clock} = this.#context;
 		const address = this.#addresses.get(plan.store);
@@ -213,17 +213,17 @@
 	}
 }
 
-/** No stores: everything that no engine keeps is recomputed. A baseline, and what tests without stores use. */
+/** Cached context without stores: blocks that no engine has are prefilled again. A baseline, also used in tests. */
 export class NoKeptContext implements KeptContext {
 	async find(): Promise<undefined> {
 		return undefined;
 	}
 
 	async bring(): Promise<void> {
-		// There is nothing to bring.
+		// Without stores there is nothing to transfer.
 	}
 
 	prefilled(): void {
-		// Nothing is kept.
+		// Without stores nothing is saved.
 	}
 }
--- a/src/entry/kept/piece-saver.test.ts
+++ b/src/entry/kept/piece-saver.test.ts
@@ -1,4 +1,4 @@
-/** Saving pieces against a store that is late or hung, under a clock that the test moves. */
+/** Saving blocks to a store that is late or hangs, with a clock that the test advances. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
@@ -14,14 +14,14 @@
 const pieceKeys = ['piece-1', 'piece-2', 'piece-3'];
 const late = Left<CacheStoreFailure>({kind: 'unavailable', detail: 'it did not answer in time'});
 
-/** An engine that has every piece. */
+/** An engine that has every block. */
 class KeepingEngine extends MemoryModelEngine {
 	override async exportBlock(): Promise<Either<never, Buffer>> {
 		return Right(Buffer.from('content'));
 	}
 }
 
-/** Stores by address, of which each is late for so many questions. */
+/** Stores by address, each of which times out for a given number of queries. */
 class LateStores implements CacheStore {
 	readonly lateAnswers = new Map<string, number>();
 	readonly questions = new Map<string, number>();
@@ -70,7 +70,7 @@
 	return {entry, stores, saveTo};
 }
 
-/** Moves the clock on in steps until the work is done. */
+/** Advances the clock in steps until the work is done. */
 async function withTimeMoving<Value>(clock: ManualClock, work: Promise<Value>): Promise<Value> {
 	const over = new AbortController();
 	const finished = work.finally(() => {
@@ -84,18 +84,18 @@
 	return finished;
 }
 
-test('pieces are saved although the store is late for the first of them', async () => {
-	// A busy store does not answer two questions within their limit. The order is tried again and the prompt is kept whole;
-	// given up at the first late answer it would be kept nowhere, and computed again when it returns.
+test('blocks are saved although the store times out for the first of them', async () => {
+	// A busy store does not answer two queries in time. The order is retried and the whole prompt is saved. Without retries it
+	// would not be saved, and would be prefilled again when it returns.
 	const {stores, saveTo} = createScene();
 	stores.lateAnswers.set('store-1', 2);
 	assert.equal(await saveTo('store-1'), pieceKeys.length);
 	assert.deepEqual(stores.sealed, pieceKeys.map(key => `store-1 ${key}`));
 });
 
-test('a store that stays late is left alone, and what goes to another store does not wait for it', async () => {
-	// A hung store is given up behind four tries. The next order for it is dropped without a question, the one for another
-	// store is carried out, and two seconds later the hung store is asked again.
+test('a store that keeps timing out is skipped, and orders for another store do not wait for it', async () => {
+	// A hung store is skipped after four attempts. The next order for it is dropped without a query, an order for another
+	// store is executed, and two seconds later the first store is queried again.
 	const {entry, stores, saveTo} = createScene();
 	stores.lateAnswers.set('store-1', 4);
 	assert.equal(await saveTo('store-1'), 0);
--- a/src/entry/kept/piece-saver.ts
+++ b/src/entry/kept/piece-saver.ts
@@ -1,7 +1,7 @@
 /**
- * Saves pieces from engines to stores in the background, one at a time, so that saving never takes more of a store's link
- * than one transfer of this instance. What waits is bounded; what is beyond is dropped and counted, and will be recomputed
- * if it is ever needed.
+ * Saves blocks from engines to stores in the background, one at a time, so that saving uses at most one transfer of this
+ * instance on a store's link. The queue is bounded. Orders beyond the bound are dropped and counted, and their blocks are
+ * prefilled again if they are needed.
  */
 import {randomUUID} from 'node:crypto';
 import {once} from 'node:events';
@@ -13,25 +13,25 @@
 import {type EntryContext} from '../entry-context.js';
 
 const queueLimitOrders = 64;
-/** Pieces that make room for one when a store is full. */
+/** Number of blocks that are freed to save one when a store is full. */
 const freedAtOnce = 4;
 /**
- * Pauses before a piece is tried again that a store or an engine was late for. Nobody waits for a save, so it has more
- * patience than a caller: beside a busy machine a store that answers in milliseconds is late by 100 ms to 800 ms at times.
- * Given up at the first late answer, a prompt is kept nowhere and is computed again when it returns; that befell 95 of
- * 448 returning prompts over real processes at a load of up to four for each core.
+ * Pauses before the retries of a block for which a store or an engine did not answer in time. No caller waits for a save, so
+ * it is retried for longer than a query of a prompt: on a busy machine a store that otherwise answers within milliseconds is
+ * 100 ms to 800 ms late at times. Without retries, the prompt is not saved and is prefilled again when it returns; this
+ * happened to 95 of 448 returning prompts with real processes at a load of up to four for each core.
  */
 const retryPausesMilliseconds = [200, 400, 800];
 /**
- * A store that was late each time is left alone for this long. Without that the orders for a hung store would wait for it
- * in turn, and those for the others would be dropped behind them.
+ * A store that timed out for all retries of a block is skipped for this long. Otherwise the orders for a hung store would
+ * each wait for it, and the queue would fill and drop the orders for other stores.
  */
 const restMilliseconds = 2000;
 
-/** How saving one piece ended. All but the first two leave it unsaved, and `late` ones are worth another try. */
+/** How saving one block ended. With all but the first two the block is not saved; the `late` outcomes are retried. */
 type PieceOutcome = 'written' | 'already-there' | 'store-late' | 'engine-late' | 'store-full' | 'evicted';
 
-/** Pieces to save. */
+/** An order to save blocks from an endpoint to a store. */
 export type SaveOrder = {
 	store: string;
 	storeAddress: string;
@@ -46,7 +46,7 @@
 	readonly #prefixes: CachedPrefixes;
 	readonly #waiting: SaveOrder[] = [];
 	readonly #arrived = new EventTarget();
-	/** By store, until when nothing is saved to it. */
+	/** By store, the time until which it is skipped, in milliseconds since the epoch. */
 	readonly #restUntil = new Map<string, number>();
 
 	constructor(context: EntryContext, stores: CacheStore, prefixes: CachedPrefixes) {
@@ -55,7 +55,7 @@
 		this.#prefixes = prefixes;
 	}
 
-	/** Takes an order, or drops it when too many wait. */
+	/** Adds an order to the queue, or drops it if the queue is full. */
 	enqueue(order: SaveOrder): void {
 		if (this.#waiting.length >= queueLimitOrders) {
 			this.#reportNotSaved(order.pieceKeys.length, 'queue');
@@ -74,11 +74,11 @@
 	}
 
 	/**
-	 * Saves the pieces of one order that the store does not have yet, up to the first one that cannot be saved.
+	 * Saves the blocks of one order that the store does not have yet, up to the first one that cannot be saved.
 	 *
-	 * @param order - What to save, from where to where.
-	 * @param signal - Ends the pauses between tries.
-	 * @returns How many were written.
+	 * @param order - The blocks to save, with their source and destination.
+	 * @param signal - Ends the pauses between retries.
+	 * @returns The number of blocks written.
 	 */
 	async save(order: SaveOrder, signal: AbortSignal): Promise<number> {
 		const {store, pieceKeys} = order;
@@ -160,8 +160,8 @@
 	}
 
 	/**
-	 * Writes a piece under a fresh generation, then seals it. A writer that dies in between leaves a piece without a seal,
-	 * which nobody is ever given.
+	 * Writes a block under a new generation, then seals it. A writer that fails in between leaves a block without a seal,
+	 * which the store never returns to a reader.
 	 */
 	async #write(storeAddress: string, pieceKey: string, content: Buffer): Promise<CacheStoreFailure | undefined> {
 		const piece = {pieceKey, generation: randomUUID()};
@@ -175,8 +175,8 @@
 	}
 
 	/**
-	 * Frees what was unused for longest. Whoever is about to read it gets an answer that fails the check of its seal or
-	 * none at all, and recomputes.
+	 * Frees the least recently used blocks. An instance that reads one of them meanwhile receives an error or content that
+	 * does not match the seal, and the block is prefilled again.
 	 */
 	async #makeRoom(storeAddress: string): Promise<void> {
 		const oldest = await this.#stores.leastRecentlyUsed(storeAddress, freedAtOnce);
@@ -193,7 +193,7 @@
 		try {
 			await once(this.#arrived, 'order', {signal});
 		} catch {
-			// The signal aborted: the loop looks at it.
+			// The signal aborted; the loop checks it.
 		}
 	}
 }
--- a/src/entry/kept/store-suspicion.test.ts
+++ b/src/entry/kept/store-suspicion.test.ts
@@ -2,8 +2,9 @@
 import {test} from 'node:test';
 import {StoreSuspicion} from './store-suspicion.js';
 
-test('a store that was late once is asked again a moment later', () => {
-	// A busy store is late for one prompt. The prompts of the next two seconds would be computed again for nothing.
+test('a store that timed out once is queried again after a short pause', () => {
+	// A busy store times out for one prompt. With a pause of two seconds, the prompts in that time would be prefilled again
+	// although the store has their blocks.
 	const suspicion = new StoreSuspicion();
 	suspicion.late('store-1', 1000);
 	assert.equal(suspicion.isSuspect('store-1', 1099), true);
@@ -11,7 +12,7 @@
 	assert.equal(suspicion.isSuspect('store-2', 1000), false);
 });
 
-test('a store that stays late is asked less and less often, at last each two seconds', () => {
+test('the pause of a store that keeps timing out doubles up to two seconds', () => {
 	const suspicion = new StoreSuspicion();
 	const rests: number[] = [];
 	let now = 0;
@@ -28,7 +29,7 @@
 	assert.deepEqual(rests, [100, 200, 400, 800, 1600, 2000, 2000]);
 });
 
-test('questions that were late together count as one, and an answer ends the suspicion', () => {
+test('concurrent timeouts count as one, and an answer ends the backoff', () => {
 	const suspicion = new StoreSuspicion();
 	suspicion.late('store-1', 0);
 	suspicion.late('store-1', 1);
@@ -41,7 +42,7 @@
 	assert.equal(suspicion.isSuspect('store-1', 400), false);
 });
 
-test('a store that stalls in the middle of a transfer is left alone for two seconds', () => {
+test('a store that stalls during a transfer is skipped for two seconds', () => {
 	const suspicion = new StoreSuspicion();
 	suspicion.stalled('store-1', 0);
 	assert.equal(suspicion.isSuspect('store-1', 1999), true);
--- a/src/entry/kept/store-suspicion.ts
+++ b/src/entry/kept/store-suspicion.ts
@@ -1,7 +1,7 @@
 /**
- * Which stores are left alone for a moment because they did not answer in time, so that prompts do not wait for a dead
- * store in turn. The first rest is short: beside a busy machine a store that is well is late now and then, and each prompt
- * that passes it over meanwhile is computed again. A store that stays late rests twice as long each time, up to a limit.
+ * Exponential backoff for stores that did not answer in time, so that prompts do not each wait for a store that has failed.
+ * The first pause is short: on a busy machine a healthy store times out occasionally, and each prompt that skips the store
+ * during the pause is prefilled again. The pause doubles with each further timeout, up to a limit.
  */
 
 const firstRestMilliseconds = 100;
@@ -12,12 +12,12 @@
 export class StoreSuspicion {
 	readonly #rests = new Map<string, Rest>();
 
-	/** Tells whether a store is left alone now. `now` is in milliseconds since the epoch. */
+	/** Returns whether a store is skipped now. `now` is in milliseconds since the epoch. */
 	isSuspect(store: string, now: number): boolean {
 		return now < (this.#rests.get(store)?.until ?? 0);
 	}
 
-	/** Notes that a store did not answer in time. Questions that were under way together count as one. */
+	/** Notes that a store did not answer in time. During a pause it has no effect: such queries were sent before the pause. */
 	late(store: string, now: number): void {
 		if (this.isSuspect(store, now)) {
 			return;
@@ -28,12 +28,12 @@
 		this.#rests.set(store, {until: now + milliseconds, milliseconds});
 	}
 
-	/** Notes that a store named pieces and then did not give one: its caller waited far longer, so it rests the longest. */
+	/** Notes that a store listed blocks but did not deliver one. This costs a caller far more time, so the pause is the longest. */
 	stalled(store: string, now: number): void {
 		this.#rests.set(store, {until: now + longestRestMilliseconds, milliseconds: longestRestMilliseconds});
 	}
 
-	/** Notes that a store answered. */
+	/** Notes that a store answered in time, which ends its backoff. */
 	answered(store: string): void {
 		this.#rests.delete(store);
 	}
