--- a/src/entry/operators/act-record.ts
+++ b/src/entry/operators/act-record.ts
@@ -1,4 +1,4 @@
-/** The record of operators' acts in the table service: who did what, when and why, and what came of it. */
+/** Records of operators' commands in the table service: author, time, command, reason and outcome. */
 import {randomUUID} from 'node:crypto';
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type TableFailure, type TableService} from '../../ports/table-service.js';
@@ -8,7 +8,7 @@
 const keyDigits = 16;
 const newestFirstFrom = 10 ** (keyDigits - 1);
 
-/** One act. `asked` stands while it is being done, and for good if the instance died over it. */
+/** The record of one command. Its outcome is `asked` while the command runs, and stays so if the instance fails meanwhile. */
 export type ActRecord = {
 	at: number;
 	author: string;
@@ -19,10 +19,10 @@
 };
 
 /**
- * Gives the key of an act's row. Keys sort the newest act first, so that a bounded read shows the latest ones.
+ * Creates the key of a command's row. Keys sort the newest command first, so that a bounded read returns the latest ones.
  *
- * @param at - When, in milliseconds since the epoch.
- * @returns A key that no other act has.
+ * @param at - The time of the command, in milliseconds since the epoch.
+ * @returns A unique key.
  */
 export function actKeyOf(at: number): string {
 	return `${String(newestFirstFrom - at).padStart(keyDigits, '0')}/${randomUUID()}`;
@@ -31,12 +31,12 @@
 /**
  * Writes a new record.
  *
- * A lost answer is read back, so that an act is not refused though its record stands.
+ * If the answer to the write is lost, the row is read, so that a command is not refused although its record was written.
  *
  * @param table - The table service.
  * @param key - From `actKeyOf`.
  * @param record - The record.
- * @returns Nothing, or why the record does not stand for sure.
+ * @returns Nothing, or why the record is not known to be written.
  */
 export async function writeActRecord(table: TableService, key: string, record: ActRecord): Promise<Either<TableFailure, void>> {
 	const name = {table: actTable, key};
@@ -51,7 +51,7 @@
 }
 
 /**
- * Adds the outcome to a record. When that fails the record goes on saying `asked`, which is true.
+ * Adds the outcome to a record. If that fails, the record keeps `asked`, which is still correct.
  *
  * @param table - The table service.
  * @param key - The key of the record.
--- a/src/entry/operators/act-runner.ts
+++ b/src/entry/operators/act-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Does an operator's act. The record is written first: an act whose record cannot be written is not done, so that
- * nothing is ever changed by nobody for no reason.
+ * Runs an operator's command. The record is written first, and a command whose record cannot be written is not run, so that
+ * every change has a recorded author and reason.
  */
 import {describeEdit} from '../../declaration/describe-edit.js';
 import {type AskAnswer} from '../../language/ask.js';
@@ -11,7 +11,7 @@
 } from './act-record.js';
 import {proposeChange} from './propose-change.js';
 
-/** An act that was shown and confirmed. */
+/** A command whose plan was shown to the operator and confirmed. */
 export type ConfirmedAct = {
 	author: string;
 	act: string;
--- a/src/entry/operators/answer-ask.ts
+++ b/src/entry/operators/answer-ask.ts
@@ -1,4 +1,7 @@
-/** Answers one line of the operators' language: reads at once; acts are shown first and done when confirmed. */
+/**
+ * Answers one statement of the operators' language. A read is answered immediately; a command is first shown as a plan, and
+ * run when the operator has confirmed it.
+ */
 import {z} from 'zod';
 import {describeEdit} from '../../declaration/describe-edit.js';
 import {type AskAnswer, type AskRequest} from '../../language/ask.js';
@@ -19,12 +22,12 @@
 });
 
 /**
- * Answers a question.
+ * Answers a statement.
  *
  * @param context - The entry.
- * @param peers - The entry among its peers.
- * @param body - The question as it arrived; nothing in it is trusted.
- * @returns The answer; `error` for anything that cannot be understood.
+ * @param peers - The entry's view of its peers.
+ * @param body - The request body as received; it is validated here.
+ * @returns The answer; `error` if the body or the statement is invalid.
  */
 export async function answerAsk(context: EntryContext, peers: PeerView, body: unknown): Promise<AskAnswer> {
 	const asked = askSchema.safeParse(body);
@@ -73,8 +76,8 @@
 		return errorOf({column: 1, message: 'author: who acts is needed'});
 	}
 
-	// What is done must be what was shown. Another operator may have changed the configuration in between; the act is
-	// then refused like any other proposal against an old version.
+	// The command that runs must be the one that was shown. If another operator has changed the configuration in between, the
+	// command is refused, like any proposal against an old version.
 	const shown: ActPlan = plan.kind === 'change' ? {...plan, plannedAgainst: confirmedAgainst} : plan;
 	return new ActRunner(context).run({
 		author, act: formatAct(statement), reason: statement.reason, plan: shown,
--- a/src/entry/operators/operator-key-check.ts
+++ b/src/entry/operators/operator-key-check.ts
@@ -3,12 +3,12 @@
 import {digestOf} from '../../shared/digest-of.js';
 
 /**
- * Makes the check of the operators' key.
+ * Creates the check of the operators' key.
  *
- * Digests are compared in constant time, so that the time of a refusal tells nothing of the key.
+ * Digests are compared in constant time, so that the timing of a refusal reveals nothing about the key.
  *
- * @param operatorKey - The key that is expected.
- * @returns A function that tells whether an `Authorization` header carries the key.
+ * @param operatorKey - The expected key.
+ * @returns A function that returns whether an `Authorization` header has the key.
  */
 export function operatorKeyCheck(operatorKey: string): (authorization: string | undefined) => boolean {
 	const expected = Buffer.from(digestOf(`Bearer ${operatorKey}`));
--- a/src/entry/operators/operator-routes.ts
+++ b/src/entry/operators/operator-routes.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP, on its own address and with its own key. */
+/** The operators' HTTP routes, which have their own address and their own key. */
 import {Buffer} from 'node:buffer';
 import {
 	getQuery, H3, HTTPError, type H3Event,
@@ -16,11 +16,11 @@
 const bodyLimitBytes = 8_388_608;
 
 /**
- * Makes the operators' routes.
+ * Creates the operators' routes.
  *
  * @param context - The entry.
- * @param peers - The entry among its peers.
- * @returns The application, to be served on the operators' address.
+ * @param peers - The entry's view of its peers.
+ * @returns The application, to be served at the operators' address.
  */
 export function createOperatorRoutes(context: EntryContext, peers: Pick<EntryPeers, 'overview'>): H3 {
 	const app = new H3();
@@ -84,8 +84,8 @@
  * Reads a JSON body up to a limit.
  *
  * @param event - The exchange.
- * @returns The value.
- * @throws An error that answers 413 or 400.
+ * @returns The parsed value.
+ * @throws An `HTTPError` with status 413 if the body is too long, or 400 if it is not valid JSON.
  */
 export async function readJsonBody(event: H3Event): Promise<unknown> {
 	const chunks: Uint8Array[] = [];
--- a/src/entry/operators/propose-change.ts
+++ b/src/entry/operators/propose-change.ts
@@ -1,4 +1,7 @@
-/** Takes a proposed configuration change: its form, what it would bring about, and then the table service decide. */
+/**
+ * Handles a proposed configuration change: validates its form and the configuration that it would lead to, and proposes it
+ * to the table service, which decides between concurrent proposals.
+ */
 import {type Either, Left} from 'purify-ts/Either';
 import {checkOutcome, checkProposal, type ProposalFinding} from '../../declaration/check-proposal.js';
 import {
@@ -7,14 +10,14 @@
 import {type ConfigurationChange} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
 
-/** Why a proposal was not accepted; `bad-proposal` was never looked at by the table service. */
+/** Why a proposal was not accepted; a `bad-proposal` was not sent to the table service. */
 export type ProposeFailure = ProposalFailure | {kind: 'bad-proposal'; findings: ProposalFinding[]};
 
 /**
- * Brings the newest accepted configuration into force here, as far as the table service can be read.
+ * Reads the accepted changes from the table service and brings them into force here.
  *
  * @param context - The entry.
- * @returns True if the table service was read to its end.
+ * @returns True if all changes were read, false if the table service did not answer.
  */
 export async function catchUp(context: EntryContext): Promise<boolean> {
 	const {configuration, table} = context;
@@ -36,11 +39,11 @@
 }
 
 /**
- * Has a proposal accepted.
+ * Validates a proposal and has the table service accept it.
  *
  * @param context - The entry.
- * @param body - The proposal as it arrived; nothing in it is trusted.
- * @returns The accepted change, which is in force here, or why not.
+ * @param body - The proposal as received; it is validated here.
+ * @returns The accepted change, which is in force here, or why it was not accepted.
  */
 export async function proposeChange(context: EntryContext, body: unknown): Promise<Either<ProposeFailure, ConfigurationChange>> {
 	const checked = checkProposal(body);
@@ -53,8 +56,8 @@
 		await catchUp(context);
 	}
 
-	// The outcome can be judged only on the version that was planned against. On any other the table service refuses
-	// the proposal anyway, because its head has moved on.
+	// The resulting configuration can be checked only at the version that the proposal was planned against. If this instance
+	// has a newer version, the table service refuses the proposal anyway, because its head is newer too.
 	if (proposal.plannedAgainst === context.configuration.state.version) {
 		const findings = checkOutcome(context.configuration.state, proposal.edits);
 		if (findings.length > 0) {
--- a/src/entry/operators/racing-applies.test.ts
+++ b/src/entry/operators/racing-applies.test.ts
@@ -12,11 +12,11 @@
 
 type Attempt = {author: string; reason: string; plannedAgainst: number; answer: ProposalAnswer};
 
-// Two operators at two instances each change the configuration over and over without seeing the other's change. Per
-// version one of the racing proposals can win. The others must hear who changed what since their plan, and what an
-// operator was told was accepted must be in the history, though the table service loses some answers after the write
-// took effect.
-test('100 racing applies by two operators: each is accepted or told, and every accepted version is in the history', async t => {
+// Two operators at two instances repeatedly change the configuration without seeing each other's changes. For each version,
+// one of the concurrent proposals can be accepted. The others must be answered with the changes since their plan, and every
+// proposal that was answered as accepted must be in the history, although the table service loses some answers after the
+// write took effect.
+test('100 concurrent proposals of two operators are accepted or overtaken, and the history has every accepted one', async t => {
 	const entries = new TestEntries();
 	await entries.start(2);
 	t.after(async () => entries.stop());
@@ -57,13 +57,13 @@
 	for (const [index, {answer}] of attempts.entries()) {
 		if (answer.kind !== 'accepted') {
 			const again = await attempt(index);
-			assert.equal(again.answer.kind, 'accepted', 'a loser who plans again loses nothing');
+			assert.equal(again.answer.kind, 'accepted', 'a proposal that was overtaken is accepted when it is planned again');
 		}
 	}
 
 	const {rules} = await clients[1]!.configuration();
 	assert.equal(rules.size, applies);
-	t.diagnostic(`${accepted} accepted, ${applies - accepted} told`);
+	t.diagnostic(`${accepted} accepted, ${applies - accepted} overtaken`);
 });
 
 function ruleEdit(index: number): ConfigurationEdit {
@@ -71,11 +71,11 @@
 }
 
 function assertTold(answer: ProposalAnswer & {kind: 'overtaken'}, plannedAgainst: number, history: readonly ConfigurationChange[]): void {
-	assert.ok(answer.since.length > 0, 'a loser is told what changed since');
+	assert.ok(answer.since.length > 0, 'an overtaken proposal is answered with the changes since its plan');
 	assert.deepEqual(answer.since, history.slice(plannedAgainst, plannedAgainst + answer.since.length));
 }
 
-test('a proposal that no command line would send is refused with its findings and never comes into force', async t => {
+test('an invalid proposal, which the command line would not send, is refused with its findings and not applied', async t => {
 	const entries = new TestEntries();
 	await entries.start(1);
 	t.after(async () => entries.stop());
--- a/src/entry/operators/read-source.ts
+++ b/src/entry/operators/read-source.ts
@@ -1,4 +1,4 @@
-/** Collects the rows of one source of the operators' language, as this instance knows them. */
+/** Collects the rows of one source of the operators' language, from this instance's state or the platform's services. */
 import {type SourceSnapshot} from '../../language/sources.js';
 import {type Row, type SourceName} from '../../language/statement.js';
 import {type Row as TableRow} from '../../ports/table-service.js';
@@ -7,7 +7,7 @@
 import {type EntryPeers} from '../peers/entry-peers.js';
 import {type ActRecord, actTable} from './act-record.js';
 
-/** What this instance knows of its peers. */
+/** This instance's view of its peers. */
 export type PeerView = Pick<EntryPeers, 'overview'>;
 
 const mostTableRows = 1000;
@@ -17,9 +17,9 @@
  * Reads a source.
  *
  * @param context - The entry.
- * @param peers - The entry among its peers.
- * @param source - Which source.
- * @returns Its rows; what could not be read is told in the notes.
+ * @param peers - The entry's view of its peers.
+ * @param source - The name of the source.
+ * @returns Its rows, and notes on what could not be read.
  */
 export async function readSource(context: EntryContext, peers: PeerView, source: SourceName): Promise<SourceSnapshot> {
 	switch (source) {
--- a/src/entry/operators/test-entries.ts
+++ b/src/entry/operators/test-entries.ts
@@ -1,4 +1,4 @@
-/** Entries in this process before real HTTP stand-ins, for the tests of the operators' side. Not part of what ships. */
+/** Entries in the process of the tests, with stand-ins of the platform over HTTP. Only tests of the operators' side use it. */
 
 import {createInstanceListStandIn} from '../../stand-in/instance-list-stand-in.js';
 import {createObjectStoreStandIn} from '../../stand-in/object-store-stand-in.js';
@@ -11,7 +11,7 @@
 
 export const testOperatorKey = 'operator-key-of-the-tests';
 
-/** Some entries and the platform's stand-ins before which they run. */
+/** A number of entries, and the stand-ins of the platform that they use. */
 export class TestEntries {
 	readonly addresses: EntryAddresses[] = [];
 	readonly #platform: StandIn[] = [];
@@ -27,7 +27,7 @@
 		}
 	}
 
-	/** The flags of an entry before these stand-ins. */
+	/** Returns the flags of an entry that uses these stand-ins. */
 	entryFlags(instance: string): Record<string, string> {
 		const [table, objects, list] = this.#platform.map(({address}) => address);
 		return {
@@ -45,12 +45,12 @@
 		};
 	}
 
-	/** Changes the faults of the table service. */
+	/** Sets the faults of the table service. */
 	async setTableFaults(faults: Record<string, JsonValue>): Promise<void> {
 		await fetch(`http://${this.#platform[0]!.address}/control`, {method: 'POST', headers: {'content-type': 'application/json'}, body: JSON.stringify(faults)});
 	}
 
-	/** Announces instances in the platform's list. */
+	/** Replaces the content of the platform's instance list. */
 	async announce(instances: JsonValue): Promise<void> {
 		await fetch(`http://${this.#platform[2]!.address}/instances`, {method: 'PUT', headers: {'content-type': 'application/json'}, body: JSON.stringify({instances})});
 	}
