--- a/src/entry/peers/entry-peers.ts
+++ b/src/entry/peers/entry-peers.ts
@@ -1,6 +1,6 @@
 /**
- * This entry among its peers: binds the peer service to the configuration in force, the endpoint directory, the time
- * line and the metrics.
+ * Connects this entry to its peers: binds the peer service to the configuration in force, the endpoint directory, the
+ * timeline and the metrics.
  */
 import {stateOfSnapshot} from '../../peer/configuration/configuration-snapshot.js';
 import {reportOf} from '../../peer/load/load-summary.js';
@@ -12,7 +12,7 @@
 import {type ConfigurationChange, type JsonValue, type ListedInstance} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
 
-/** What operators are shown of the peers. */
+/** The view of the peers that operators receive. */
 export type PeerOverview = {
 	isReader: boolean;
 	ownedEndpoints: JsonValue;
@@ -28,7 +28,7 @@
 	readonly service: PeerService;
 	readonly random: () => number;
 	readonly #context: EntryContext;
-	/** True while a peer's change is applied: it is passed on by the node itself, which knows who has it already. */
+	/** True while a peer's change is applied. The peer node itself forwards such a change, since it knows which peers have it. */
 	#isTakingFromPeer = false;
 
 	constructor(context: EntryContext) {
@@ -82,12 +82,12 @@
 		});
 	}
 
-	/** Whether this entry is one of those that read the table for changes; one without peers reads for itself. */
+	/** Whether this entry reads configuration changes from the table service; an entry without links to peers always does. */
 	get isReader(): boolean {
 		return this.service.node.isReader || this.service.linked.length === 0;
 	}
 
-	/** Takes the platform's list. */
+	/** Applies the platform's instance list, and reports the metrics of the peer links. */
 	takeList(instances: readonly ListedInstance[]): void {
 		this.service.applyList(instances);
 		const {metrics} = this.#context;
@@ -99,18 +99,18 @@
 		metrics.report('peers.dropped', counts.dropped);
 	}
 
-	/** Names the endpoints to ask for their load now. */
+	/** Returns the names of the endpoints whose load reports this instance reads now. */
 	endpointsToAsk(): ReadonlySet<string> {
 		const {node} = this.service;
 		return new Set(node.loadGossip.endpointsToPoll(this.#context.clock.now(), node.overlay.cell));
 	}
 
-	/** Takes an endpoint's own report. */
+	/** Handles a load report that this instance received from an endpoint, and publishes it to the peers. */
 	takeReport(name: string, report: LoadReport): void {
 		this.service.handleReport(name, report);
 	}
 
-	/** What operators are shown: who is there as this instance sees it, and what it does for the others. */
+	/** Returns the view for operators: the members that this instance knows, and what it does for its peers. */
 	overview(): PeerOverview {
 		const {node, linked, counts} = this.service;
 		const now = this.#context.clock.now();
--- a/src/entry/watchers/cache-event-watcher.ts
+++ b/src/entry/watchers/cache-event-watcher.ts
@@ -1,4 +1,4 @@
-/** Has the cache events of all engines read again and again. */
+/** Reads the cache events of all engines at intervals. */
 import {type Child} from '../../supervisor/supervisor.js';
 import {type EntryContext} from '../entry-context.js';
 import {type CacheEventReader} from '../kept/cache-event-reader.js';
--- a/src/entry/watchers/configuration-watcher.ts
+++ b/src/entry/watchers/configuration-watcher.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this instance on the newest configuration. Two readers in each data centre, chosen by rendezvous hash, ask the
- * table service for changes behind their version and peers pass them on; the others ask the table seldom, in case that
- * all they hear from their peers is old.
+ * Keeps the configuration of this instance up to date. Two readers in each data centre, chosen by rendezvous hashing, poll
+ * the table service for changes after their version, and peers forward the changes. The other instances poll it at long
+ * intervals, in case their peers forward nothing new.
  */
 import {PollSchedule} from '../../peer/configuration/poll-schedule.js';
 import {readChangesAfter, maxChangesPerRead} from '../../protocol/configuration/configuration-table.js';
@@ -18,7 +18,7 @@
 	logger: {warn(message: string, detail: Record<string, unknown>): unknown};
 };
 
-/** Tells whether this instance is one of its data centre's readers. */
+/** Whether this instance is one of the readers of its data centre, and the random numbers that vary the poll schedule. */
 export type ConfigurationReaders = Pick<EntryPeers, 'isReader' | 'random'>;
 
 export class ConfigurationWatcher implements Child {
@@ -46,8 +46,8 @@
 	}
 
 	/**
-	 * Reads the changes that are missing here and brings them into force, to the end of the table; false if it
-	 * did not answer.
+	 * Reads all changes after this instance's version and brings them into force; returns false if the table service did not
+	 * answer.
 	 */
 	async lookOnce(): Promise<boolean> {
 		const {table, configuration, clock} = this.#context;
@@ -77,7 +77,7 @@
 		for (const change of changes) {
 			configuration.offer(change).ifLeft(failure => {
 				if (failure.kind !== 'old') {
-					logger.warn('a configuration change does not follow', {version: change.version, ...failure});
+					logger.warn('a configuration change cannot be applied', {version: change.version, ...failure});
 				}
 			});
 		}
--- a/src/entry/watchers/instance-watcher.test.ts
+++ b/src/entry/watchers/instance-watcher.test.ts
@@ -9,9 +9,9 @@
 	name: 'engine-1', role: 'model-engine', dataCentre: 'riva', service: 'permits', address: '127.0.0.1:1', peerAddress: '', state: 'live',
 };
 
-test('an empty list takes no endpoint away', async () => {
-	// The platform's list was just replaced and is not filled yet. Callers go on being served; before, each got
-	// `no-endpoint` until the list came back.
+test('an empty list removes no endpoint', async () => {
+	// The platform's instance list has just been replaced and is still empty. Guards against an entry that drops all its
+	// endpoints and refuses every request with `no-endpoint` until the list is complete again.
 	const entry = new TestEntry();
 	const stop = new AbortController();
 	const answers: ListedInstance[][] = [[listed], []];
--- a/src/entry/watchers/instance-watcher.ts
+++ b/src/entry/watchers/instance-watcher.ts
@@ -1,10 +1,10 @@
-/** Reads the platform's list of instances again and again. When the list is away, the last one goes on being used. */
+/** Reads the platform's instance list at intervals. While the list is unavailable, the last one stays in use. */
 import {type ListedInstance} from '../../shared/types.js';
 import {type Child} from '../../supervisor/supervisor.js';
 import {type EntryContext} from '../entry-context.js';
 import {repeatJittered} from './repeat-jittered.js';
 
-/** A part of the entry that learns from the list. */
+/** A component of the entry that receives the instance list. */
 export interface ListTaker {
 	takeList(instances: readonly ListedInstance[]): void;
 }
@@ -32,7 +32,7 @@
 		});
 	}
 
-	/** This instance stands on the list itself, so an empty list is a list not filled yet, and no news. */
+	/** Passes the list to all listeners. An empty list is not complete, since it lacks this instance itself, and is ignored. */
 	#pass(instances: readonly ListedInstance[]): void {
 		if (instances.length === 0) {
 			return;
--- a/src/entry/watchers/load-watcher.ts
+++ b/src/entry/watchers/load-watcher.ts
@@ -1,6 +1,7 @@
 /**
- * Asks endpoints, model engines and plain services alike, for their load again and again: those that this instance watches for its peers, and those of
- * which the peers told nothing for too long. An endpoint that does not answer ages by itself.
+ * Reads the load reports of endpoints, both model engines and plain services, at intervals: of those that this instance
+ * watches for its peers, and of those for which the peers have published nothing for too long. The last report of an
+ * endpoint that does not answer becomes stale.
  */
 import {type Child} from '../../supervisor/supervisor.js';
 import {type CapacityFeed} from '../capacity-feed.js';
--- a/src/entry/watchers/repeat-jittered.ts
+++ b/src/entry/watchers/repeat-jittered.ts
@@ -1,25 +1,26 @@
 import {type Clock} from '../../ports/clock.js';
 
-/** Share of the pause that is drawn anew each time. */
+/** The largest share of the interval by which a pause is shortened at random. */
 const jitter = 0.2;
 
-/** How often work is repeated. */
+/** The interval at which work is repeated. */
 export type JitteredPace = {
 	clock: Clock;
 	/** The longest pause. */
 	milliseconds: number;
-	/** Gives numbers from 0 up to 1, from a seeded generator. */
+	/** Returns numbers from 0 up to 1, from a seeded generator. */
 	random: () => number;
 };
 
 /**
  * Repeats work with pauses until the signal aborts.
  *
- * The pauses vary, so that instances that started together, or waited for the same outage to end, do not ask in step.
+ * The pauses vary, so that instances that started together, or that waited for the same outage to end, do not send their
+ * requests at the same times.
  *
- * @param pace - How often.
- * @param signal - Ends it.
- * @param work - What is done; the pause begins when it is over.
+ * @param pace - The interval.
+ * @param signal - Ends the repetition.
+ * @param work - The work to repeat; the pause begins when it has finished.
  */
 export async function repeatJittered({clock, milliseconds, random}: JitteredPace, signal: AbortSignal, work: () => Promise<void>): Promise<void> {
 	while (!signal.aborted) {
