--- a/src/entry/capacity-feed.ts
+++ b/src/entry/capacity-feed.ts
@@ -1,4 +1,4 @@
-/** Tells the admission policy, after each round of load reports, how many requests may be under way at each service. */
+/** Sets how many requests each service may have in flight, in the admission policy, after each round of load reports. */
 import {AdmissionWindow} from '../decision/admission/admission-window.js';
 import {hashOf} from '../shared/hash-of.js';
 import {type AdmissionGate} from './callers/admission-gate.js';
@@ -16,7 +16,7 @@
 		this.#gate = gate;
 	}
 
-	/** Takes the endpoints' newest reports. It is called once per round. */
+	/** Sets each service's capacity from the newest load reports of its endpoints. Called once for each round of reports. */
 	takeReports(): void {
 		const {clock, endpoints, settings} = this.#context;
 		const now = clock.now();
--- a/src/entry/configuration-holder.ts
+++ b/src/entry/configuration-holder.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration that this instance has in force. It only moves forward, whoever brings the change: the table or a
- * peer.
+ * Holds the configuration in force at this instance. Its version only increases, whether a change comes from the table
+ * service, a peer or an operator.
  */
 import {type Either} from 'purify-ts/Either';
 import {applyChange, type ApplyFailure} from '../protocol/configuration/apply-change.js';
@@ -11,7 +11,7 @@
 type Listener = (state: ConfigurationState, change: ConfigurationChange | undefined) => void;
 
 export class ConfigurationHolder {
-	/** Opens when this process may serve by what it holds. */
+	/** Open once this process may serve requests with the configuration that it holds. */
 	readonly startGate = new StartGate();
 	#state: ConfigurationState = emptyConfiguration;
 	readonly #listeners: Listener[] = [];
@@ -20,16 +20,16 @@
 		return this.#state;
 	}
 
-	/** Calls a listener after each change that came into force here; without the change when it was a whole snapshot. */
+	/** Adds a listener that is called after each update of the state; its change is `undefined` if a snapshot was applied. */
 	onChange(listener: Listener): void {
 		this.#listeners.push(listener);
 	}
 
 	/**
-	 * Brings a whole configuration into force, if it is newer.
+	 * Brings a whole configuration into force if it is newer.
 	 *
-	 * @param state - A snapshot that was checked.
-	 * @returns True if it is in force now.
+	 * @param state - The state of a verified snapshot.
+	 * @returns True if it was brought into force.
 	 */
 	adopt(state: ConfigurationState): boolean {
 		if (state.version <= this.#state.version) {
@@ -47,8 +47,8 @@
 	/**
 	 * Brings a change into force.
 	 *
-	 * @param change - A change from the table or a peer.
-	 * @returns The new state, or why the change does not follow.
+	 * @param change - A change from the table service or a peer.
+	 * @returns The new state, or why the change cannot be applied to the current state.
 	 */
 	offer(change: ConfigurationChange): Either<ApplyFailure, ConfigurationState> {
 		return applyChange(this.#state, change).ifRight(state => {
--- a/src/entry/endpoint-directory.test.ts
+++ b/src/entry/endpoint-directory.test.ts
@@ -14,16 +14,16 @@
 	runningRequests: 0, waitingRequests: 0, waitingPrefillTokens: 0, prefillTokensPerSecond: 1, decodeTokensPerSecond: 1, batchLimit: 1, kvTokensUsed: 0, kvTokensCapacity: 1, measuredAt: 0,
 });
 
-test('an endpoint that the list calls leaving stays so when it reports itself as live', () => {
-	// The platform is about to stop an endpoint that does not know it yet. Before, each report made it live again until
-	// the next look at the list, and callers' work went to it in between.
+test('an endpoint that is leaving by the list stays so when it reports itself as live', () => {
+	// The platform is about to stop an endpoint that does not know it yet. Guards against reports that make the endpoint live
+	// again until the next read of the list, so that requests are sent to it in between.
 	const directory = new EndpointDirectory();
 	directory.takeList([listedAs('model-engine', 'leaving')]);
 	directory.takeReport('model-engine-1', reportOf('live'), 100);
 	assert.equal(directory.engines()[0]?.state, 'leaving');
 });
 
-test('a plain service that says it leaves, or falls silent, gets no call though the list calls it live', () => {
+test('a plain endpoint that reports leaving, or stops reporting, gets no call although it is live by the list', () => {
 	const directory = new EndpointDirectory();
 	const list = [listedAs('plain-service', 'live')];
 	directory.takeList(list);
--- a/src/entry/endpoint-directory.ts
+++ b/src/entry/endpoint-directory.ts
@@ -1,10 +1,13 @@
-/** What this instance knows of the endpoints: the platform's list, corrected by what each endpoint says of itself. */
+/**
+ * This instance's directory of endpoints: the platform's instance list, updated with the load reports of the endpoints and
+ * with the drains of the operators.
+ */
 import {unresponsiveAfterMilliseconds} from '../decision/routing/is-candidate.js';
 import {type EndpointView} from '../decision/routing/routing-policy.js';
 import {type LoadReport} from '../ports/model-engine.js';
 import {type ListedInstance} from '../shared/types.js';
 
-/** A plain service's instance. `heardAt` is 0 until it first reported for itself. */
+/** An endpoint of a plain service. Its last report's time, in milliseconds since the epoch, is 0 until the first report. */
 export type PlainEndpoint = Pick<ListedInstance, 'name' | 'address' | 'dataCentre' | 'service'> & {
 	state: EndpointView['state'];
 	heardAt: number;
@@ -12,7 +15,7 @@
 
 export class EndpointDirectory {
 	#engines: ReadonlyMap<string, EndpointView> = new Map();
-	/** What `engines` gave since the last change. */
+	/** The cached result of `engines`; `undefined` after a change. */
 	#view: readonly EndpointView[] | undefined;
 	#listSeen = false;
 	#isExpected: ((name: string) => boolean) | undefined;
@@ -21,45 +24,45 @@
 	#drained: ReadonlySet<string> = new Set();
 	#listedLeaving: ReadonlySet<string> = new Set();
 
-	/** How many live entry instances the list names, at least 1. */
+	/** The number of live entry instances on the list, at least 1. */
 	get entryCount(): number {
 		return this.#entryCount;
 	}
 
 	/**
-	 * Names the endpoints that this instance is to know; all unless it is called. With hundreds of endpoints an instance
-	 * knows those of its cell, and would never be ready if it waited for the others.
+	 * Restricts `isKnown` to some endpoints; without this call it waits for all. With hundreds of endpoints, an instance
+	 * receives only the reports of its cell, and would never be ready if it waited for the others.
 	 */
 	expectOnly(isExpected: (name: string) => boolean): void {
 		this.#isExpected = isExpected;
 	}
 
-	/** True once every live model endpoint that is to be known here has reported, and the list was seen. */
+	/** True once the list was read and every live model endpoint that is expected here has reported. */
 	get isKnown(): boolean {
 		const live = this.engines().filter(({state, name}) => state === 'live' && (this.#isExpected?.(name) ?? true));
 		return this.#listSeen && live.every(({heardAt}) => heardAt > 0);
 	}
 
-	/** All model endpoints. */
+	/** Returns all model endpoints. */
 	engines(): readonly EndpointView[] {
 		this.#view ??= [...this.#engines.values()].map(endpoint => this.#judge(endpoint));
 		return this.#view;
 	}
 
-	/** All instances of plain services. */
+	/** Returns all endpoints of plain services. */
 	plainEndpoints(): readonly PlainEndpoint[] {
 		return [...this.#plain.values()].map(endpoint => this.#judge(endpoint));
 	}
 
-	/** Takes the names of the endpoints that operators drained. */
+	/** Sets the names of the endpoints that operators have drained. */
 	takeDrained(names: ReadonlySet<string>): void {
 		this.#drained = names;
 		this.#view = undefined;
 	}
 
 	/**
-	 * The live endpoints of a plain service, those of the given data centre first. One that reported before and is silent
-	 * now counts as leaving; one that never reported is taken as the list gives it.
+	 * Returns the live endpoints of a plain service, those of the given data centre first. An endpoint whose last report is
+	 * too old is left out; one that has never reported has the state of the list.
 	 */
 	plainEndpointsOf(service: string, dataCentre: string, now: number): readonly PlainEndpoint[] {
 		const nearFirst = (endpoint: PlainEndpoint): number => endpoint.dataCentre === dataCentre ? 0 : 1;
@@ -70,8 +73,8 @@
 	}
 
 	/**
-	 * Takes the platform's list. It lags, so it never overrules an endpoint that says it is leaving, and a live entry
-	 * only makes an endpoint worth asking.
+	 * Applies the platform's instance list. The list lags, so it never makes an endpoint live that reports itself as leaving.
+	 * A live state on the list holds only until the endpoint's first report.
 	 */
 	takeList(instances: readonly ListedInstance[]): void {
 		this.#listSeen = true;
@@ -85,11 +88,11 @@
 	}
 
 	/**
-	 * Takes an endpoint's own report.
+	 * Applies a load report of an endpoint.
 	 *
 	 * @param name - The endpoint.
-	 * @param load - Its report, from itself or by way of a peer.
-	 * @param now - When the endpoint gave it, in milliseconds since the epoch.
+	 * @param load - Its report, received from the endpoint or from a peer.
+	 * @param now - When the report was read from the endpoint, in milliseconds since the epoch.
 	 */
 	takeReport(name: string, load: LoadReport, now: number): void {
 		const plain = this.#plain.get(name);
@@ -98,7 +101,7 @@
 		}
 
 		const known = this.#engines.get(name);
-		// A report by way of a peer may come behind a newer one; taken, it could make a leaving endpoint live again.
+		// A report from a peer may arrive after a newer one. Applied, it could make a leaving endpoint live again.
 		if (known !== undefined && now >= known.heardAt) {
 			const {model, weightVersion, state} = load;
 			this.#replace({
@@ -107,7 +110,7 @@
 		}
 	}
 
-	/** Takes an engine's word, in an answer, that it runs another weight version now. */
+	/** Applies a weight version that an engine reported in its answer to a request. */
 	takeVersion(name: string, weightVersion: string): void {
 		const known = this.#engines.get(name);
 		if (known !== undefined) {
@@ -115,7 +118,7 @@
 		}
 	}
 
-	/** An endpoint that operators drained, or that the list calls leaving, counts as such whatever it says of itself. */
+	/** An endpoint that operators drained, or that is leaving by the list, counts as leaving whatever state it reports. */
 	#judge<Endpoint extends PlainEndpoint>(endpoint: Endpoint): Endpoint {
 		const isLeaving = this.#drained.has(endpoint.name) || this.#listedLeaving.has(endpoint.name);
 		return isLeaving ? {...endpoint, state: 'leaving'} : endpoint;
--- a/src/entry/entry-context.ts
+++ b/src/entry/entry-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of an entry share: who it is, its ports to the outside, and what it knows. */
+/** Dependencies and state that the components of an entry share: its identity, its ports, and its view of the cluster. */
 import {type ProcessIdentity, type ProcessLogger} from '../observability/logger.js';
 import {type Metrics} from '../observability/metrics.js';
 import {type TimelineRecorder} from '../observability/timeline-event.js';
@@ -17,7 +17,7 @@
 	settings: EntrySettings;
 	identity: ProcessIdentity;
 	clock: Clock;
-	/** Gives a fresh id for each request. */
+	/** Returns a new id for a request. */
 	newRequestId: () => string;
 	logger: ProcessLogger;
 	metrics: Metrics;
@@ -30,6 +30,6 @@
 	endpoints: EndpointDirectory;
 	requests: RequestRegistry;
 	eventLoopLag: Pick<EventLoopLag, 'current'>;
-	/** True from the order to stop on: nothing new is taken. */
+	/** True after the process was told to stop: new requests are refused. */
 	draining: boolean;
 };
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * One entry: its supervisor tree, from the watchers that keep its knowledge fresh to the listeners. On the order to
- * stop it takes nothing new, finishes what it has, and only then ends.
+ * The entry process: creates its components and runs them in a supervisor tree, with the watchers in one branch and the
+ * data path in the other. When it is stopped, it refuses new requests and ends after the requests in flight have finished.
  */
 import {randomUUID} from 'node:crypto';
 import {HttpCacheStore} from '../adapters/http-cache-store.js';
@@ -43,14 +43,14 @@
 
 const intensity = {restarts: 10, periodMilliseconds: 60_000};
 
-/** Where a running entry listens. */
+/** The addresses at which a running entry listens. */
 export type EntryAddresses = {
 	callers: string;
 	operators: string;
 	peers: string;
 };
 
-/** A longer lag of the event loop gets a line in the log. */
+/** A lag of the event loop from this length on is logged. */
 const loggedLagMilliseconds = 200;
 
 export class EntryDaemon {
@@ -115,7 +115,7 @@
 		this.#reportConfiguration();
 	}
 
-	/** Starts to listen, then runs until `stop`. `onListening` is told the addresses. */
+	/** Starts to listen and runs until `stop`. Calls `onListening` with the addresses. */
 	async run(onListening: (addresses: EntryAddresses) => void): Promise<void> {
 		this.#eventLoopLag.start();
 		const addresses = {callers: await this.#callers.listen(), operators: await this.#operators.listen(), peers: await this.#peers.service.listen()};
@@ -125,7 +125,7 @@
 		await this.#root.run(this.#stop.signal);
 	}
 
-	/** Takes nothing new, finishes what runs, and ends. */
+	/** Refuses new requests, waits for the requests in flight and the open claims, and ends the process's components. */
 	async stop(): Promise<void> {
 		const {clock, logger} = this.#context;
 		this.#context.draining = true;
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `savorygauge-entry`: takes callers' requests in one data centre. */
+/** `savorygauge-entry`: serves callers and operators in one data centre. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {addSettingFlags, readSettingsOrExit} from '../settings/read-settings.js';
--- a/src/entry/request-registry.ts
+++ b/src/entry/request-registry.ts
@@ -1,7 +1,7 @@
-/** The requests under way at this instance, so that operators can see and cancel them. */
+/** Registry of the requests at this instance, with which operators can list and cancel them. */
 import {type PriorityClass} from '../shared/types.js';
 
-/** A request under way. */
+/** A request that waits or runs at this instance. */
 export type RequestUnderWay = {
 	requestId: string;
 	workspace: string;
@@ -9,22 +9,22 @@
 	priority: PriorityClass;
 	arrivedAt: number;
 	stage: 'waiting' | 'running';
-	/** Ends the request as if its caller had hung up; absent for a call that may have had its effect already. */
+	/** Cancels the request as if its caller had disconnected; absent for a call that may already have taken effect. */
 	cancel?: () => void;
 };
 
-/** What came of the wish to cancel a request. */
+/** The outcome of an attempt to cancel a request. */
 export type CancelOutcome = 'cancelled' | 'not-here' | 'cannot-be-cancelled';
 
 export class RequestRegistry {
 	readonly #requests = new Map<string, RequestUnderWay>();
 
-	/** Notes a request that arrived. */
+	/** Adds a request that has arrived. */
 	begin(request: Omit<RequestUnderWay, 'stage'>): void {
 		this.#requests.set(request.requestId, {...request, stage: 'waiting'});
 	}
 
-	/** Notes that a request was let in. */
+	/** Notes that a request was admitted. */
 	admit(requestId: string): void {
 		const request = this.#requests.get(requestId);
 		if (request !== undefined) {
@@ -32,12 +32,12 @@
 		}
 	}
 
-	/** Notes that a request has its answer. */
+	/** Removes a request that has been answered or whose caller has disconnected. */
 	end(requestId: string): void {
 		this.#requests.delete(requestId);
 	}
 
-	/** All requests under way, oldest first. */
+	/** Returns all requests, oldest first. */
 	list(): RequestUnderWay[] {
 		return [...this.#requests.values()];
 	}
