--- a/src/entry/callers/open-requests.ts
+++ b/src/entry/callers/open-requests.ts
@@ -7,7 +7,7 @@
 import {type ConfigurationState} from '../../protocol/configuration/configuration-state.js';
 import {type Refusal} from '../../shared/types.js';
 
-/** Applies where `open-requests` is not declared. With bodies of at most 8 MB, few of them near that, it takes some 100 MB. */
+/** Applies where `open-requests` is not declared. Bodies have up to 8 MB, but few are near that: a few hundred MB in total. */
 export const defaultOpenRequests = 2000;
 
 const comeBackMilliseconds = 1000;
--- a/src/entry/callers/stream-watch.ts
+++ b/src/entry/callers/stream-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Detects streams of which one side is unresponsive. An engine that hangs with its connection open sends neither tokens nor
- * an error, so that without a timeout the caller waits forever. A caller that stops reading occupies a place in the
+ * Detects streams whose engine or caller is unresponsive. An engine that hangs with its connection open sends neither tokens
+ * nor an error, so that without a timeout the caller waits forever. A caller that stops reading occupies a place in the
  * engine's batch.
  */
 import {type Clock} from '../../ports/clock.js';
--- a/src/entry/kept/cache-event-reader.ts
+++ b/src/entry/kept/cache-event-reader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the cache events of engines and records which engine has which prefix cached: of all engines at intervals, and of
- * the engines that a prompt is about to rely on immediately. Late or missing events make this record wrong until the next
- * answer corrects it.
+ * Reads the cache events of engines and records which prefixes each engine has cached. All engines are read at intervals,
+ * and when a prompt arrives, the engines that it is about to rely on. Late or missing events make the record wrong; the
+ * routing policy corrects it by the outcome of prompts.
  */
 import {blockCharacters, charactersPerToken} from '../../cache/block-keys.js';
 import {type CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
@@ -73,7 +73,7 @@
 		answered.abort();
 	}
 
-	/** An engine that did not answer one prompt in time is not queried for the next, so that each prompt does not wait again. */
+	/** An engine that did not answer in time for one prompt is not queried for the next, so that only one prompt waits. */
 	#isWorthAsking(name: string, now: number): boolean {
 		const reading = this.#readings.get(name);
 		if (reading === undefined) {
--- a/src/entry/kept/kept-context.test.ts
+++ b/src/entry/kept/kept-context.test.ts
@@ -155,7 +155,7 @@
 	assert.equal(await scene.cachedTokensAt(scene.second), 0);
 });
 
-test('a failed store prevents no answer and is queried only once', async context => {
+test('a prompt is answered although its store has failed, and the failed store is queried only once', async context => {
 	const scene = await createScene(context);
 	await scene.storeStandIn.close();
 	const {kept} = scene.instance();
--- a/src/entry/operators/act-record.ts
+++ b/src/entry/operators/act-record.ts
@@ -34,7 +34,7 @@
  * If the answer to the write is lost, the row is read, so that a command is not refused although its record was written.
  *
  * @param table - The table service.
- * @param key - From `actKeyOf`.
+ * @param key - The key of the row, from `commandKeyOf`.
  * @param record - The record.
  * @returns Nothing, or why the record is not known to be written.
  */
