--- a/src/adapters/answer-size.test.ts
+++ b/src/adapters/answer-size.test.ts
@@ -9,14 +9,14 @@
 import {HttpPlainService} from './http-plain-service.js';
 import {HttpWeightStore} from './http-weight-store.js';
 
-/** More than the longest time limit of these calls. */
+/** Longer than the longest timeout of these calls. */
 const endMilliseconds = 8000;
-/** Above the size limits, and far below what comes over loopback within the time limits. */
+/** Above the size limits, and far below what loopback transfers within the timeouts. */
 const mostSentBytes = 400_000_000;
 const chunk = `8000\r\n${'f'.repeat(0x80_00)}\r\n`;
 
 const calls: Record<string, (address: string) => Promise<unknown>> = {
-	'a JSON exchange': async address => exchangeJson({method: 'GET', url: `http://${address}/`, timeoutMilliseconds: 1000}).catch(String),
+	'a JSON server': async address => exchangeJson({method: 'GET', url: `http://${address}/`, timeoutMilliseconds: 1000}).catch(String),
 	'a cache store': async address => new HttpCacheStore().leastRecentlyUsed(address, 1),
 	'an object store': async address => new HttpObjectStore(address).read('key'),
 	'a weight store': async address => new HttpWeightStore(address).versions('model'),
@@ -42,8 +42,8 @@
 
 for (const [name, call] of Object.entries(calls)) {
 	for (const [rest, {status, write}] of Object.entries(rests)) {
-		test(`${name} that ${rest} is given up`, async t => {
-			// Guards against an instance that runs out of memory, or waits for good, because an answer never ends.
+		test(`a call to ${name} that ${rest} ends within its limits`, async t => {
+			// Guards against an instance that runs out of memory or waits forever because an answer never ends.
 			let sent = 0;
 			const server = await startScriptedServer(t, socket => {
 				socket.once('close', () => {
--- a/src/adapters/completion-stream.ts
+++ b/src/adapters/completion-stream.ts
@@ -1,4 +1,4 @@
-/** Turns the server-sent events of a model engine into engine events. */
+/** Parses the server-sent events of a model engine into engine events. */
 import {type Buffer} from 'node:buffer';
 import {StringDecoder} from 'node:string_decoder';
 import {createParser} from 'eventsource-parser';
@@ -16,7 +16,7 @@
 
 type TokensEvent = EngineEvent & {kind: 'tokens'};
 
-/** What was read of a stream so far. The stream is whole only once `isEnded`. */
+/** Parses one stream incrementally. The stream is complete only if `isEnded` is true. */
 export class CompletionStreamReader {
 	isEnded = false;
 	#events: EngineEvent[] = [];
@@ -30,9 +30,10 @@
 	});
 
 	/**
-	 * Takes bytes as they come; gives the events that they complete.
+	 * Adds received bytes.
 	 *
-	 * @throws The error of a chunk that is no JSON, or that the engine sent in place of an answer.
+	 * @returns The events that are complete with these bytes.
+	 * @throws A `SyntaxError` for a chunk that is not JSON, or an error if the engine reports one in the stream.
 	 */
 	feed(bytes: Buffer): EngineEvent[] {
 		this.#parser.feed(this.#decoder.write(bytes));
@@ -54,7 +55,7 @@
 
 		const chunk = JSON.parse(data) as Chunk;
 		if (chunk.error !== undefined) {
-			throw new Error('the engine ended its stream with an error');
+			throw new Error('the engine reported an error in its stream');
 		}
 
 		const choice = chunk.choices?.[0];
@@ -68,7 +69,7 @@
 		}
 	}
 
-	/** Tokens that came together go on together: nothing waits, and a burst costs one write in place of many. */
+	/** Merges consecutive tokens that arrived in the same bytes into one event. This delays none, and a burst costs one write. */
 	#add(tokens: TokensEvent): void {
 		const last = this.#events.at(-1);
 		if (last?.kind === 'tokens' && last.firstIndex + last.count === tokens.firstIndex) {
--- a/src/adapters/http-cache-store.test.ts
+++ b/src/adapters/http-cache-store.test.ts
@@ -11,9 +11,10 @@
 const piece = {pieceKey: 'key', generation: 'first'};
 const content = Buffer.from('state of the curriculum');
 
-test('a piece that is not sealed, freed, reused or damaged is never read', async context => {
-	// The reader holds a hint with generation and seal. It reads before the seal, behind it, behind a half-written second
-	// write under the same generation, behind the freeing, and behind a reuse. Only the sealed bytes may come.
+test('a block that is unsealed, freed, overwritten or damaged is never read', async context => {
+	// The reader knows the generation and the seal of the block. It reads before and after the block is sealed, after a
+	// truncated second write of the same generation, after the block is freed, and after its name is reused. Only the read
+	// after sealing may return content.
 	const standIn = await startStandIn(new CacheStoreStandIn(1000), {host: '127.0.0.1', port: 0});
 	context.after(async () => standIn.close());
 	const {address} = standIn;
@@ -40,7 +41,7 @@
 	assert.deepEqual(await readPiece(), {kind: 'absent'});
 });
 
-test('a full store and a dead one are told apart', async () => {
+test('a full store and an unavailable store are distinct failures', async () => {
 	const standIn = await startStandIn(new CacheStoreStandIn(10), {host: '127.0.0.1', port: 0});
 	const full = await store.write(standIn.address, piece, content);
 	assert.deepEqual(full.extract(), {kind: 'full'});
@@ -49,10 +50,10 @@
 	assert.equal((dead.extract() as {kind: string}).kind, 'unavailable');
 });
 
-test('a list of pieces that breaks off is a failure of the store, and half of a piece is none', async context => {
-	// A prompt is answered with 500 although every engine could serve it. Before it is placed, its store is asked for kept
-	// pieces; the store dies in the middle of a list without a length. Half of the list is no JSON, and the error of reading
-	// it went past the failure that the port promises, up to the listener.
+test('a truncated list of blocks is a failure of the store, and a truncated block is not returned', async context => {
+	// Guards against a prompt that is answered with 500 although every engine could serve it. Before a prompt is placed, the
+	// store is queried for cached blocks. If the store fails in the middle of a list without Content-Length, the list cannot
+	// be parsed as JSON, and the error must become a `Left` of the port instead of reaching the listener.
 	const head = 'HTTP/1.1 200 OK\r\nconnection: close\r\n';
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
@@ -69,9 +70,9 @@
 			}
 
 			const read = await store.read(cutPiece, piece, seal);
-			outcomes.add(read.isRight() ? 'half of a piece' : 'no piece');
+			outcomes.add(read.isRight() ? 'truncated block' : 'no block');
 		}
 	}
 
-	assert.deepEqual([...outcomes], ['unavailable unavailable', 'no piece']);
+	assert.deepEqual([...outcomes], ['unavailable unavailable', 'no block']);
 });
--- a/src/adapters/http-cache-store.ts
+++ b/src/adapters/http-cache-store.ts
@@ -1,4 +1,4 @@
-/** A cache store over HTTP; the paths are `/pieces/{key}/{generation}` and `…/seal`, `/find` and `/oldest`. */
+/** The HTTP client for cache stores. Paths: `/pieces/{key}/{generation}` and `…/seal`, `/find`, `/oldest`. */
 import {Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type Dispatcher} from 'undici';
@@ -10,7 +10,7 @@
 import {readWholeJson} from './whole-body.js';
 
 const timeoutMilliseconds = 2000;
-/** A caller waits while the store is asked; one that is slower than this counts as having nothing. */
+/** A caller's request waits for this query. A slower store is treated as if it had no block. */
 const findTimeoutMilliseconds = 100;
 
 type Exchange = {method: 'GET' | 'PUT' | 'POST' | 'DELETE'; path: string; body?: Buffer | string; timeoutMilliseconds?: number};
@@ -30,7 +30,7 @@
 
 	async read(address: string, piece: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, Buffer>> {
 		return exchange(address, {method: 'GET', path: pathOf(piece)}, async ({statusCode, headers, body}) => {
-			// The seal is older than this reading, so it also proves that the whole piece came.
+			// The seal was made before this read, so it also proves that the block is complete.
 			const content = Buffer.from(await body.arrayBuffer());
 			return statusCode === 200
 				? verifyBlock(seal, {length: Number(headers['x-length']), digest: String(headers['x-digest'])}, content)
@@ -58,8 +58,8 @@
 }
 
 /**
- * Makes an exchange. The answer is judged inside of the failure path: half of a list is no JSON, and an error that went past
- * this port would end a prompt that every engine could serve.
+ * Sends a request and reads the answer. The answer is read within the `try` block because a truncated list cannot be parsed as
+ * JSON: if the error were thrown out of this port, a prompt would fail that any engine could serve without the store.
  */
 async function exchange<Value>(address: string, {method, path, body, ...limits}: Exchange, judge: Judge<Value>): Promise<Either<CacheStoreFailure, Value>> {
 	try {
--- a/src/adapters/http-client.test.ts
+++ b/src/adapters/http-client.test.ts
@@ -6,13 +6,14 @@
 import {HttpTableService} from './http-table-service.js';
 import {HttpWeightStore} from './http-weight-store.js';
 
-/** So long that a loaded machine does not decide the outcome. */
+/** Long enough that no call times out on a busy machine. */
 const timeoutMilliseconds = 20_000;
 const unframedHead = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n';
 
-test('a JSON answer that only the end of its connection ends, and that could go on, is a failure', async t => {
-	// An instance reads the claim of a booking and finds none, although there is one. The table service sends the head of a
-	// 200 without a length and dies: nothing came, and nothing is taken for "no row". A number that is cut is a number too.
+test('an unframed JSON answer that may be truncated is a failure', async t => {
+	// Guards against an instance that reads the claim of a booking and finds none, although there is one: the table service
+	// sends the head of a 200 without Content-Length and fails, and the empty body is taken for "no row". A truncated number
+	// is also valid JSON.
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
 		for (const came of ['', '12']) {
@@ -31,7 +32,7 @@
 	assert.deepEqual([...outcomes], ['[false,false,false,false]']);
 });
 
-test('a JSON object or array proves by its last brace that it is whole, and an empty answer by its length', async t => {
+test('a JSON object is complete by its last brace, an empty answer or a number by Content-Length', async t => {
 	for (const ending of connectionEndings) {
 		const object = await startEndingServer(t, `${unframedHead}{"rows":[{}]}`, ending);
 		const empty = await startEndingServer(t, 'HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 0\r\n\r\n', ending);
@@ -43,7 +44,7 @@
 	}
 });
 
-test('half of a JSON object is a failure, however its connection ends', async t => {
+test('a truncated JSON object is a failure, however its connection ends', async t => {
 	for (const ending of connectionEndings) {
 		const address = await startEndingServer(t, `${unframedHead}{"rows":[{}`, ending);
 		for (let count = 0; count < 50; count++) {
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -1,24 +1,24 @@
 /**
- * What the HTTP adapters share: one connection pool for the process, whole JSON exchanges, and the judgement whether a
- * failed exchange can have reached the other side.
+ * Shared by the HTTP adapters: the connection pools of the process, JSON requests, and the decision whether the server may
+ * have received a failed request.
  */
 import {Agent} from 'undici';
 import {type JsonValue} from '../shared/types.js';
 import {readWholeJson} from './whole-body.js';
 
 const connectTimeoutMilliseconds = 1000;
-/** Shorter than the 5 s after which many servers close an idle connection without having said so. */
+/** Many servers close an idle connection after 5 s without announcing it; this client closes it earlier. */
 const idleConnectionMilliseconds = 4000;
 
 /**
- * The longest body that is read whole, such as a cache block. Answers are held in memory: without a limit, one that never
- * ends would take all of it within the time limit of its call.
+ * Size limit of a buffered body, such as a cache block. Without a limit, an endless body could use up the memory of the
+ * process within the timeout of its call.
  */
 const longestAnswerBytes = 268_435_456;
-/** The same for JSON, such as a page of rows. */
+/** Size limit of a JSON body, such as a page of rows. */
 const longestJsonBytes = 33_554_432;
 
-/** The connection pool of this process. */
+/** The default connection pool, which reuses connections. */
 export const connectionPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
 	keepAliveTimeout: idleConnectionMilliseconds,
@@ -34,9 +34,9 @@
 });
 
 /**
- * Makes a connection for each request. On a kept connection that the other side closes just as a request leaves, nobody
- * can tell whether the request was read; for a call that may not be repeated that is an outcome nobody knows. On a fresh
- * connection a failure to connect is surely before the first byte.
+ * Opens a connection for each request. If the server closes a reused connection just as a request is sent, it is unknown
+ * whether the server read the request, so the outcome of a non-idempotent call is unknown. On a new connection, a failure to
+ * connect certainly precedes the first byte.
  */
 export const freshConnectionPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
@@ -44,10 +44,10 @@
 	maxResponseSize: longestAnswerBytes,
 });
 
-/** The longest stream taken: some hundred thousand tokens with the frame of an event around each. */
+/** Size limit of a stream: a few hundred thousand tokens, each in an event of its own. */
 const longestStreamBytes = 67_108_864;
 
-/** For answers that are passed on as they come, with `streamBufferBytes`. A longer one is broken off. */
+/** For answers that are forwarded while they arrive; use it with `streamBufferBytes`. An answer over the limit is aborted. */
 export const streamPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
 	keepAliveTimeout: idleConnectionMilliseconds,
@@ -56,21 +56,20 @@
 });
 
 /**
- * How much of a stream may wait for its reader before undici pauses it: more than ever comes. When the connection of a
- * paused answer with `connection: close` ends, undici throws a failed assertion out of a socket event, which ends the
- * process with all its answers. A stream that is never paused never meets that assertion; a slow caller costs this process
- * at most the rest of its answer.
+ * The amount of unread data at which undici pauses a stream. It exceeds the size limit, so no stream is ever paused: when the
+ * connection of a paused answer with `connection: close` ends, undici throws an assertion error from a socket event, which
+ * ends the process and all its answers. A slow caller costs this process at most the memory for the rest of its answer.
  */
 export const streamBufferBytes = longestStreamBytes + 1;
 
-/** The answer to a JSON exchange. */
+/** The answer to a JSON request. `body` is `undefined` if it is empty. */
 export type JsonAnswer = {
 	status: number;
 	headers: Record<string, string | string[] | undefined>;
 	body: JsonValue | undefined;
 };
 
-/** One JSON exchange to make. `timeoutMilliseconds` bounds the whole of it. */
+/** A JSON request. `timeoutMilliseconds` limits the whole exchange, including the body of the answer. */
 export type JsonExchange = {
 	method: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	url: string;
@@ -80,11 +79,9 @@
 };
 
 /**
- * Makes a JSON exchange.
+ * Sends a JSON request and reads the answer.
  *
- * @param exchange - What to send, and how many milliseconds the whole exchange may take.
- * @returns The status and the parsed body; the body is `undefined` when it is empty.
- * @throws The error of the connection, a timeout, a body that is too long, no JSON, or that nothing proves to be whole.
+ * @throws If the connection fails or the time is up, and if the body is too large, not JSON, or not provably complete.
  */
 export async function exchangeJson(exchange: JsonExchange): Promise<JsonAnswer> {
 	const {origin, pathname, search} = new URL(exchange.url);
@@ -104,12 +101,12 @@
 ]);
 
 /**
- * Tells whether an exchange failed before any byte of the request can have left.
+ * Whether a request failed before any byte of it was sent.
  *
- * Only failures to connect count. A reset connection does not: the request may have been read before the reset.
+ * This holds only for failures to connect, not for a reset connection: the server may have read the request before the reset.
  *
- * @param error - What the exchange threw.
- * @returns True only if the other side cannot have seen the request.
+ * @param error - The error that the request failed with.
+ * @returns True only if the server cannot have received the request.
  */
 export function failedBeforeAnyByte(error: unknown): boolean {
 	const {code} = (error as {code?: unknown});
@@ -117,10 +114,9 @@
 }
 
 /**
- * Writes an error as one line for a log or a failure.
+ * Formats any thrown value as one line for a log or a failure.
  *
- * @param error - Anything that was thrown.
- * @returns The message, with the code in front when there is one.
+ * @returns The message, after the error code if there is one.
  */
 export function describeError(error: unknown): string {
 	const {code, message} = error as {code?: unknown; message?: unknown};
--- a/src/adapters/http-instance-list.ts
+++ b/src/adapters/http-instance-list.ts
@@ -1,4 +1,4 @@
-/** The platform's instance list over HTTP: `GET /instances`. */
+/** The HTTP client for the platform's instance list: `GET /instances`. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type InstanceList, type InstanceListFailure} from '../ports/instance-list.js';
 import {type ListedInstance} from '../shared/types.js';
--- a/src/adapters/http-model-engine.test.ts
+++ b/src/adapters/http-model-engine.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP side of the engine port against the stand-in engine: what a stream that is cut, left or resumed becomes. */
+/** Tests the HTTP client for engines against the stand-in engine: streams that are cut, cancelled or resumed. */
 import assert from 'node:assert/strict';
 import {setTimeout as delay} from 'node:timers/promises';
 import {after, before, test} from 'node:test';
@@ -52,7 +52,7 @@
 	return seen;
 }
 
-test('whole streams end with the end mark and use one connection after another', async () => {
+test('complete streams end with [DONE] and reuse their connection', async () => {
 	await collect(call);
 	const before = connections;
 	for (let count = 0; count < 5; count++) {
@@ -62,26 +62,25 @@
 		assert.equal(seen.end?.kind, 'finished');
 	}
 
-	// The end of one HTTP body may still be on its way when the next call starts; one more connection serves that.
+	// The end of an HTTP body may not have arrived when the next call starts, which needs a second connection.
 	assert.ok(connections - before <= 1);
 });
 
-test('a stream that is cut is broken, whatever came before', async () => {
-	// Half an answer can end with a reset connection or with an orderly end of the HTTP body; both look like an answer to
-	// whoever counts bytes, and neither has the end mark.
+test('a stream that is cut fails as broken', async () => {
+	// A truncated answer can end with a reset connection or with a regular end of the HTTP body. Neither has `[DONE]`.
 	for (const cutCleanly of [false, true]) {
 		const seen = await collect(call, {cutAfterTokens: 3, cutCleanly});
 		assert.equal(seen.end?.kind, 'broken');
 	}
 });
 
-test('a resumed stream starts at the token that is due', async () => {
+test('a resumed stream starts at the first token that was not passed on', async () => {
 	const seen = await collect({...call, tokensPassedOn: 5});
 	assert.equal(seen.firstIndex, 5);
 	assert.equal(seen.text, engineAnswerTo('hello', 8).split(' ').slice(5).join(' '));
 });
 
-test('leaving a stream cancels it at the engine, also while the engine is silent', async () => {
+test('aborting a stream cancels it at the engine, even while the engine sends nothing', async () => {
 	const cancelledBefore = Number(standIn.counts().cancelled);
 	const seen = await collect(call, {stallAfterTokens: 2}, 2);
 	assert.equal(seen.end?.kind, 'broken');
@@ -92,7 +91,7 @@
 	}
 });
 
-test('a refusal, another weight version and a closed port are told apart', async () => {
+test('a rejection, another weight version and a closed port are distinct failures', async () => {
 	const full = await collect(call, {refuseSeconds: 7});
 	const swapped = await collect({...call, weightVersion: 'w0'});
 	assert.deepEqual(full.end, {
@@ -104,10 +103,10 @@
 	}
 });
 
-test('half of a piece without a length or chunks is never given out to be saved', async t => {
-	// A later prompt is answered from a state that its engine never computed. The engine that exports a piece dies in the
-	// middle of it; the half is taken for the piece, gets a seal over its own bytes in the store, and so passes every check
-	// when it is brought to another engine.
+test('a truncated, unframed block is never exported', async t => {
+	// Guards against a prompt that is answered from a state that no engine computed. If an engine fails while it exports a
+	// block, the truncated block would be sealed over its own bytes in the store, and would pass every check when another
+	// engine imports it.
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
 		const address = await startEndingServer(t, 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf of a piece', ending);
@@ -120,10 +119,10 @@
 	assert.deepEqual([...outcomes], connectionEndings.map(ending => `${ending}: broken`));
 });
 
-test('a stream that breaks while its caller is slow breaks for this caller only', async t => {
-	// All callers of an instance lose their answers at once. An engine that leaves answers with "connection: close", a caller
-	// reads so slowly that undici pauses the stream, and the connection ends; undici then finishes a parser that it forbids to
-	// be paused, and the failed assertion is thrown out of a socket event, which ends the process.
+test('a stream that breaks while its caller is slow fails for this caller only', async t => {
+	// Guards against all callers of an instance losing their answers at once. An engine that shuts down answers with
+	// "connection: close", a caller reads so slowly that undici pauses the stream, and the connection ends. undici asserts
+	// that a parser which it finishes is not paused, and throws the assertion error from a socket event, which ends the process.
 	const events = Array.from({length: 3000}, (_, index) => `data: ${JSON.stringify({choices: [{text: 'w'.repeat(200)}], token_index: index})}\n\n`).join('');
 	const chunk = `${events.length.toString(16)}\r\n${events}\r\n`;
 	const bodies = [`\r\n${events}`, `transfer-encoding: chunked\r\n\r\n${chunk}`];
@@ -144,7 +143,7 @@
 	}
 });
 
-test('a stream without its end mark is broken, also where its last event lacks only its blank line', async t => {
+test('a stream without [DONE] is broken, even if only the blank line after its last event is missing', async t => {
 	const head = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n';
 	const event = 'data: {"choices":[{"text":"one"}],"token_index":0}\n\n';
 	for (const ending of connectionEndings) {
--- a/src/adapters/http-model-engine.ts
+++ b/src/adapters/http-model-engine.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine over HTTP. Completions use the published completions protocol: `POST /v1/chat/completions` or
- * `/v1/completions` with `stream: true`, answered by server-sent events and closed by `[DONE]`. Beside it the engine has
+ * The HTTP client for model engines. Completions use the published completions protocol: `POST /v1/chat/completions` or
+ * `/v1/completions` with `stream: true`, answered by server-sent events that end with `[DONE]`. An engine also serves
  * `GET /load`, `GET /cache-events`, `POST /orders` and `GET`/`PUT /kv/{pieceKey}`.
  */
 import {type Buffer} from 'node:buffer';
@@ -20,7 +20,7 @@
 import {readWholeBody} from './whole-body.js';
 
 const controlTimeoutMilliseconds = 1000;
-/** A last bound under a stream that nobody watches any more; callers of this port have shorter ones. */
+/** Ends a stream that nothing else cancels. The users of this port have shorter timeouts of their own. */
 const longestPauseMilliseconds = 300_000;
 export class HttpModelEngine implements ModelEngine {
 	async * complete(address: string, call: EngineCall, signal: AbortSignal): AsyncIterable<Either<EngineFailure, EngineEvent>> {
@@ -37,22 +37,22 @@
 				signal,
 			});
 			if (answer.statusCode !== 200) {
-				// The status and the headers decide; a page that stalls must not delay the try at another engine.
+				// The status and the headers decide; a stalled body must not delay the attempt at another engine.
 				void discardBody(answer.body);
 				yield Left(judgeRefusal(answer.statusCode, answer.headers));
 				return;
 			}
 
 			yield Right({kind: 'started', weightVersion: String(answer.headers['x-weight-version'] ?? '')});
-			// One generator reads and yields: with a second one behind `yield *`, each token cost twice the promises.
+			// A single generator reads and yields: delegating to a second one by `yield *` doubles the promises per token.
 			const reader = new CompletionStreamReader();
 			const chunks = answer.body.iterator({destroyOnReturn: false}) as AsyncIterator<Buffer>;
 			try {
 				while (!reader.isEnded) {
 					const {done, value} = await chunks.next() as IteratorResult<Buffer, undefined>;
 					if (done) {
-						// Half an answer and a whole one both end with a closed connection; only the end mark tells them apart.
-						yield Left({kind: 'broken', detail: 'the stream ended without its end mark'});
+						// A truncated answer and a complete one both end with a closed connection; only `[DONE]` differs.
+						yield Left({kind: 'broken', detail: 'the stream ended without [DONE]'});
 						return;
 					}
 
@@ -101,7 +101,7 @@
 			const answer = await connectionPool.request({
 				origin: `http://${address}`, path: `/kv/${pieceKey}`, method: 'GET', signal: AbortSignal.timeout(controlTimeoutMilliseconds),
 			});
-			// The seal of a saved piece is made over these bytes, so no later check finds that half of them is missing.
+			// The seal of a saved block is computed from these bytes, so no later check can detect that some are missing.
 			const content = await readWholeBody('GET', answer);
 			return Right(answer.statusCode === 200 ? content : undefined);
 		} catch (error) {
@@ -163,8 +163,8 @@
 }
 
 /**
- * Releases the connection of a stream. After the end mark only the end of the HTTP body is missing, so it is drained and
- * its connection kept; a stream that is left before its end mark is closed, which cancels it.
+ * Releases the connection of a stream. After `[DONE]` only the end of the HTTP body is missing, so the body is drained and the
+ * connection reused. Before `[DONE]` the connection is closed, which cancels the request at the engine.
  */
 async function leave(body: Dispatcher.ResponseData['body'], chunks: AsyncIterator<Buffer>, isEnded: boolean): Promise<void> {
 	if (!isEnded) {
--- a/src/adapters/http-object-store.ts
+++ b/src/adapters/http-object-store.ts
@@ -1,4 +1,4 @@
-/** The object store over HTTP: `GET` and `PUT /objects/{key}`. */
+/** The HTTP client for the object store: `GET` and `PUT /objects/{key}`. */
 import {type Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type ObjectStore, type ObjectStoreFailure} from '../ports/object-store.js';
--- a/src/adapters/http-plain-service.test.ts
+++ b/src/adapters/http-plain-service.test.ts
@@ -7,9 +7,9 @@
 import {connectionEndings, startEndingServer} from '../test/ending-server.js';
 import {HttpPlainService} from './http-plain-service.js';
 
-test('a call that may not be repeated never meets a kept connection that the service is closing', async t => {
-	// The service closes a kept connection at the moment when its second request arrives, as servers do with idle ones.
-	// On a kept connection the caller of the second booking would be told "unknown", although the booking never ran.
+test('a non-idempotent call never uses an idle connection, which the service may be closing', async t => {
+	// The service closes a reused connection when the second request on it arrives, as servers do with idle connections. If
+	// the second booking were sent on it, its outcome would be unknown to the caller, although the booking never ran.
 	const seen = new WeakMap<Socket, number>();
 	const server = createServer((request, response) => {
 		const requests = (seen.get(request.socket) ?? 0) + 1;
@@ -36,17 +36,17 @@
 	}
 });
 
-test('a service that cannot be reached was not sent the call', async () => {
+test('a call to an unreachable service fails as not sent', async () => {
 	const answer = await new HttpPlainService().call('127.0.0.1:1', {
 		method: 'POST', path: '/bookings', headers: {}, body: Buffer.from('{}'), requestId: 'r',
 	}, new AbortController().signal);
 	assert.equal((answer.extract() as {kind: string}).kind, 'not-sent');
 });
 
-test('an answer without a length or chunks is never taken for whole, however its connection ends', async t => {
-	// The caller gets a 200 with half of the answer, framed as complete. The service sends a head without a length, then
-	// half of the body, and dies; its connection is reset or closed. undici gives the body as complete in each case, also
-	// where Node reports the reset, since only the end of the connection ends such a body.
+test('an unframed answer is never taken for complete, however its connection ends', async t => {
+	// Guards against a caller that receives a 200 with half of the answer, framed as complete. The service sends a head
+	// without Content-Length, then half of the body, and fails; its connection is reset or closed. undici reports the body as
+	// complete in both cases, even where Node reports the reset, since only the end of the connection ends such a body.
 	const half = 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{"orders": [1, 2, 3';
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
@@ -67,8 +67,8 @@
 
 for (const [framing, head] of [['a length', 'content-length: 5\r\n'], ['chunks', 'transfer-encoding: chunked\r\n']] as const) {
 	for (const ending of connectionEndings) {
-		test(`half of an answer with ${framing} is a failure, and a whole one is passed on: ${ending}`, async t => {
-			// The length or the last chunk proves the end of the body, so how the connection ends behind it says nothing.
+		test(`a truncated answer with ${framing} is a failure, and a complete one is returned: ${ending}`, async t => {
+			// The length or the last chunk marks the end of the body, so the way the connection ends after it does not matter.
 			const call = {
 				method: 'GET', path: '/orders', headers: {}, body: Buffer.alloc(0), requestId: 'r',
 			};
@@ -85,7 +85,7 @@
 	}
 }
 
-test('an answer that has no body by its status or method needs no length', async t => {
+test('an answer without a body by its status or method needs no Content-Length', async t => {
 	const noContent = await startEndingServer(t, 'HTTP/1.1 204 No Content\r\nconnection: close\r\n\r\n', 'closed');
 	const headOnly = await startEndingServer(t, 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n', 'closed');
 	for (const [address, method, status] of [[noContent, 'DELETE', 204], [headOnly, 'HEAD', 200]] as const) {
--- a/src/adapters/http-plain-service.ts
+++ b/src/adapters/http-plain-service.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service over HTTP. The call is passed on as it is; the connection pool never repeats one. Its answer must have a
- * length or chunks: one without counts as an unknown outcome, since half of it cannot be told from all of it.
+ * The HTTP client for plain services. A call is forwarded unchanged, and the connection pool never retries one. An answer with
+ * neither Content-Length nor chunked encoding is an unknown outcome, since a truncated one would look complete.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {
@@ -17,7 +17,7 @@
 export class HttpPlainService implements PlainService {
 	async call(address: string, call: PlainCall, signal: AbortSignal): Promise<Either<PlainFailure, PlainAnswer>> {
 		if (signal.aborted) {
-			return Left({kind: 'not-sent', detail: 'given up before it was sent'});
+			return Left({kind: 'not-sent', detail: 'cancelled before it was sent'});
 		}
 
 		try {
--- a/src/adapters/http-stores.test.ts
+++ b/src/adapters/http-stores.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP sides of the object store and the weight store against their stand-ins. */
+/** Tests the HTTP clients for the object store and the weight store against their stand-ins. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
@@ -12,7 +12,7 @@
 
 const anywhere = {host: '127.0.0.1', port: 0};
 
-test('objects are read as they were written, under any key, and an absent one is no failure', async t => {
+test('objects are read as written, under any key, and an absent object is not a failure', async t => {
 	const kind = createObjectStoreStandIn();
 	const standIn = await startStandIn(kind, anywhere);
 	t.after(async () => standIn.close());
@@ -31,7 +31,7 @@
 });
 
 test('a write whose answer is lost is a failure, although it took effect', async t => {
-	// The caller of the port sees a failure and must not take it for "not written": the next read finds the object.
+	// A failure of the port does not mean that nothing was written: the next read finds the object.
 	const kind = createObjectStoreStandIn();
 	const standIn = await startStandIn(kind, anywhere);
 	t.after(async () => standIn.close());
@@ -43,7 +43,7 @@
 	assert.equal(String(read.extract() as Buffer), 'content');
 });
 
-test('the weight store lists versions, tells how busy it is, and its limit is told apart from an outage', async t => {
+test('the weight store lists versions and reports its load; its rate limit and an outage are distinct failures', async t => {
 	const kind = createWeightStoreStandIn();
 	const standIn = await startStandIn(kind, anywhere);
 	t.after(async () => standIn.close());
@@ -69,9 +69,9 @@
 	assert.deepEqual(down.extract(), {kind: 'unavailable', detail: 'status 503'});
 });
 
-test('half of an object without a length or chunks is a failure, not the object', async t => {
-	// Whoever reads a file of lines from the store goes on with its first lines. The store sends a head without a length and
-	// half of the object, and dies; the end of its connection is taken for the end of the object.
+test('a truncated, unframed object is a failure', async t => {
+	// Guards against a reader that uses only the first lines of a stored file: the store sends a head without Content-Length
+	// and half of the object, and fails, and the end of the connection is taken for the end of the object.
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
 		const address = await startEndingServer(t, 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nfirst line\nsecond line\n', ending);
--- a/src/adapters/http-table-service.ts
+++ b/src/adapters/http-table-service.ts
@@ -1,6 +1,6 @@
 /**
- * The table service over HTTP: `GET /tables/{table}/rows/{key}`, `GET /tables/{table}/rows?prefix=&after=&limit=` and
- * `POST /transactions`, which answers 204 when applied and 412 with the current rows when a condition does not hold.
+ * The HTTP client for the table service: `GET /tables/{table}/rows/{key}`, `GET /tables/{table}/rows?prefix=&after=&limit=`
+ * and `POST /transactions`, which answers 204 if it was applied, and 412 with the current rows if a condition does not hold.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {
@@ -17,7 +17,7 @@
 
 	/**
 	 * @param address - `IP:port` of the service.
-	 * @param timeoutMilliseconds - How long one call may take before its outcome counts as unknown.
+	 * @param timeoutMilliseconds - Timeout of a call, after which its outcome is unknown.
 	 */
 	constructor(address: string, timeoutMilliseconds = defaultTimeoutMilliseconds) {
 		this.#baseUrl = `http://${address}`;
@@ -72,7 +72,7 @@
 		return Left({kind: 'conflict', current: (body as {current: Row[]}).current});
 	}
 
-	// 503 and 429 are the service's own word that nothing was applied; any other status says nothing sure.
+	// With 503 and 429 the service states that nothing was applied; after any other status the outcome is unknown.
 	const kind = status === 503 || status === 429 ? 'unavailable' : 'outcome-unknown';
 	return Left({kind, detail: `status ${status}`});
 }
--- a/src/adapters/http-weight-store.ts
+++ b/src/adapters/http-weight-store.ts
@@ -1,4 +1,4 @@
-/** The weight store over HTTP: `GET /weights/{model}` and `GET /load`; 429 with `Retry-After` is its own limit. */
+/** The HTTP client for the weight store: `GET /weights/{model}` and `GET /load`, rate-limited by 429 with `Retry-After`. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {
 	type StoredWeights, type WeightStore, type WeightStoreFailure, type WeightStoreLoad,
--- a/src/adapters/system-clock.ts
+++ b/src/adapters/system-clock.ts
@@ -1,10 +1,10 @@
-/** The clock of the machine. */
+/** The system clock, in milliseconds since the epoch. */
 import {type Clock} from '../ports/clock.js';
 
 export const systemClock: Clock = {
 	now: () => Date.now(),
-	// The promise of node:timers rejects an aborted sleep with a fresh error; with a sleep for every stream, those errors
-	// and their stack traces took more of the data path's time than the streams' text.
+	// Not `setTimeout` of node:timers/promises, which rejects an aborted sleep with a new error: with one sleep per stream,
+	// the errors and their stack traces took more of the data path's time than the text of the streams.
 	async sleep(milliseconds, signal) {
 		if (signal.aborted) {
 			return;
--- a/src/adapters/system-moment-clock.ts
+++ b/src/adapters/system-moment-clock.ts
@@ -1,4 +1,4 @@
-/** The two clocks of the machine. */
+/** Reads the system's steady clock and its wall clock together. */
 import {performance} from 'node:perf_hooks';
 import {type MomentClock} from '../ports/moment-clock.js';
 import {systemClock} from './system-clock.js';
--- a/src/adapters/unfinished-engine-answer.test.ts
+++ b/src/adapters/unfinished-engine-answer.test.ts
@@ -9,7 +9,7 @@
 const call: EngineCall = {
 	requestId: 'r', attempt: 1, shape: 'text', body: {model: 'permit-1', prompt: 'hello', max_tokens: 8}, cacheSalt: 's', priority: 'normal', weightVersion: 'w1', tokensPassedOn: 0,
 };
-/** A round trip on loopback takes a few milliseconds; the rest leaves room for a busy machine. */
+/** A round trip on loopback takes a few milliseconds; the margin is for a busy machine. */
 const promptMilliseconds = 1000;
 const releaseMilliseconds = 3000;
 
@@ -35,8 +35,8 @@
 }
 
 for (const [name, writeRest] of Object.entries(rests)) {
-	test(`a rejection is reported at once although its page ${name}`, async t => {
-		// Guards against callers who wait on a page that nobody reads while other engines are free.
+	test(`a rejection is reported at once although its body ${name}`, async t => {
+		// Guards against callers that wait for the body of a rejection, which is not used, while other engines are free.
 		const server = await startScriptedServer(t, socket => {
 			socket.write('HTTP/1.1 429 Too Many Requests\r\nretry-after: 2\r\ntransfer-encoding: chunked\r\n\r\n5\r\nfull \r\n');
 			writeRest(socket);
@@ -57,8 +57,8 @@
 		drip(socket, '4\r\n:ok\n\r\n', 50);
 	},
 })) {
-	test(`the connection of an engine whose answer goes on after its end mark is closed (${name})`, async t => {
-		// Guards against connections that stay with an engine after its callers have got their whole answers.
+	test(`the connection of an engine whose answer continues after [DONE] is closed (${name})`, async t => {
+		// Guards against connections to an engine that stay open after their callers have received complete answers.
 		const events = 'data: {"choices":[{"text":"one"}],"token_index":0}\n\ndata: [DONE]\n\n';
 		const server = await startScriptedServer(t, socket => {
 			socket.write(`HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n${events.length.toString(16)}\r\n${events}\r\n`);
--- a/src/adapters/whole-body.ts
+++ b/src/adapters/whole-body.ts
@@ -1,23 +1,23 @@
 /**
- * Reads the bodies of answers that count only when they are whole.
+ * Reads bodies that must be complete.
  *
- * A body with neither a length nor chunks ends with its connection. A server that dies in the middle of it ends the
- * connection as well, and undici reports that body as complete, also when the connection was reset: half of an answer
- * would pass for all of it. So such a body is refused, whatever ended it. This is enough, since for the other two framings
- * undici counts the bytes or waits for the last chunk, and fails when the connection ends before that.
+ * A body with neither Content-Length nor chunked encoding ends when its connection ends. If the server fails in the middle of
+ * such a body, the connection ends too, and undici reports the body as complete, even after a reset: half of an answer would
+ * be taken for all of it. Such a body is therefore always an error. With the other two framings, undici counts the bytes or
+ * waits for the last chunk, and fails if the connection ends earlier.
  *
- * A JSON object or array needs no framing: no part of it that lacks its end can be parsed.
+ * A JSON object or array needs no framing, since a truncated one cannot be parsed.
  */
 import {Buffer} from 'node:buffer';
 import {type Dispatcher} from 'undici';
 import {type JsonValue} from '../shared/types.js';
 
-/** An answer came, but nothing proves that its body is whole; whether the request ran is not known from it. */
+/** The framing of an answer does not prove that its body is complete, so it is unknown whether the request ran. */
 export class UnprovedBodyError extends Error {
 	override readonly name = 'UnprovedBodyError';
 
 	constructor() {
-		super('the answer has neither a length nor chunks, so nothing proves that it is whole');
+		super('the answer has neither Content-Length nor chunked encoding, so it may be incomplete');
 	}
 }
 
@@ -26,12 +26,11 @@
 const statusesWithoutBody: ReadonlySet<number> = new Set([204, 304]);
 
 /**
- * Reads a body that its framing proves to be whole.
+ * Reads a body whose framing proves that it is complete.
  *
  * @param method - The method of the request; an answer to `HEAD` has no body.
- * @param answer - The answer, its body unread.
- * @returns All bytes of the body.
- * @throws `UnprovedBodyError` for a body that only the end of the connection ends, else the error of the connection.
+ * @param answer - The answer, with its body unread.
+ * @throws `UnprovedBodyError` for a body that is ended only by the end of its connection, otherwise the connection's error.
  */
 export async function readWholeBody(method: string, answer: Answer): Promise<Buffer> {
 	const body = Buffer.from(await answer.body.arrayBuffer());
@@ -43,15 +42,15 @@
 }
 
 /**
- * Reads a JSON body that its framing or its own last brace proves to be whole.
+ * Reads a JSON body that is provably complete, either by its framing or by the last brace of an object or array.
  *
- * Without either, nothing at all and the first digits of a number would pass for an answer: a table whose server died behind
- * the head of a 200 would seem to have no such row.
+ * Without this check, an empty body or the first digits of a number would be accepted: if the table service failed after
+ * the head of a 200, a row would seem to be absent.
  *
  * @param method - The method of the request.
- * @param answer - The answer, its body unread.
- * @returns The parsed body; `undefined` when it is empty.
- * @throws `UnprovedBodyError`, a `SyntaxError` for a body that is no JSON, or the error of the connection.
+ * @param answer - The answer, with its body unread.
+ * @returns The parsed body, or `undefined` if it is empty.
+ * @throws `UnprovedBodyError`, a `SyntaxError` for a body that is not JSON, or the connection's error.
  */
 export async function readWholeJson(method: string, answer: Answer): Promise<JsonValue | undefined> {
 	const text = await answer.body.text();
@@ -69,7 +68,7 @@
 		return true;
 	}
 
-	// Another coding behind the chunks, or without them, has no end mark and goes before a length.
+	// A transfer coding takes precedence over Content-Length, and only `chunked` as the last coding marks the end of the body.
 	const codings = headers['transfer-encoding'];
 	return codings === undefined ? headers['content-length'] !== undefined : /(?:^|[\s,])chunked\s*$/iv.test(String(codings));
 }
