--- a/src/platform/platform-cache-store.ts
+++ b/src/platform/platform-cache-store.ts
@@ -1,4 +1,4 @@
-/** The calls of a cache store, as the platform spells them. */
+/** The HTTP client for the platform's cache stores: lists and follows their content, and orders them to free blocks. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import * as zod from 'zod';
 import {describeError, exchangeJson} from '../adapters/http-client.js';
@@ -6,23 +6,23 @@
 	type CacheStoreControl, type FreeOrder, type StoredBlock, type StoreEvents, type StoreListing,
 } from '../ports/cache-store-control.js';
 
-/** A store answers within some milliseconds; beyond this the call is taken to be lost. */
+/** A store answers within a few milliseconds. After this time the call is treated as lost. */
 const callMilliseconds = 800;
 
-// Salt, id, tokens; a model or the reserved tokens may follow.
+// Salt, id, tokens; a model or the number of reserved tokens may follow.
 const partSchema = zod.tuple([zod.string(), zod.string(), zod.number()]).rest(zod.unknown());
 const listSchema = zod.object({
 	boot_epoch: zod.number(),
 	next: zod.number(),
 	held: zod.array(partSchema),
-	// Salt, id, tokens complete, tokens reserved.
+	// Salt, id, number of complete tokens, number of reserved tokens.
 	partial: zod.array(zod.tuple([zod.string(), zod.string(), zod.number(), zod.number()])).default([]),
 });
 const eventsSchema = zod.object({
 	boot_epoch: zod.number(),
 	next: zod.number(),
 	lost: zod.boolean(),
-	// Number, sign, salt, id, tokens, model.
+	// Number, sign (+ added, - removed), salt, id, tokens, model.
 	events: zod.array(zod.tuple([zod.number(), zod.enum(['+', '-']), zod.string(), zod.string(), zod.number()]).rest(zod.unknown())),
 	clock_ms: zod.number().optional(),
 });
@@ -73,7 +73,7 @@
 	}
 }
 
-/** The last word on each part decides: a part that came and went in one answer is gone. */
+/** Returns the blocks whose last event has the given sign: a block that was added and then removed counts as removed. */
 function partsOf(events: zod.infer<typeof eventsSchema>['events'], sign: '+' | '-'): StoredBlock[] {
 	const last = new Map<string, {sign: '+' | '-'; part: StoredBlock}>();
 	for (const [, kind, salt, id, tokens] of events) {
--- a/src/platform/platform-catalog.ts
+++ b/src/platform/platform-catalog.ts
@@ -1,4 +1,4 @@
-/** Reads the rows that operators and endpoints write to the platform's store. */
+/** Parses the rows of the platform's store: the configuration and the weight versions of operators, and the endpoints. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import * as zod from 'zod';
 import {
@@ -71,7 +71,7 @@
 	zone: zod.string(),
 	slots: zod.number().default(1),
 	state: zod.enum(['ready', 'draining']),
-	// Unix milliseconds of the incarnation's start.
+	// The start of the incarnation, in milliseconds since the epoch.
 	born: zod.number().default(0),
 	models: zod.array(zod.object({name: zod.string(), version: zod.number()})).default([]),
 });
@@ -144,7 +144,7 @@
 		maxAttempts: route.max_attempts,
 		rank: route.priority,
 		requiresKey: hasTenants && !route.no_auth,
-		// The name speaks of routing to the same server; the platform sets it where requests carry a prompt in parts.
+		// Despite its name, the platform sets `sticky` on the routes whose requests carry a prompt divided into blocks.
 		carriesPrompt: route.sticky,
 	};
 }
--- a/src/platform/platform-engine-control.ts
+++ b/src/platform/platform-engine-control.ts
@@ -1,4 +1,4 @@
-/** The engines' report and order calls, as the platform spells them. */
+/** The HTTP client for the control calls of the platform's engines: their report, and orders to change weights. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import * as zod from 'zod';
 import {describeError, exchangeJson} from '../adapters/http-client.js';
@@ -8,12 +8,12 @@
 } from '../ports/engine-control.js';
 import {platformWireNames} from './wire-names.js';
 
-/** An engine answers at once; beyond this the call is taken to be lost. */
+/** An engine answers immediately. After this time the call is treated as lost. */
 const callMilliseconds = 600;
 
 const reportSchema = zod.object({
 	busy: zod.boolean(),
-	// The number of orders accepted.
+	// The number of orders that the engine has accepted.
 	seq: zod.number(),
 	running: zod.number().default(0),
 	models: zod.array(zod.object({name: zod.string(), version: zod.number()})),
@@ -64,7 +64,7 @@
 
 			return status === 200 ? 'holds-already' : 'refused';
 		} catch {
-			// Nobody knows whether the order arrived; the caller reads the engine's report.
+			// It is unknown whether the order arrived; the caller finds out from the engine's report.
 			return 'unknown';
 		}
 	}
--- a/src/platform/platform-store.ts
+++ b/src/platform/platform-store.ts
@@ -1,8 +1,9 @@
 /**
- * The platform's metadata store as a table service with a feed. All rows of the system lie in the empty part.
+ * The HTTP client for the platform's metadata store, as a table service with a change feed. All rows are in the part with the
+ * empty name.
  *
- * A call that is not answered in time is given up together with its connection: the store sends nothing more on a
- * connection on which an answer was lost.
+ * A call that times out also closes its connection, because the store sends nothing more on a connection on which an answer
+ * was lost.
  */
 import {Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts/Either';
@@ -18,7 +19,7 @@
 } from '../ports/table-service.js';
 import {type JsonValue} from '../shared/types.js';
 
-/** A row on the wire; `value` is base64. */
+/** A row as encoded by the store; `value` is base64. */
 type WireRow = {table: string; part: string; key: string; value?: string; ver?: number; deleted?: boolean};
 type RowsAnswer = {rows: WireRow[]; ver: number; now_ms: number; has_more?: boolean};
 type RowsRead = RowsAnswer & {era: number};
@@ -27,14 +28,14 @@
 export type CountCall = (call: 'get' | 'feed' | 'tx', outcome: 'answered' | 'refused' | 'lost') => void;
 
 /**
- * How long a call may take beside the time that it was asked to wait. The store answers in a few milliseconds; when it is
- * slow, in up to sixty times that. Beyond, the answer is taken to be lost.
+ * Timeout of a call, in addition to the time that a call to the feed may wait for changes. The store answers within a few
+ * milliseconds, or up to sixty times that when it is slow. After this time the answer is treated as lost.
  */
 const callMilliseconds = 700;
 const historyLostStatus = 410;
 const conflictStatus = 412;
 const refusedStatuses: ReadonlySet<number> = new Set([403, 429, 503, 507]);
-/** Rises by one when the store comes back from an older copy. */
+/** Increases by one when the store is restored from an older copy. */
 const eraHeader = 'store-era';
 
 export class PlatformStore implements TableService, TableFeed, ClockedTable {
@@ -109,7 +110,7 @@
 
 			const page = answer.unsafeCoerce();
 			if (first !== undefined && page.era !== first.era) {
-				// The pages before are of a state that the store no longer has.
+				// The store was restored between two pages, so the earlier pages no longer hold.
 				first = undefined;
 				rows = [];
 				from = '';
@@ -117,7 +118,7 @@
 			}
 
 			rows.push(...page.rows.map(row => feedRowOf(row)));
-			// What changes between two pages lies behind the first page's version, so the feed tells it again from there.
+			// Changes between two pages have a version after the first page's, so a feed that follows from there returns them.
 			first ??= page;
 			const last = page.rows.at(-1);
 			if (!page.has_more || last === undefined) {
@@ -151,7 +152,7 @@
 		}
 	}
 
-	/** Gives the era of an answer. Answers of two connections may cross, so an earlier era never becomes the latest again. */
+	/** Returns the era of an answer. The latest era never decreases, since answers on two connections can arrive out of order. */
 	#noteEra({headers}: JsonAnswer): number {
 		const era = Number(headers[eraHeader] ?? 0);
 		const told = Number.isSafeInteger(era) ? era : 0;
@@ -192,7 +193,7 @@
 	};
 }
 
-/** Bytes that are no JSON come from other writers; they are told as absent, and the reader reports them. */
+/** Returns `undefined` for bytes that are not JSON, which only other writers store; the reader of the row reports them. */
 function decodeValue(value: string | undefined): JsonValue | undefined {
 	if (value === undefined) {
 		return undefined;
--- a/src/platform/settings-file.test.ts
+++ b/src/platform/settings-file.test.ts
@@ -20,7 +20,7 @@
 bounds.new_one=7
 `;
 
-test('a settings file is read, unknown fields are passed over', () => {
+test('a settings file is read, and unknown fields are ignored', () => {
 	const settings = readSettingsFile(whole, 'boot.conf').unsafeCoerce();
 	assert.equal(settings.instance, 'front-split-1');
 	assert.equal(settings.bounds.graceMilliseconds, 8000);
@@ -28,11 +28,11 @@
 	assert.equal(settings.bounds.leaseMilliseconds, 3000);
 });
 
-test('all findings are told at once, with their line', () => {
+test('all findings are reported together, each with its line', () => {
 	const broken = whole.replace('zone=split\n', '').replace('revoke_ms=5000', 'revoke_ms=soon');
 	const findings = readSettingsFile(broken, 'boot.conf').swap().orDefault([]);
 	assert.deepEqual(findings.map(finding => formatFinding(finding)), [
 		'boot.conf:1:1: zone is missing',
-		'boot.conf:9:1: bounds.revoke_ms must be a number that is not negative',
+		'boot.conf:9:1: bounds.revoke_ms must be a non-negative number',
 	]);
 });
--- a/src/platform/settings-file.ts
+++ b/src/platform/settings-file.ts
@@ -1,4 +1,4 @@
-/** Reads the platform's settings file: lines of the form `name=value`, lists joined by commas. */
+/** Reads the platform's settings file: lines of the form `name=value`, with lists separated by commas. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type GatewaySettings} from '../gateway/gateway-settings.js';
 import {type Finding} from '../shared/types.js';
@@ -6,16 +6,16 @@
 /** The environment variable that holds the path of the settings file. */
 export const settingsPathVariable = 'SAVORYGAUGE_BOOT';
 
-/** Where the deploy file says that metrics are served. */
+/** The port for metrics in the deploy file. */
 const metricsPort = 9464;
 const readyPath = '/readiness';
 
 /**
- * Reads a settings file. Unknown fields are passed over.
+ * Reads a settings file. Unknown fields are ignored.
  *
- * @param text - The file.
- * @param file - Its path, for findings.
- * @returns The settings, or all that is wrong.
+ * @param text - The content of the file.
+ * @param file - The path of the file, for findings.
+ * @returns The settings, or all findings.
  */
 export function readSettingsFile(text: string, file: string): Either<Finding[], GatewaySettings> {
 	const fields = fieldsOf(text);
@@ -45,7 +45,7 @@
 
 		const number = Number(value === undefined || value === '' ? Number.NaN : value);
 		if (!Number.isFinite(number) || number < 0) {
-			report(name, 'must be a number that is not negative');
+			report(name, 'must be a non-negative number');
 		}
 
 		return number;
--- a/src/platform/wire-names.ts
+++ b/src/platform/wire-names.ts
@@ -1,4 +1,4 @@
-/** How the platform spells the headers that the data path reads and sets. */
+/** The platform's names of the headers that the data path reads and sets. */
 import {type WireNames} from '../gateway/data-path/wire-names.js';
 
 export const platformWireNames: WireNames = {
