--- a/src/settings/bad-arguments.test.ts
+++ b/src/settings/bad-arguments.test.ts
@@ -17,10 +17,10 @@
 		program: 'entry',
 		arguments: ['--listen', 'localhost:80', '--lissten', '127.0.0.1:1', '--log-level'],
 		findings: [
-			'--lissten: there is no such flag',
-			'127.0.0.1:1: is one argument too many',
+			'--lissten: unknown flag',
+			'127.0.0.1:1: unexpected argument',
 			...['instance', 'data-centre'].map(flag => missing(flag)),
-			'--listen: "localhost:80" is no IP:port',
+			'--listen: "localhost:80" is not an IP:port',
 			...['operator-key', 'cache-secret', 'table-address', 'object-address', 'list-address'].map(flag => missing(flag)),
 			'--log-level: needs a value',
 		],
@@ -29,24 +29,24 @@
 		program: 'operator',
 		arguments: ['apply', 'no-such.yaml', '--agianst', '--against', '-3', '--operator-address', '127.0.0.1:99999'],
 		findings: [
-			'--agianst: there is no such flag',
+			'--agianst: unknown flag',
 			'--reason: is missing',
-			'--against: "-3" is no whole number from 0 to 9007199254740991',
-			'--operator-address: "127.0.0.1:99999" is no IP:port',
+			'--against: "-3" is not a whole number from 0 to 9007199254740991',
+			'--operator-address: "127.0.0.1:99999" is not an IP:port',
 			missing('operator-key'),
 		],
 	},
 	{program: 'operator', arguments: ['check', 'no-such.yaml'], findings: ['no-such.yaml:1:1: cannot be read: ENOENT: no such file or directory, open \'no-such.yaml\'']},
-	{program: 'operator', arguments: ['show', 'last', '--operator-key', 'a-key-of-operators'], findings: ['VERSION: "last" is no whole number from 1 to 9007199254740991']},
+	{program: 'operator', arguments: ['show', 'last', '--operator-key', 'a-key-of-operators'], findings: ['VERSION: "last" is not a whole number from 1 to 9007199254740991']},
 	{program: 'operator', arguments: ['ask', '--operator-key', 'a-key-of-operators'], findings: ['STATEMENT: is missing']},
 	{
 		program: 'timeline',
 		arguments: ['paint', '--keep-events', 'many', '--port', '1'],
 		findings: [
-			'--port: there is no such flag',
-			'1: is one argument too many',
+			'--port: unknown flag',
+			'1: unexpected argument',
 			'paint: is no command; expected collect, read, follow, draw',
-			'--keep-events: "many" is no whole number from 1000 to 5000000',
+			'--keep-events: "many" is not a whole number from 1000 to 5000000',
 		],
 	},
 	{
@@ -57,7 +57,7 @@
 ];
 
 for (const {program, arguments: given, findings} of badStarts) {
-	test(`${program} ${given.join(' ')}: all findings, exit status ${badUsageExitCode}, nothing started`, () => {
+	test(`${program} ${given.join(' ')}: reports all findings, exits with status ${badUsageExitCode}, starts nothing`, () => {
 		const path = fileURLToPath(new URL(`../${program}/main.js`, import.meta.url));
 		const environment = Object.fromEntries(Object.entries(process.env).filter(([name]) => !name.startsWith('SAVORYGAUGE_')));
 		const ended = spawnSync(process.execPath, [path, ...given], {encoding: 'utf8', env: environment, timeout: 20_000});
--- a/src/settings/check-text.ts
+++ b/src/settings/check-text.ts
@@ -2,11 +2,11 @@
 import {type Finding} from '../shared/types.js';
 
 /**
- * Checks one text that a user gave.
+ * Parses one argument of a command line.
  *
- * @param name - Where it was given, for example `--against` or `VERSION`.
- * @param text - The text; `undefined` if it is missing.
- * @param parse - Gives the value, or what is wrong with the text.
+ * @param name - The flag or the name of the argument, for example `--against` or `VERSION`.
+ * @param text - The text; `undefined` if it is missing, `true` for a flag without a value.
+ * @param parse - Returns the value, or the message for the finding.
  * @returns The value, or the finding.
  */
 export function checkText<Value>(name: string, text: string | true | undefined, parse: (text: string) => Either<string, Value>): Either<Finding, Value> {
--- a/src/settings/read-settings.ts
+++ b/src/settings/read-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the settings of a program from flags and environment variables. A flag goes before its variable, and the
- * variable before the default. All that is wrong is reported together, so that one start shows all of it.
+ * Reads the settings of a program from flags and environment variables. A flag takes precedence over its variable, and the
+ * variable over the default. All findings are reported together, so that one start shows all of them.
  */
 import process from 'node:process';
 import {type Command, Option} from 'commander';
@@ -12,22 +12,21 @@
 } from './setting-definition.js';
 import {variableNameOf} from './variable-name-of.js';
 
-/** The exit status of a program that was started with bad settings or arguments. */
+/** The exit status of a program that is started with invalid settings or arguments. */
 export const badUsageExitCode = 2;
 
-/** The texts given for settings, by flag without its dashes. */
+/** The texts given for settings: `flags` by flag without its dashes, `environment` by the name of the variable. */
 export type GivenTexts = {
 	flags: Record<string, string | true | undefined>;
 	environment: Record<string, string | undefined>;
 };
 
 /**
- * Adds the flags of some settings to a command.
+ * Adds a flag for each setting to a command of `commander`.
  *
- * What the command cannot make sense of is left over instead of ending the parse at once, so that it can be reported
- * together with everything else; see `findLeftOver`.
+ * Unknown arguments do not end the parse, so that `findUnknownArguments` can report them together with all other findings.
  *
- * @param command - The command of `commander`; it is changed.
+ * @param command - The command, which is changed.
  * @param definitions - The settings.
  */
 export function addSettingFlags(command: Command, definitions: SettingDefinitions): void {
@@ -36,32 +35,32 @@
 	for (const definition of Object.values(definitions)) {
 		const variable = variableNameOf(definition.flag);
 		const fallback = definition.defaultText === undefined ? 'required' : `default: "${definition.defaultText}"`;
-		// The value is optional only for the parser: a flag without one becomes a finding beside the others.
+		// The value is optional for the parser only, so that a missing value is reported together with all other findings.
 		command.addOption(new Option(`--${definition.flag} [${definition.valueName}]`, `${definition.description} (${variable}; ${fallback})`));
 	}
 }
 
 /**
- * Finds arguments that a command does not know.
+ * Finds unknown flags and excess arguments.
  *
  * @param command - The parsed command.
- * @param expectedCount - How many arguments beside flags it takes.
- * @returns One finding for each unknown flag and each argument too many.
+ * @param expectedCount - The number of arguments other than flags that the command takes.
+ * @returns One finding for each.
  */
 export function findLeftOver(command: Command, expectedCount = 0): Finding[] {
 	const unknownFlags = command.args.filter(argument => argument.startsWith('-'));
 	const tooMany = command.args.filter(argument => !argument.startsWith('-')).slice(expectedCount);
 	return [...unknownFlags, ...tooMany].map(argument => ({
-		place: {source: 'flag', name: argument}, message: argument.startsWith('-') ? 'there is no such flag' : 'is one argument too many',
+		place: {source: 'flag', name: argument}, message: argument.startsWith('-') ? 'unknown flag' : 'unexpected argument',
 	}));
 }
 
 /**
- * Gives the texts of a parsed command's flags and of the environment.
+ * Returns the texts of a parsed command's flags and of the environment.
  *
  * @param command - The parsed command.
  * @param definitions - The settings of the program.
- * @returns The texts; a flag that was given without a value has the value `true`.
+ * @returns The texts; a flag without a value has the value `true`.
  */
 export function givenTextsOf(command: Command, definitions: SettingDefinitions): GivenTexts {
 	const options = command.optsWithGlobals<Record<string, string | true | undefined>>();
@@ -69,11 +68,7 @@
 	return {flags, environment: process.env};
 }
 
-/**
- * Writes findings to standard error and ends the process with status 2.
- *
- * @param findings - What is wrong.
- */
+/** Writes findings to standard error and ends the process with status 2. */
 export function exitWithFindings(findings: readonly Finding[]): never {
 	for (const finding of findings) {
 		console.error(formatFinding(finding));
@@ -84,7 +79,7 @@
 }
 
 /**
- * Checks the given texts against the definitions.
+ * Parses the given texts by the definitions.
  *
  * @param definitions - The settings of the program.
  * @param given - The texts from flags and environment.
--- a/src/settings/variable-name-of.ts
+++ b/src/settings/variable-name-of.ts
@@ -1,5 +1,5 @@
 /**
- * Gives the environment variable of a flag.
+ * Returns the name of the environment variable for a flag.
  *
  * @param flag - The flag without its dashes.
  * @returns For example `SAVORYGAUGE_TABLE_ADDRESS` for `table-address`.
