--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -1,11 +1,11 @@
 /**
- * Structured logs by tslog: pretty on a terminal, one JSON object a line elsewhere. A log line never holds a prompt, a
- * key, or the name of a workspace other than the one that the line is about.
+ * Structured logs with tslog: formatted text on a terminal, otherwise one JSON object per line. A log line never contains a
+ * prompt, a key, or the name of a workspace other than the one that the line is about.
  */
 import process from 'node:process';
 import {Logger} from 'tslog';
 
-/** What every line of a process carries. */
+/** The fields of every log line, event and metric of a process. */
 export type ProcessIdentity = {
 	program: string;
 	instance: string;
@@ -14,22 +14,21 @@
 
 export const logLevels = ['debug', 'info', 'warn', 'error'] as const;
 
-/** Lines below this level are left out. */
+/** The lowest level that is logged. */
 export type LogLevel = (typeof logLevels)[number];
 
 const tslogLevelNumbers: Record<LogLevel, number> = {
 	debug: 2, info: 3, warn: 4, error: 5,
 };
 
-/** The logger that the parts of a process are given. */
+/** The logger for the components of a process. */
 export type ProcessLogger = Logger<ProcessIdentity>;
 
 /**
- * Makes the logger of a process.
+ * Creates the logger of a process. It writes to standard error, because standard output is for results.
  *
- * @param identity - What every line carries.
- * @param level - The least level that is written.
- * @returns The logger; it writes to standard error, so that standard output stays free for results.
+ * @param identity - The fields of every line.
+ * @param level - The lowest level that is logged.
  */
 export function createLogger(identity: ProcessIdentity, level: LogLevel): ProcessLogger {
 	return new Logger<ProcessIdentity>({
--- a/src/observability/metrics.ts
+++ b/src/observability/metrics.ts
@@ -1,11 +1,11 @@
 /**
- * Metrics by hot-shots. The names, units and tags stand in one table, which docs/METRICS.md shows; without a metrics
- * address nothing is sent.
+ * Metrics, sent with hot-shots. One table defines their names, units and tags, and docs/METRICS.md is generated from it.
+ * Nothing is sent if no metrics address is set.
  */
 import {StatsD} from 'hot-shots';
 import {type ProcessIdentity} from './logger.js';
 
-/** Every metric with its kind, unit and tags. */
+/** All metrics by name, without the prefix `savorygauge.`. */
 export const metricDefinitions = {
 	'request.time_to_first_token': {
 		kind: 'timing', unit: 'milliseconds', tags: ['priority', 'service'], description: 'from the arrival of a prompt to its first token',
@@ -63,12 +63,11 @@
 	},
 } as const;
 
-/** The name of a metric. */
 export type MetricName = keyof typeof metricDefinitions;
 
-/** Where the parts of a process report figures. */
+/** Receives the values of metrics from the components of a process. */
 export interface Metrics {
-	/** Reports a value in the metric's own unit. */
+	/** Reports a value in the unit of the metric. */
 	report(name: MetricName, value: number, tags?: Record<string, string>): void;
 	close(): void;
 }
@@ -78,8 +77,8 @@
 	readonly #client: StatsD;
 
 	/**
-	 * @param address - `IP:port` of the StatsD server; empty sends nothing.
-	 * @param identity - Tags of every metric.
+	 * @param address - `IP:port` of the StatsD server; nothing is sent if it is empty.
+	 * @param identity - The instance and data centre, which are tags of every metric.
 	 */
 	constructor(address: string, identity: ProcessIdentity) {
 		const separator = address.lastIndexOf(':');
@@ -89,7 +88,7 @@
 			mock: address === '',
 			globalTags: {instance: identity.instance, data_centre: identity.dataCentre},
 			errorHandler() {
-				// A metric that cannot be sent is lost; the data path must not notice.
+				// A metric that cannot be sent is lost; this must not affect the data path.
 			},
 		});
 	}
--- a/src/observability/no-secrets.test.ts
+++ b/src/observability/no-secrets.test.ts
@@ -26,10 +26,9 @@
 	cacheSecret: 'cache-secret-of-the-tests',
 };
 
-// An entry logs at its lowest level while it is driven through answers, refusals and failures: no endpoint, a wrong
-// key, a malformed body, a call to a service whose endpoint is gone. Whoever reads the logs, the metrics or the time
-// line must not learn a prompt or a key from them.
-test('neither logs nor metrics nor the time line hold a prompt or a key', async t => {
+// Guards against prompts and keys in logs, metrics and the timeline. An entry logs at its lowest level while it serves and
+// refuses requests: without an endpoint, with a wrong key, with a malformed body, and to a service that has no endpoint.
+test('neither logs nor metrics nor the timeline contain a prompt or a key', async t => {
 	const platform = new TestEntries();
 	await platform.start(0);
 	t.after(async () => platform.stop());
@@ -69,7 +68,7 @@
 	const everything = {written, metrics: metrics.join('\n'), events: JSON.stringify(store.events())};
 	for (const [place, content] of Object.entries(everything)) {
 		for (const [name, secret] of Object.entries(secrets)) {
-			assert.ok(!content.includes(secret), `${name} stands in ${place}`);
+			assert.ok(!content.includes(secret), `${name} was found in ${place}`);
 		}
 	}
 });
--- a/src/observability/timeline-event.ts
+++ b/src/observability/timeline-event.ts
@@ -1,9 +1,8 @@
 /**
- * The events that make up the time line over all processes. An event names its cause: the request and attempt, or the
- * configuration version, that brought it about.
+ * The events of the timeline, which covers all processes. An event refers to its cause: a request and attempt, or a
+ * configuration version.
  */
 
-/** What happened. */
 export type TimelineEventKind
 	= | 'process-started'
 		| 'process-draining'
@@ -33,7 +32,7 @@
 		| 'piece-read'
 		| 'operator-act';
 
-/** What the reporter of an event says; the process adds who it is. */
+/** An event as recorded by a component; the sender adds the identity of the process. */
 export type TimelineEntry = {
 	kind: TimelineEventKind;
 	/** Milliseconds since the epoch. */
@@ -43,11 +42,11 @@
 	workspace?: string;
 	endpoint?: string;
 	configurationVersion?: number;
-	/** A short text for people; never a prompt or a key. */
+	/** A short text for operators, which never contains a prompt or a key. */
 	detail?: string;
 };
 
-/** An event as collected. `sequence` counts the events of one process start, so that a hole shows lost ones. */
+/** An event as collected. `sequence` counts the events since the start of the process, so that a gap shows lost events. */
 export type TimelineEvent = TimelineEntry & {
 	instance: string;
 	dataCentre: string;
@@ -55,7 +54,7 @@
 	sequence: number;
 };
 
-/** Where the parts of a process record events. Recording never waits and never throws. */
+/** Records events from the components of a process. Recording never waits and never throws. */
 export interface TimelineRecorder {
 	record(entry: TimelineEntry): void;
 }
--- a/src/observability/timeline-sender.ts
+++ b/src/observability/timeline-sender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the events of this process to the collector over TCP frames. The data path only appends to a bounded buffer; a
- * collector that is slow or gone costs events, which are counted, and never time.
+ * Sends the events of this process to the collector, in frames over TCP. The data path only appends to a bounded buffer: if
+ * the collector is slow or unreachable, events are dropped and counted, and the data path is never delayed.
  */
 import {Socket} from 'node:net';
 import {encodeFrame} from '../peer/framing/frame-codec.js';
@@ -13,12 +13,12 @@
 const batchLimitEvents = 500;
 const closeMilliseconds = 500;
 
-/** What one frame to the collector carries. */
+/** The content of a frame to the collector. */
 export type TimelineBatch = {
 	events: TimelineEvent[];
-	/** When the process started, in milliseconds since the epoch: a restarted process counts its events from 1 again. */
+	/** The start of the process, in milliseconds since the epoch. A restarted process counts its events from 1 again. */
 	start: number;
-	/** Events of this process start that were dropped so far. */
+	/** The number of events dropped since the start. */
 	dropped: number;
 };
 
@@ -35,15 +35,15 @@
 	#timer: NodeJS.Timeout | undefined;
 
 	/**
-	 * @param identity - Who this process is.
-	 * @param address - `IP:port` of the collector; empty drops all events.
+	 * @param identity - The identity of this process, which is added to every event.
+	 * @param address - `IP:port` of the collector; if it is empty, all events are discarded.
 	 */
 	constructor(identity: ProcessIdentity, address: string) {
 		this.#identity = identity;
 		this.#address = address;
 	}
 
-	/** How many events were dropped since the start. */
+	/** The number of events dropped since the start. */
 	get dropped(): number {
 		return this.#dropped;
 	}
@@ -63,7 +63,7 @@
 		this.#flushIn(flushMilliseconds);
 	}
 
-	/** Sends what waits, as far as the connection takes it. */
+	/** Sends buffered events until the connection applies back-pressure; connects first if necessary. */
 	flush(now: number): void {
 		if (!this.#connected) {
 			this.#connect(now);
@@ -77,7 +77,7 @@
 		}
 	}
 
-	/** Resolves when what was sent has left, or after a short time, so that a stuck collector holds up no shutdown. */
+	/** Closes the connection after all written data is sent, or by a timeout, so that the collector cannot delay a shutdown. */
 	async close(): Promise<void> {
 		clearTimeout(this.#timer);
 		const socket = this.#socket;
--- a/src/reference/metrics-page.ts
+++ b/src/reference/metrics-page.ts
@@ -1,17 +1,16 @@
-/** The text of docs/METRICS.md. */
+/** Generates the text of docs/METRICS.md. */
 
-/** A metric that goes out over UDP. */
+/** A metric that the entry sends over UDP. */
 export type SentMetric = {kind: string; unit: string; tags: readonly string[]; description: string};
 
-/** A metric that is served as text. */
+/** A metric that the gateway serves as text. */
 export type ServedMetric = {name: string; type: string; labelNames: readonly string[]; help: string};
 
 /**
- * Writes the page of metrics.
+ * Generates the page.
  *
- * @param sent - What the entry sends, by name without its prefix.
- * @param served - What the gateway serves.
- * @returns The page.
+ * @param sent - The metrics of the entry, by name without prefix.
+ * @param served - The metrics of the gateway.
  */
 export function metricsPage(sent: Record<string, SentMetric>, served: readonly ServedMetric[]): string {
 	const sentLines = Object.entries(sent).map(([name, {kind, unit, tags, description}]) =>
--- a/src/reference/reference-pages.test.ts
+++ b/src/reference/reference-pages.test.ts
@@ -4,7 +4,7 @@
 import {referencePages} from './reference-pages.js';
 
 for (const [file, expected] of Object.entries(referencePages())) {
-	test(`${file} is what the definitions give (npm run docs:settings makes it anew)`, async () => {
+	test(`${file} matches the definitions (npm run docs:settings updates it)`, async () => {
 		assert.equal(await readFile(file, 'utf8'), expected);
 	});
 }
--- a/src/reference/reference-pages.ts
+++ b/src/reference/reference-pages.ts
@@ -1,4 +1,4 @@
-/** The pages that are made from the definitions which the programs themselves use; the place that puts them together. */
+/** Generates the reference pages from the definitions that the programs use, so that the pages match the programs. */
 import {entrySettingDefinitions} from '../entry/entry-settings.js';
 import {GatewayMetrics} from '../gateway/observability/gateway-metrics.js';
 import {metricDefinitions} from '../observability/metrics.js';
@@ -7,7 +7,7 @@
 import {metricsPage, type ServedMetric} from './metrics-page.js';
 import {settingsPage} from './settings-page.js';
 
-/** Makes all pages anew; gives their text by file. */
+/** Returns the text of each page, by file name. */
 export function referencePages(): Record<string, string> {
 	return {
 		'docs/SETTINGS.md': settingsPage({
@@ -19,7 +19,7 @@
 	};
 }
 
-/** The library's type of a registered metric leaves out its labels, which each metric has. */
+/** Casts because the library's type of a registered metric lacks `labelNames`, which every metric has. */
 function servedMetrics(): ServedMetric[] {
 	return new GatewayMetrics().registry.getMetricsAsArray() as unknown as ServedMetric[];
 }
--- a/src/reference/settings-page.ts
+++ b/src/reference/settings-page.ts
@@ -1,12 +1,11 @@
-/** The text of docs/SETTINGS.md. */
+/** Generates the text of docs/SETTINGS.md. */
 import {type SettingDefinition, type SettingDefinitions} from '../settings/setting-definition.js';
 import {variableNameOf} from '../settings/variable-name-of.js';
 
 /**
- * Writes the page of settings.
+ * Generates the page.
  *
- * @param settingsOfPrograms - The definitions by the program's name, in the order of the page.
- * @returns The page.
+ * @param settingsOfPrograms - The definitions by the name of the program, in the order of the page.
  */
 export function settingsPage(settingsOfPrograms: Record<string, SettingDefinitions>): string {
 	const sections = Object.entries(settingsOfPrograms).flatMap(([program, definitions]) => [
--- a/src/reference/write-reference-pages.ts
+++ b/src/reference/write-reference-pages.ts
@@ -1,4 +1,4 @@
-/** Writes docs/SETTINGS.md and docs/METRICS.md. Not part of what ships. */
+/** A development script that writes docs/SETTINGS.md and docs/METRICS.md. It is not part of the published package. */
 import {writeFile} from 'node:fs/promises';
 import {referencePages} from './reference-pages.js';
 
--- a/src/supervisor/supervisor.test.ts
+++ b/src/supervisor/supervisor.test.ts
@@ -15,7 +15,7 @@
 	});
 });
 
-test('a failed child is restarted and the others go on', async () => {
+test('a failed child is restarted and the others keep running', async () => {
 	const stop = new AbortController();
 	let starts = 0;
 	let otherStarts = 0;
@@ -57,7 +57,7 @@
 	};
 	const supervisor = new Supervisor({
 		name: 'root', strategy: 'one-for-one', intensity: {restarts: 3, periodMilliseconds: 1000}, children: [child], now: () => 0, report() {
-			// Not looked at here.
+			// This test checks only the error.
 		},
 	});
 	await assert.rejects(supervisor.run(new AbortController().signal), RestartIntensityError);
--- a/src/supervisor/supervisor.ts
+++ b/src/supervisor/supervisor.ts
@@ -1,11 +1,11 @@
 /**
- * A supervisor tree: long-lived children, each with a name, restarted when they fail. A child that fails too often
- * within a period fails its supervisor, which is the child of the next one up; at the root the process ends, and the
- * platform replaces the instance.
+ * A supervisor tree: each supervisor runs named, long-lived children and restarts those that fail. If the children fail too
+ * often within a period, the supervisor fails too, and its parent restarts it. If the root supervisor fails, the process ends
+ * and the platform replaces the instance.
  */
 import {setMaxListeners} from 'node:events';
 
-/** A long-lived part. `run` resolves once the signal aborts; if it throws or resolves sooner, the child has failed. */
+/** A long-lived component. `run` resolves after the signal aborts; if it rejects or resolves earlier, the child has failed. */
 export interface Child {
 	readonly name: string;
 	run(signal: AbortSignal): Promise<void>;
@@ -14,13 +14,13 @@
 /** `one-for-one` restarts the child that failed; `one-for-all` restarts all children of the supervisor. */
 export type RestartStrategy = 'one-for-one' | 'one-for-all';
 
-/** At most `restarts` in `periodMilliseconds`. */
+/** The maximum number of restarts of all children together within a period. */
 export type RestartIntensity = {
 	restarts: number;
 	periodMilliseconds: number;
 };
 
-/** What a supervisor tells of its children. */
+/** A failure of a child: it is restarted, or the supervisor fails (`gave-up`). */
 export type SupervisorEvent = {
 	child: string;
 	kind: 'restarted' | 'gave-up';
@@ -36,7 +36,7 @@
 	report(event: SupervisorEvent): void;
 };
 
-/** Thrown when a supervisor's children failed more often than its intensity allows. */
+/** Thrown if the children of a supervisor fail more often than its intensity allows. */
 export class RestartIntensityError extends Error {
 	override readonly name = 'RestartIntensityError';
 
@@ -58,7 +58,7 @@
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			const round = new AbortController();
-			// Every child listens while it waits for something; there may be more of them than Node takes for a leak.
+			// Each waiting child adds a listener, and more than ten would make Node warn of a leak.
 			setMaxListeners(0, round.signal);
 			const stop = (): void => {
 				round.abort();
@@ -68,7 +68,7 @@
 			try {
 				await Promise.all(this.#options.children.map(async child => this.#keepRunning(child, round.signal)));
 			} catch (error) {
-				// Thrown only to restart all, or to give up: the other children end before either happens.
+				// Either all children restart or this supervisor fails, so the other children are stopped.
 				round.abort();
 				if (error instanceof RestartIntensityError) {
 					throw error;
@@ -107,7 +107,7 @@
 async function failureOf(child: Child, signal: AbortSignal): Promise<Error> {
 	try {
 		await child.run(signal);
-		return new Error(`${child.name} ended by itself`);
+		return new Error(`${child.name} ended before it was stopped`);
 	} catch (error) {
 		return error instanceof Error ? error : new Error(String(error));
 	}
