--- a/src/supervisor/supervisor.ts
+++ b/src/supervisor/supervisor.ts
@@ -68,7 +68,7 @@
 			try {
 				await Promise.all(this.#options.children.map(async child => this.#keepRunning(child, round.signal)));
 			} catch (error) {
-				// Either all children restart or this supervisor fails, so the other children are stopped.
+				// Either all children restart or this supervisor fails, so the other children are aborted.
 				round.abort();
 				if (error instanceof RestartIntensityError) {
 					throw error;
