--- a/src/declaration/check-declaration.test.ts
+++ b/src/declaration/check-declaration.test.ts
@@ -5,7 +5,7 @@
 
 const digest = 'a'.repeat(64);
 
-test('all findings of all files come together, each with file, line and column', () => {
+test('all findings of all files are reported together, each with file, line and column', () => {
 	const text = [
 		'workspaces:',
 		'  - name: quay',
@@ -22,7 +22,7 @@
 	assert.ok(lines.some(line => line.startsWith('b.yaml:')), lines.join('\n'));
 });
 
-test('a name that nothing declares is found where it stands', () => {
+test('a reference to an undeclared name is reported at its line and column', () => {
 	const text = `workspaces:\n  - name: quay\n    keyDigests: [${digest}]\n    services: [permits]\n`;
 	const findings = checkDeclaration([{file: 'a.yaml', text}]);
 	assert.deepEqual((findings.extract() as Array<Parameters<typeof formatFinding>[0]>).map(finding => formatFinding(finding)), ['a.yaml:4:16: no service "permits" is declared']);
--- a/src/declaration/check-declaration.ts
+++ b/src/declaration/check-declaration.ts
@@ -1,6 +1,6 @@
 /**
- * Checks declaration files: the YAML, the schema, and what the schema cannot say (names used twice, names that nothing
- * declares). All findings of all files are reported together, each with file, line and column.
+ * Checks declaration files: the YAML, the schema, and the rules that a schema cannot express (duplicate names, references
+ * to undeclared names). All findings of all files are reported together, each with file, line and column.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {
@@ -10,7 +10,7 @@
 import {type Declaration, declarationSchema} from './declaration-schema.js';
 import {findBrokenReferences} from './find-broken-references.js';
 
-/** One file as read. */
+/** The path and content of one file. */
 export type DeclarationFile = {
 	file: string;
 	text: string;
@@ -22,10 +22,10 @@
 type PlacedDeclaration = {declaration: Declaration; placeOf(path: Path): Finding['place']};
 
 /**
- * Checks files that together make one declaration.
+ * Checks the files that together form one declaration.
  *
  * @param files - The files, in any order.
- * @returns The declaration of all of them, or all findings.
+ * @returns The merged declaration, or all findings.
  */
 export function checkDeclaration(files: readonly DeclarationFile[]): Either<Finding[], Declaration> {
 	const findings: Finding[] = [];
@@ -83,7 +83,7 @@
 	}));
 }
 
-/** Resolves aliases. A file whose aliases multiply past all bounds is refused before it fills the memory. */
+/** Resolves YAML aliases. A file with too many of them is rejected, because nested aliases can expand until memory runs out. */
 function contentOf(document: Document): Either<string, unknown> {
 	try {
 		return Right(document.toJS({maxAliasCount: mostAliases}) as unknown);
@@ -92,7 +92,7 @@
 	}
 }
 
-/** Finds where a value starts; for one that is missing, where the thing it is missing from starts. */
+/** Returns the offset at which a value starts; for a missing value, that of the closest enclosing node. */
 function offsetOf(document: Document, path: Path): number {
 	for (let {length} = path; length >= 0; length--) {
 		const node = length === 0 ? document.contents : document.getIn(path.slice(0, length), true);
@@ -126,7 +126,7 @@
 	return findings;
 }
 
-/** Finds what no single file can show: names that no file declares, and what two files claim. */
+/** Finds the errors that show only across files, such as references to names that no file declares. */
 function findAcrossFiles(placed: readonly PlacedDeclaration[]): Finding[] {
 	return findBrokenReferences(joinDeclarations(placed)).map(({path: [list, position, ...rest], message}) => {
 		const {placeOf, index} = placeInFiles(placed, list as ListName, Number(position));
@@ -134,7 +134,7 @@
 	});
 }
 
-/** Finds the file that an item of the joined declaration came from. */
+/** Finds the file that an item of the merged declaration came from, and the item's index there. */
 function placeInFiles(placed: readonly PlacedDeclaration[], list: ListName, position: number): {placeOf: PlacedDeclaration['placeOf']; index: number} {
 	let index = position;
 	for (const {declaration, placeOf} of placed) {
--- a/src/declaration/check-proposal.ts
+++ b/src/declaration/check-proposal.ts
@@ -1,6 +1,6 @@
 /**
- * Checks a proposed configuration change as it arrives over HTTP. The command line has checked it before, but another
- * client may not have: an item with a missing member would come into force on every instance at once.
+ * Checks a proposed configuration change that arrives over HTTP. The command line checks its own proposals, but another
+ * client may not, and an item with a missing member would come into force on every instance at once.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {z} from 'zod';
@@ -16,7 +16,7 @@
 const mostEdits = 10_000;
 const longestTextCharacters = 1000;
 
-/** What is wrong with a proposal, and where in it, for example `edits.0.item.share`. */
+/** An error in a proposal, with its path in the proposal, for example `edits.0.item.share`. */
 export type ProposalFinding = {
 	path: string;
 	message: string;
@@ -45,7 +45,7 @@
 /**
  * Checks the form of a proposal.
  *
- * @param value - The body as parsed.
+ * @param value - The parsed body.
  * @returns The proposal with the defaults filled in, or all findings.
  */
 export function checkProposal(value: unknown): Either<ProposalFinding[], ConfigurationProposal> {
@@ -56,11 +56,11 @@
 }
 
 /**
- * Checks what a proposal would bring about: every name that it leaves in use must be declared.
+ * Checks the references in the configuration that a proposal leads to: every name in use must be declared.
  *
  * @param state - The configuration that the proposal was planned against.
- * @param edits - Its edits.
- * @returns All findings; none if the result is sound.
+ * @param edits - The edits of the proposal.
+ * @returns All findings; none if the resulting configuration is valid.
  */
 export function checkOutcome(state: ConfigurationState, edits: readonly ConfigurationEdit[]): ProposalFinding[] {
 	const {workspaces, services, rules} = applyEdits(state, edits);
@@ -82,7 +82,10 @@
 	return [{path: path.map(String).join('.') || 'the proposal', message: issue.message}];
 }
 
-/** How deep the first finding of a branch stands: the branch that matched the furthest is the one that was meant. */
+/**
+ * Returns how deep in the value the first finding of a union branch is. The branch that matched the furthest is most
+ * likely the intended one.
+ */
 function depthOf(issues: readonly z.core.$ZodIssue[]): number {
 	return issues[0]?.path.length ?? 0;
 }
--- a/src/declaration/configuration-at.ts
+++ b/src/declaration/configuration-at.ts
@@ -4,11 +4,11 @@
 import {type ConfigurationChange} from '../shared/types.js';
 
 /**
- * Builds the configuration of an earlier version out of the accepted changes.
+ * Rebuilds the configuration of an earlier version from the accepted changes.
  *
  * @param changes - All accepted changes, oldest first.
- * @param version - The version wanted.
- * @returns The configuration, or why it cannot be built: the version is not there, or the chain of digests is broken.
+ * @param version - The version to rebuild.
+ * @returns The configuration, or why it cannot be rebuilt: the version does not exist, or the chain of digests is broken.
  */
 export function configurationAt(changes: readonly ConfigurationChange[], version: number): Either<string, ConfigurationState> {
 	let state = emptyConfiguration;
--- a/src/declaration/declaration-schema.ts
+++ b/src/declaration/declaration-schema.ts
@@ -1,4 +1,4 @@
-/** The schema of a declaration file, by zod. Unknown keys are refused, so that a misspelt one is never passed over. */
+/** The zod schema of a declaration file. Unknown keys are rejected, so that a misspelt key is reported and not ignored. */
 import {z} from 'zod';
 
 const longestNameCharacters = 63;
@@ -11,7 +11,7 @@
 const priority = z.enum(['urgent', 'normal', 'overnight']);
 const keyDigest = z.string().regex(/^[0-9a-f]{64}$/v, 'must be a SHA-256 digest in hexadecimal; give the digest, never the key');
 
-/** A workspace. */
+/** A workspace with the digests of its keys, its priority and the services that it may use. */
 export const workspaceSchema = z.strictObject({
 	name,
 	keyDigests: z.array(keyDigest).min(1),
@@ -31,7 +31,7 @@
 	paused: z.boolean().default(false),
 };
 
-/** A service: a model, or a plain service. */
+/** A service: either a model or a plain service. */
 export const serviceSchema = z.discriminatedUnion('kind', [
 	z.strictObject({
 		...common, kind: z.literal('model'), model: z.string().min(1), weightVersion: z.string().min(1),
@@ -49,16 +49,16 @@
 	dataCentres: z.array(name).min(1).optional(),
 });
 
-/** The limits that can be declared, each with what it bounds. */
+/** The limits that can be declared, each named after what it bounds. */
 export const knownLimits = ['open-requests', 'open-requests-per-workspace', 'claims-per-second', 'body-bytes'] as const;
 
-/** A limit. */
+/** The value of one of the known limits. */
 export const limitSchema = z.strictObject({
 	name: z.enum(knownLimits),
 	value: z.number().int().positive(),
 });
 
-/** An endpoint that operators drained. No file declares it: it comes and goes by the operators' acts. */
+/** A drained endpoint. Files do not declare drains: operators' commands set and remove them. */
 export const drainSchema = z.strictObject({
 	name: z.string().min(1).max(longestListedNameCharacters),
 	reason: z.string().min(1).max(longestTextCharacters),
@@ -72,5 +72,5 @@
 	limits: z.array(limitSchema).default([]),
 });
 
-/** What a declaration file says, with the defaults filled in. */
+/** The content of a declaration file, with the defaults filled in. */
 export type Declaration = z.infer<typeof declarationSchema>;
--- a/src/declaration/describe-edit.ts
+++ b/src/declaration/describe-edit.ts
@@ -5,7 +5,7 @@
 type Members = Record<string, JsonValue | undefined>;
 
 /**
- * Writes an edit as one line.
+ * Formats an edit as one line.
  *
  * @param edit - The edit.
  * @returns For example `set service permit-model`.
@@ -15,11 +15,11 @@
 }
 
 /**
- * Tells member by member what an edit changes.
+ * Describes member by member what an edit changes.
  *
  * @param state - The configuration before the edit.
  * @param edit - The edit.
- * @returns First `add`, `change` or `remove` with kind and name, then one indented line for each member that differs.
+ * @returns A line with `add`, `change` or `remove`, kind and name, followed by an indented line for each member that differs.
  * @example
  * // ['change workspace quay', '  share: 1 -> 2']
  */
@@ -46,7 +46,7 @@
 		const gone = beforeTexts.filter(text => !afterTexts.includes(text)).map(text => `-${text}`);
 		const come = afterTexts.filter(text => !beforeTexts.includes(text)).map(text => `+${text}`);
 		const told = [...gone, ...come];
-		return [`${name}: ${told.length === 0 ? 'in another order' : told.join(' ')}`];
+		return [`${name}: ${told.length === 0 ? 'order changed' : told.join(' ')}`];
 	}
 
 	return [before === undefined ? `${name}: ${textOf(after)}` : `${name}: ${textOf(before)} -> ${textOf(after)}`];
--- a/src/declaration/find-broken-references.ts
+++ b/src/declaration/find-broken-references.ts
@@ -1,12 +1,12 @@
 import {type ServiceItem, type WorkspaceItem} from '../shared/types.js';
 
-/** Something that a schema cannot say of one item, and where it stands in the declaration. */
+/** An error that the schema of a single item cannot detect, with its path in the declaration. */
 export type BrokenReference = {
 	path: Array<string | number>;
 	message: string;
 };
 
-/** The items among which names are looked up, from files or from a configuration. */
+/** The items whose references are checked, from files or from a configuration. */
 export type ReferringItems = {
 	workspaces: readonly WorkspaceItem[];
 	services: readonly ServiceItem[];
@@ -14,13 +14,13 @@
 };
 
 /**
- * Finds names that nothing declares, and what would make the owner of a key or a model unclear.
+ * Finds references to undeclared names, keys of more than one workspace, and models that a workspace has more than once.
  *
- * A key that two workspaces share would let one act as the other, and a model that two services of a workspace give
- * would be served by whichever stands first; both are refused before they can come into force.
+ * A key that two workspaces share would let one of them act as the other. A model that two services of a workspace offer
+ * would be served by whichever is listed first. Both are rejected before they can come into force.
  *
  * @param declaration - All items together.
- * @returns What is wrong, in the order of the declaration.
+ * @returns The errors, in the order of the declaration.
  */
 export function findBrokenReferences(declaration: ReferringItems): BrokenReference[] {
 	return [...findInWorkspaces(declaration), ...findInRules(declaration)];
@@ -39,7 +39,7 @@
 				found.push({path, message: `no service "${name}" is declared`});
 			} else if (service.kind === 'model') {
 				if (models.has(service.model)) {
-					found.push({path, message: `the workspace has the model "${service.model}" by another service already`});
+					found.push({path, message: `the workspace already has the model "${service.model}" through another service`});
 				}
 
 				models.add(service.model);
--- a/src/declaration/plan-edits.test.ts
+++ b/src/declaration/plan-edits.test.ts
@@ -13,13 +13,13 @@
 }
 
 for (const deployment of ['split', 'lindqvist']) {
-	test(`the declaration of ${deployment} is sound and has ten workspaces`, async () => {
+	test(`the declaration of ${deployment} is valid and has ten workspaces`, async () => {
 		const {workspaces} = await declarationOf(`examples/${deployment}.yaml`);
 		assert.equal(workspaces.length, 10);
 	});
 }
 
-test('a plan tells member by member what changes, leaves drains alone, and a revert undoes it', async () => {
+test('a plan lists the changes member by member and does not touch drains, and a revert undoes it', async () => {
 	const declared = await declarationOf('examples/split.yaml');
 	const drain = {action: 'set', kind: 'drain', item: {name: 'riva-engine-1', reason: 'fan'}} as const;
 	const state = applyEdits(emptyConfiguration, [...planEdits(emptyConfiguration, declared), drain]);
@@ -36,7 +36,7 @@
 	assert.deepEqual(applyEdits(after, planRevert(after, state)), state);
 });
 
-test('a key that two workspaces share is found at the second one', () => {
+test('a key that two workspaces share is reported at the second one', () => {
 	const item = (name: string): string => `  - {name: ${name}, keyDigests: [${'a'.repeat(64)}], services: [s]}\n`;
 	const text = `workspaces:\n${item('one')}${item('two')}services:\n  - {name: s, kind: plain}\n`;
 	const findings = checkDeclaration([{file: 'a.yaml', text}]).swap().orDefault([]);
--- a/src/declaration/plan-edits.ts
+++ b/src/declaration/plan-edits.ts
@@ -3,15 +3,15 @@
 import {type ConfigurationEdit, type ConfigurationItem, type JsonValue} from '../shared/types.js';
 import {type Declaration} from './declaration-schema.js';
 
-/** What files declare. Drains are left out: they come and go by operators' acts, and no plan ends one. */
+/** The kinds of items that files declare. Drains are excluded: operators' commands set and remove them, and no plan does. */
 const kinds = ['workspace', 'service', 'rule', 'limit'] as const;
 
 /**
- * Works out the edits that turn a configuration into a declaration.
+ * Computes the edits that bring a configuration into line with a declaration.
  *
  * @param state - The configuration in force.
- * @param declaration - What is declared; it is the whole wish, so what it leaves out is removed.
- * @returns The edits: first what is set, then what is removed, each in order of kind and name.
+ * @param declaration - The complete declaration: items that it does not list are removed.
+ * @returns The edits: all sets, followed by all removals, each sorted by kind and name.
  */
 export function planEdits(state: ConfigurationState, declaration: Declaration): ConfigurationEdit[] {
 	const wanted: Record<(typeof kinds)[number], Array<{name: string}>> = {
@@ -40,12 +40,12 @@
 }
 
 /**
- * Works out the edits that take a configuration back to what it was.
+ * Computes the edits that restore an earlier configuration.
  *
  * @param state - The configuration in force.
- * @param earlier - An earlier one.
- * @returns The edits; applied they make a new version with the earlier declarations. Drains stay as they are: an
- *   endpoint that is drained now would otherwise get work because of an old version of something else.
+ * @param earlier - The configuration to restore.
+ * @returns The edits, which make a new version with the earlier declarations. Drains stay as they are: otherwise reverting
+ *   an unrelated item could send requests to an endpoint that is drained now.
  */
 export function planRevert(state: ConfigurationState, earlier: ConfigurationState): ConfigurationEdit[] {
 	const sets: ConfigurationEdit[] = [];
