--- a/src/language/ask.ts
+++ b/src/language/ask.ts
@@ -1,22 +1,25 @@
-/** What goes over the operators' HTTP for one line of the language, and what comes back. */
+/** The request and response bodies of `POST /operator/ask`, which executes one line of the operators' language. */
 import {type LanguageError, type Row} from './statement.js';
 
-/** The question. An act is only shown unless `confirmedAgainst` repeats the version that it was shown for. */
+/**
+ * The request. A command is only previewed unless `confirmedAgainst` repeats the version of the configuration that it was
+ * previewed for.
+ */
 export type AskRequest = {
 	statement: string;
-	/** Who asks; needed for acts. */
+	/** The person who sends the statement; required for commands. */
 	author?: string;
 	confirmedAgainst?: number;
 };
 
-/** The answer. */
+/** The answer: a table, the preview or outcome of a command, or errors in the statement. */
 export type AskAnswer
 	= | {kind: 'table'; instance: string; columns: string[]; rows: Row[]; notes: string[]}
-		/** What an act would do; nothing was done. */
+		/** The preview of a command; nothing was done. */
 		| {kind: 'shown'; instance: string; plannedAgainst: number; lines: string[]}
 		| {kind: 'done'; instance: string; lines: string[]}
-		/** The act was not done, and why. */
+		/** The command was not carried out; the lines give the reason. */
 		| {kind: 'not-done'; instance: string; lines: string[]}
-		/** Whether the act was done is not known. */
+		/** It is not known whether the command was carried out. */
 		| {kind: 'unknown'; instance: string; lines: string[]}
 		| {kind: 'error'; errors: LanguageError[]};
--- a/src/language/complete-line.ts
+++ b/src/language/complete-line.ts
@@ -7,8 +7,8 @@
 /**
  * Completes the last word of a line of the operators' language.
  *
- * @param line - What was typed so far.
- * @returns The words that could stand there, and the part of a word that they complete, as `node:readline` wants them.
+ * @param line - The text typed so far.
+ * @returns The matching words, and the partial word that they complete, in the form that `node:readline` expects.
  */
 export function completeLine(line: string): [string[], string] {
 	const words = line.trimStart().split(/\s+/v);
--- a/src/language/evaluate-read.ts
+++ b/src/language/evaluate-read.ts
@@ -1,4 +1,4 @@
-/** Evaluates a reading statement over rows. Nothing here asks or changes anything. */
+/** Evaluates a read statement over rows that the caller supplies. The functions send no requests and change nothing. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {fieldsOfSource} from './sources.js';
 import {
@@ -9,7 +9,7 @@
  * Checks that a statement names only fields that its source has.
  *
  * @param statement - The statement.
- * @returns The statement, or the place of the first unknown field and the fields there are.
+ * @returns The statement, or the column of the first unknown field with the names of all fields.
  */
 export function checkRead(statement: ReadStatement): Either<LanguageError, ReadStatement> {
 	const known: readonly string[] = fieldsOfSource[statement.source];
@@ -21,11 +21,11 @@
 }
 
 /**
- * Evaluates a statement.
+ * Filters, sorts and limits rows as a statement says.
  *
- * @param statement - A statement that `checkRead` passed.
+ * @param statement - A statement that `checkRead` accepted.
  * @param rows - The rows of its source; they are not changed.
- * @returns The rows that meet the condition, in order, within the limit.
+ * @returns The rows that meet the condition, sorted and limited.
  */
 export function evaluateRead(statement: ReadStatement, rows: readonly Row[]): Table {
 	const {where, order, limit = Number.POSITIVE_INFINITY} = statement;
@@ -98,7 +98,7 @@
 	}
 }
 
-/** Numbers compare as numbers, everything else as text; an empty field comes first. */
+/** Compares two numbers as numbers and any other values as text; an empty field sorts first. */
 function compare(left: Row[string], right: Row[string]): number {
 	if (typeof left === 'number' && typeof right === 'number') {
 		return left - right;
--- a/src/language/format-table.ts
+++ b/src/language/format-table.ts
@@ -3,10 +3,10 @@
 const longestCellCharacters = 60;
 
 /**
- * Writes a table for people: a line of column names, and one line a row.
+ * Formats a table as text: a line of column names, followed by one line for each row.
  *
  * @param table - The table.
- * @returns The lines; columns are aligned, and longer cells are cut with "…".
+ * @returns The lines; columns are aligned, and long cells are truncated with "…".
  */
 export function formatTable({columns, rows}: Table): string[] {
 	const cells = rows.map(row => columns.map(column => cellOf(row[column])));
@@ -16,7 +16,7 @@
 }
 
 function cellOf(value: Row[string]): string {
-	// A name that an endpoint gave itself must not move the desk's cursor or colour its lines.
+	// Names come from endpoints. Control characters in them must not move the terminal's cursor or colour its lines.
 	const text = String(value ?? '-').replaceAll(/\p{Cc}/gv, '?');
 	return text.length > longestCellCharacters ? `${text.slice(0, longestCellCharacters - 1)}…` : text;
 }
--- a/src/language/grammar.peggy
+++ b/src/language/grammar.peggy
@@ -3,7 +3,7 @@
 
 Statement = _ statement:(Act / Read) _ { return statement; }
 
-// Reading: SOURCE [where CONDITION] [order by FIELD [desc], …] [limit NUMBER]
+// Read statements: SOURCE [where CONDITION] [order by FIELD [desc], …] [limit NUMBER]
 
 Read = (Show __)? source:Source where:(__ Where _ condition:Or { return condition; })? order:(__ @OrderBy)? limit:(__ @Limit)? {
 	return {kind: 'read', source, where: where ?? undefined, order: order ?? [], limit: limit ?? undefined};
@@ -25,7 +25,7 @@
 Reserved = ("where"i / "order"i / "by"i / "limit"i / "and"i / "or"i / "not"i / "contains"i) !WordCharacter
 Value "a value (a number, a word, or a text in quotes)" = Number / Text / Word
 
-// Acting: VERB TARGET [VERSION] because "REASON"
+// Commands: VERB TARGET [VERSION] because "REASON"
 
 Act = Drain / Admit / Pause / Resume / Cancel / Move
 Drain = "drain"i !WordCharacter __ target:Target reason:Because { return {kind: 'act', verb: 'drain', target, reason}; }
--- a/src/language/language.test.ts
+++ b/src/language/language.test.ts
@@ -26,11 +26,11 @@
 	return evaluateRead(checkRead(statement).unsafeCoerce(), rows).rows.map(({name}) => name);
 }
 
-test('the committed parser is what the grammar gives', () => {
+test('the committed parser matches the grammar', () => {
 	execFileSync(process.execPath, ['scripts/generate-language.mjs', '--check'], {stdio: 'pipe'});
 });
 
-test('where, order by and limit choose and sort rows; numbers compare as numbers', () => {
+test('where, order by and limit select and sort rows; numbers compare as numbers', () => {
 	assert.deepEqual(namesOf('endpoints where running > 9'), ['riva-2']);
 	assert.deepEqual(namesOf('show endpoints where not (service = permits or state = leaving)'), ['luka-1']);
 	assert.deepEqual(namesOf('ENDPOINTS order by running desc, name limit 2'), ['riva-2', 'luka-1']);
@@ -55,7 +55,7 @@
 	});
 }
 
-test('an act on a name that stands for nothing is refused at that name, with the names there are', () => {
+test('a command on an unknown name is rejected at the column of that name, with the known names', () => {
 	const plan = (text: string) => planAct(parseStatement(text).unsafeCoerce() as ActStatement, {state: emptyConfiguration, endpoints: ['riva-1']});
 	assert.deepEqual(plan('drain riva-9 because "fan"').swap().unsafeCoerce(), {column: 7, message: 'there is no endpoint "riva-9"; expected riva-1'});
 	assert.deepEqual(plan('drain riva-1 because "fan"').unsafeCoerce(), {
@@ -63,7 +63,7 @@
 	});
 });
 
-test('completion offers what can stand there', () => {
+test('completion offers the words that are valid at that place', () => {
 	assert.deepEqual(completeLine('en'), [['endpoints'], 'en']);
 	assert.deepEqual(completeLine('endpoints where ru'), [['running'], 'ru']);
 	assert.deepEqual(completeLine('drain riva-1 be'), [['because'], 'be']);
--- a/src/language/parse-statement.ts
+++ b/src/language/parse-statement.ts
@@ -2,7 +2,7 @@
 import {parse} from './generated/parser.js';
 import {type LanguageError, type Statement} from './statement.js';
 
-/** The longest line that is looked at. It bounds the depth of nested conditions, and so the parser's stack. */
+/** The longest line that is parsed. The bound limits the depth of nested conditions, and with it the parser's stack. */
 export const longestStatementCharacters = 1000;
 
 type Expectation = {type: 'literal'; text: string} | {type: 'other'; description: string} | {type: 'class' | 'any' | 'end'};
@@ -15,7 +15,7 @@
  * Parses one line of the operators' language.
  *
  * @param text - The line.
- * @returns The statement, or where it goes wrong and what was expected there.
+ * @returns The statement, or the column of the first error and what was expected there.
  * @example
  * parseStatement('endpoints where state = leaving order by name limit 5');
  */
@@ -35,7 +35,7 @@
 
 		const {offset, column} = location.start;
 		const told = usefulOf(expected ?? []);
-		// At the end of a line only a space may be expected; what must come behind it tells more.
+		// At the end of a line, the parser may expect only a space. The words expected after that space are more useful.
 		const next = told.length === 0 && offset === line.length ? expectedBehind(line) : told;
 		return Left({column, message: `expected ${listOf(next)}, but found ${describeFound(line, offset)}`});
 	}
--- a/src/language/plan-act.ts
+++ b/src/language/plan-act.ts
@@ -1,27 +1,27 @@
-/** Works out what an acting statement would do. Nothing here does it. */
+/** Plans the effect of a command statement, without carrying it out. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type ConfigurationState} from '../protocol/configuration/configuration-state.js';
 import {type ConfigurationEdit, type ServiceItem} from '../shared/types.js';
 import {type ActStatement, type LanguageError, type TargetName} from './statement.js';
 
-/** What an act would do: change the configuration, or cancel one request at the instance that serves it. */
+/** The effect of a command: a change of the configuration, or the cancellation of one request at the instance that serves it. */
 export type ActPlan
 	= | {kind: 'change'; plannedAgainst: number; edits: ConfigurationEdit[]}
 		| {kind: 'cancel'; requestId: string};
 
-/** What is known where the act is planned. */
+/** The state that a command is planned against. */
 export type ActKnowledge = {
 	state: ConfigurationState;
-	/** Names of all endpoints of the platform's list. */
+	/** Names of all endpoints on the platform's list. */
 	endpoints: readonly string[];
 };
 
 /**
- * Plans an act.
+ * Plans a command.
  *
  * @param statement - The statement.
  * @param known - The newest configuration and the endpoints.
- * @returns The plan, or the name in the line that stands for nothing, with the names there are.
+ * @returns The plan, or why the command does not apply: an unknown name, with the known names, or nothing to change.
  */
 export function planAct(statement: ActStatement, known: ActKnowledge): Either<LanguageError, ActPlan> {
 	switch (statement.verb) {
@@ -49,7 +49,7 @@
 }
 
 /**
- * Writes an act in a normal form, for its record.
+ * Formats a command in a normal form, for its record.
  *
  * @param statement - The statement.
  * @returns For example `move permit-1 to w2`.
@@ -106,7 +106,7 @@
 function unknownName(what: string, target: TargetName, known: readonly string[]): LanguageError {
 	const names = [...new Set(known)].toSorted();
 	const shown = names.length > 20 ? `one of ${names.length}, among them ${names.slice(0, 20).join(', ')}` : names.join(', ');
-	return errorAt(target, `there is no ${what} "${target.name}"; expected ${shown === '' ? 'none: there is none' : shown}`);
+	return errorAt(target, `there is no ${what} "${target.name}"; expected ${shown === '' ? 'none, as none exists' : shown}`);
 }
 
 function errorAt({column}: TargetName, message: string): LanguageError {
--- a/src/language/sources.ts
+++ b/src/language/sources.ts
@@ -1,4 +1,4 @@
-/** What the operators' language can read: each source with its fields, in the order in which a table shows them. */
+/** The sources that the operators' language reads, each with its fields in the order of the table's columns. */
 import {type Row, type SourceName} from './statement.js';
 
 /** The fields of each source. docs/LANGUAGE.md lists them. */
@@ -16,10 +16,10 @@
 	acts: ['at', 'author', 'act', 'reason', 'outcome', 'instance'],
 } as const satisfies Record<SourceName, readonly string[]>;
 
-/** The sources that each instance answers for itself; the others are the same wherever they are read. */
+/** The sources for which each instance returns only its own rows; the others give the same rows at every instance. */
 export const sourcesPerInstance: ReadonlySet<SourceName> = new Set(['requests', 'waiting', 'configuration']);
 
-/** The rows of one source at one moment. `notes` tell what could not be read. */
+/** The rows of one source at one time. `notes` name what could not be read. */
 export type SourceSnapshot = {
 	rows: Row[];
 	notes: string[];
--- a/src/language/statement.ts
+++ b/src/language/statement.ts
@@ -1,27 +1,27 @@
-/** What a line of the operators' language says, once parsed. Columns count from 1. */
+/** The parsed form of a line of the operators' language. Columns count from 1. */
 
-/** What can be read. */
+/** A source of rows. */
 export type SourceName = 'endpoints' | 'workspaces' | 'services' | 'requests' | 'waiting' | 'claims' | 'cache' | 'instances' | 'peers' | 'configuration' | 'acts';
 
-/** A field by name, with where it stands in the line. */
+/** The name of a field and its column in the line. */
 export type FieldName = {
 	name: string;
 	column: number;
 };
 
-/** A name that an act is about, with where it stands in the line. */
+/** The name of the target of a command and its column in the line. */
 export type TargetName = FieldName;
 
-/** How a field is compared with a value. */
+/** The comparison of a field with a value. */
 export type ComparisonOperator = '=' | '!=' | '<' | '<=' | '>' | '>=' | 'contains';
 
-/** What a row must meet. */
+/** A condition that a row must meet. */
 export type Condition
 	= | {kind: 'or' | 'and'; left: Condition; right: Condition}
 		| {kind: 'not'; operand: Condition}
 		| {kind: 'comparison'; field: FieldName; operator: ComparisonOperator; value: string | number};
 
-/** A reading statement. */
+/** A statement that reads the rows of a source. */
 export type ReadStatement = {
 	kind: 'read';
 	source: SourceName;
@@ -30,24 +30,24 @@
 	limit?: number;
 };
 
-/** An acting statement. */
+/** A command, with the reason that the operator gives for it. */
 export type ActStatement
 	= | {kind: 'act'; verb: 'drain' | 'admit' | 'pause' | 'resume' | 'cancel'; target: TargetName; reason: string}
 		| {kind: 'act'; verb: 'move'; target: TargetName; version: TargetName; reason: string};
 
 export type Statement = ReadStatement | ActStatement;
 
-/** Why a line cannot be carried out as it stands: where, and what was expected there. */
+/** An error in a line: the column, and what was expected there. */
 export type LanguageError = {
 	column: number;
 	message: string;
 };
 
-/** The answer to a reading statement. */
+/** The answer to a read statement. */
 export type Table = {
 	columns: string[];
 	rows: Row[];
 };
 
-/** One row by field. */
+/** The values of one row by field name. */
 export type Row = Record<string, string | number | boolean | undefined>;
