--- a/src/operator/declaration-commands.ts
+++ b/src/operator/declaration-commands.ts
@@ -1,6 +1,6 @@
 /**
- * The commands on declarations: check, plan, apply, history, show, revert. Each gives the exit status of the program:
- * 0 done, 1 not done, 2 bad input, 3 not known whether it was done.
+ * The commands for declarations: check, plan, apply, history, show, revert. Each returns the exit status of the program:
+ * 0 done, 1 not done, 2 invalid input, 3 unknown whether it was done.
  */
 import {readFile} from 'node:fs/promises';
 import {type Either, Left} from 'purify-ts/Either';
@@ -18,25 +18,25 @@
 export const failedExitCode = 1;
 export const unknownExitCode = 3;
 
-/** Writes results and problems; the command line writes to the standard streams. */
+/** Receives results and problems; the command line writes them to standard output and standard error. */
 export type CommandOutput = {
 	line(text: string): void;
 	problem(text: string): void;
 };
 
-/** Who changes something, and why. */
+/** The author of a change and the reason for it. */
 export type Authorship = {
 	author: string;
 	reason: string;
 };
 
-/** What `apply` needs beside the files. */
+/** The options of `apply` besides the files. */
 export type ApplyOptions = Authorship & {
-	/** The version that the plan was made against; absent for the newest one. */
+	/** The version that the plan was made against; the newest one if absent. */
 	plannedAgainst?: number;
 };
 
-/** Reads and checks files; those that cannot be read are findings too. */
+/** Reads and checks files. A file that cannot be read is reported as a finding. */
 async function readDeclaration(paths: readonly string[]): Promise<Either<Finding[], Declaration>> {
 	const files: DeclarationFile[] = [];
 	const unreadable: Finding[] = [];
@@ -64,7 +64,7 @@
 	return badUsageExitCode;
 }
 
-/** `savorygauge check FILE…` */
+/** Runs `savorygauge check FILE…`. */
 export async function runCheck(paths: readonly string[], output: CommandOutput): Promise<number> {
 	const declaration = await readDeclaration(paths);
 	return declaration.caseOf({
@@ -76,7 +76,7 @@
 	});
 }
 
-/** `savorygauge plan FILE…` */
+/** Runs `savorygauge plan FILE…`. */
 export async function runPlan(paths: readonly string[], client: OperatorClient, output: CommandOutput): Promise<number> {
 	const declaration = await readDeclaration(paths);
 	if (declaration.isLeft()) {
@@ -88,13 +88,13 @@
 	output.line(`planned against version ${state.version}: ${edits.length} edits`);
 	showEdits(state, edits, output);
 	if (edits.length > 0) {
-		output.line(`to bring exactly this into force, give apply --against ${state.version}`);
+		output.line(`to apply exactly this plan, use apply --against ${state.version}`);
 	}
 
 	return 0;
 }
 
-/** `savorygauge apply FILE…` */
+/** Runs `savorygauge apply FILE…`. */
 export async function runApply(paths: readonly string[], options: ApplyOptions, client: OperatorClient, output: CommandOutput): Promise<number> {
 	const declaration = await readDeclaration(paths);
 	if (declaration.isLeft()) {
@@ -124,7 +124,7 @@
 	}), output);
 }
 
-/** `savorygauge revert VERSION` */
+/** Runs `savorygauge revert VERSION`. */
 export async function runRevert(version: number, authorship: Authorship, client: OperatorClient, output: CommandOutput): Promise<number> {
 	const changes = await client.changes(0, version);
 	const earlier = configurationAt(changes, version);
@@ -144,7 +144,7 @@
 	return reportAnswer(await client.propose({plannedAgainst: state.version, edits, ...authorship}), output);
 }
 
-/** `savorygauge history` */
+/** Runs `savorygauge history`. */
 export async function runHistory(client: OperatorClient, output: CommandOutput): Promise<number> {
 	for (const change of await client.changes()) {
 		output.line(formatChange(change));
@@ -153,7 +153,7 @@
 	return 0;
 }
 
-/** `savorygauge show VERSION` */
+/** Runs `savorygauge show VERSION`. */
 export async function runShow(version: number, client: OperatorClient, output: CommandOutput): Promise<number> {
 	const [change] = await client.changes(version - 1, version);
 	if (change === undefined) {
@@ -201,7 +201,7 @@
 		}
 
 		case 'outcome-unknown': {
-			output.problem(`it is not known whether this was accepted (${answer.detail}); look at history before you try again`);
+			output.problem(`it is not known whether this was accepted (${answer.detail}); check the history before you try again`);
 			return unknownExitCode;
 		}
 	}
--- a/src/operator/main.ts
+++ b/src/operator/main.ts
@@ -33,14 +33,14 @@
 };
 
 const program = new Command('savorygauge')
-	.description('Checks, plans and applies declarations, shows what is in force, and asks and acts by the query language.')
+	.description('Checks, plans and applies declarations, shows what is in force, and runs statements of the query language.')
 	.version(programVersion)
 	.exitOverride(error => {
 		process.exit(error.exitCode === 0 ? 0 : badUsageExitCode);
 	});
 addSettingFlags(program, operatorSettingDefinitions);
 
-/** What was given to a command, checked; findings are collected and reported together. */
+/** Checks the arguments and flags of a command, and collects the findings to report them together. */
 class CheckedInput {
 	readonly #findings: Finding[];
 
@@ -48,7 +48,7 @@
 		this.#findings = findLeftOver(command, expectedCount);
 	}
 
-	/** Notes the finding of a check. The value is read by `valueOf` after `endCheck` found nothing. */
+	/** Collects the findings of a check. Read the value only after `exitOnFindings` has returned. */
 	take<Value>(checked: Either<Finding | Finding[], Value>): Either<unknown, Value> {
 		checked.ifLeft(found => {
 			this.#findings.push(...[found].flat());
@@ -89,7 +89,7 @@
 		return this.clients().map(clients => clients[0]!);
 	}
 
-	/** Reports all findings and ends the process if there are any. */
+	/** Reports the findings and ends the process, if there are any. */
 	endCheck(): void {
 		if (this.#findings.length > 0) {
 			exitWithFindings(this.#findings);
@@ -118,7 +118,7 @@
 	.allowExcessArguments()
 	.configureHelp({optionTerm: option => option.flags.replace('[', '<').replace(']', '>')});
 const addAuthorship = (command: Command): Command => command
-	.option('--reason [text]', 'why; it stands in the history')
+	.option('--reason [text]', 'why; recorded in the history')
 	.addOption(new Option('--author [name]', 'who').default(userInfo().username));
 
 addCommand('check [file...]', 'check declaration files; all findings are reported with file, line and column')
@@ -134,7 +134,7 @@
 		const client = input.client();
 		await finish(input, async () => runPlan(files, client.unsafeCoerce(), output));
 	});
-addAuthorship(addCommand('apply [file...]', 'bring the files into force, unless others changed something since the plan'))
+addAuthorship(addCommand('apply [file...]', 'bring the files into force, unless the configuration has changed since the plan'))
 	.option('--against [version]', 'version that the plan was made against')
 	.action(async (_files, options: {against?: string}, command: Command) => {
 		const input = new CheckedInput(command, manyFiles);
@@ -170,14 +170,14 @@
 	});
 const addDesk = (command: Command): Command => command
 	.option('--json', 'print JSON for programs in place of tables for people')
-	.addOption(new Option('--author [name]', 'who; it stands in the record of acts').default(userInfo().username));
+	.addOption(new Option('--author [name]', 'who; recorded with each command').default(userInfo().username));
 const deskOptionsOf = (input: CheckedInput): Either<unknown, DeskOptions> => {
 	const {json = false, yes = false} = input.command.opts<{json?: boolean; yes?: boolean}>();
 	return input.flag('author', parseText).map(author => ({author, json, yes}));
 };
 
-addDesk(addCommand('ask [statement]', 'read or act by one line of the query language; see docs/LANGUAGE.md'))
-	.option('--yes', 'do an act at once after it was shown')
+addDesk(addCommand('ask [statement]', 'run one statement of the query language, a read or a command; see docs/LANGUAGE.md'))
+	.option('--yes', 'carry out a command without confirmation')
 	.action(async (_statement, _options, command: Command) => {
 		const input = new CheckedInput(command, 1);
 		const statement = input.take(checkText('STATEMENT', command.args.find(argument => !argument.startsWith('-')), parseText));
@@ -185,7 +185,7 @@
 		const clients = input.clients();
 		await finish(input, async () => new Desk(clients.unsafeCoerce(), options.unsafeCoerce(), output).ask(statement.unsafeCoerce(), confirmerOf()));
 	});
-addDesk(addCommand('prompt', 'read and act line by line, with history and completion by the tab key'))
+addDesk(addCommand('prompt', 'run statements line by line, with history and completion by the tab key'))
 	.action(async (_options, command: Command) => {
 		const input = new CheckedInput(command, 0);
 		const options = deskOptionsOf(input);
--- a/src/operator/operator-client.ts
+++ b/src/operator/operator-client.ts
@@ -1,4 +1,4 @@
-/** Talks to the operators' HTTP of one entry. */
+/** A client for the operators' HTTP interface of one entry. */
 import {
 	describeError, exchangeJson, failedBeforeAnyByte, type JsonAnswer,
 } from '../adapters/http-client.js';
@@ -18,7 +18,7 @@
 		| {kind: 'bad-proposal'; findings: ProposalFinding[]}
 		| {kind: 'unavailable' | 'outcome-unknown'; detail: string};
 
-/** Thrown when the entry refuses or cannot be reached. */
+/** Thrown when a request fails or the entry refuses it. */
 export class OperatorClientError extends Error {
 	override readonly name = 'OperatorClientError';
 }
@@ -48,7 +48,7 @@
 		this.#key = key;
 	}
 
-	/** The newest accepted configuration, or the one in force at this entry while the table service is away. */
+	/** Returns the newest accepted configuration, or the one in force at this entry while the table service is unavailable. */
 	async configuration(): Promise<ConfigurationState> {
 		const body = await this.#get('/operator/configuration?newest=true') as unknown as ConfigurationBody;
 		return {
@@ -62,16 +62,16 @@
 		};
 	}
 
-	/** The newest accepted version. */
+	/** Returns the newest accepted version. */
 	async head(): Promise<ConfigurationHead> {
 		return await this.#get('/operator/configuration/head') as unknown as ConfigurationHead;
 	}
 
 	/**
-	 * The accepted changes behind a version, oldest first.
+	 * Returns the accepted changes after a version, oldest first.
 	 *
-	 * @param after - The version before the first one wanted; 0 for all.
-	 * @param last - The last version wanted; absent for all.
+	 * @param after - The version before the first one to return; 0 for all.
+	 * @param last - The last version to return; all if absent.
 	 */
 	async changes(after = 0, last = Number.POSITIVE_INFINITY): Promise<ConfigurationChange[]> {
 		const all: ConfigurationChange[] = [];
@@ -88,14 +88,14 @@
 		return all.filter(({version}) => version <= last);
 	}
 
-	/** Asks for a change. */
+	/** Proposes a change of the configuration. */
 	async propose(proposal: ConfigurationProposal): Promise<ProposalAnswer> {
 		let answer: JsonAnswer;
 		try {
 			answer = await this.exchange('POST', '/operator/configuration/changes', proposal);
 		} catch (error) {
-			// Once a byte has left, the change may have been accepted though its answer is missing; saying that it was
-			// not would have an operator apply it twice.
+			// Once a byte was sent, the change may have been accepted although its answer is missing. Reporting it as not
+			// accepted would lead an operator to apply it twice.
 			const {cause} = (error as OperatorClientError);
 			if (cause === undefined || failedBeforeAnyByte(cause)) {
 				throw error;
@@ -116,7 +116,7 @@
 		throw new OperatorClientError(`the entry answered ${status}`);
 	}
 
-	/** Makes any exchange with the entry; a refused key is an error. */
+	/** Sends a request to the entry and returns the answer with any status but 401: a rejected key is an error. */
 	async exchange(method: 'GET' | 'POST', path: string, body?: JsonValue): Promise<JsonAnswer> {
 		const answer = await this.#send(method, path, body);
 		if (answer.status === 401) {
@@ -136,7 +136,7 @@
 				timeoutMilliseconds,
 			});
 		} catch (error) {
-			throw new OperatorClientError(`${this.address} cannot be asked: ${describeError(error)}`, {cause: error});
+			throw new OperatorClientError(`the request to ${this.address} failed: ${describeError(error)}`, {cause: error});
 		}
 	}
 
--- a/src/operator/run-prompt.ts
+++ b/src/operator/run-prompt.ts
@@ -1,11 +1,11 @@
-/** The interactive prompt: one line of the query language after the other, with history and completion. */
+/** The interactive prompt, which executes lines of the query language, with history and completion. */
 import process from 'node:process';
 import {createInterface, type Interface} from 'node:readline/promises';
 import {completeLine} from '../language/complete-line.js';
 import {fieldsOfSource} from '../language/sources.js';
 import {type Confirm, type Desk} from './desk.js';
 
-/** Where the prompt reads and writes. */
+/** The streams of the prompt. */
 export type PromptStreams = {
 	input: NodeJS.ReadableStream;
 	output: NodeJS.WritableStream;
@@ -16,9 +16,9 @@
 /**
  * Runs the prompt until `exit` or the end of the input.
  *
- * @param desk - Carries out the lines.
- * @param streams - Where to read and write.
- * @returns The exit status: that of the last line, so that a script of lines can be checked.
+ * @param desk - The console that executes the lines.
+ * @param streams - The input and output of the prompt.
+ * @returns The exit status of the last line, so that a script that pipes lines in can check it.
  */
 export async function runPrompt(desk: Desk, streams: PromptStreams): Promise<number> {
 	const reader = createInterface({...streams, completer: completeLine, prompt: 'savorygauge> '});
@@ -49,15 +49,15 @@
 		}
 
 		if (line === 'help') {
-			desk.output.line(`read: ${Object.keys(fieldsOfSource).join(', ')} [where …] [order by …] [limit …]`);
-			desk.output.line('act: drain, admit, pause, resume, cancel NAME, move MODEL to VERSION, each with because "reason"');
+			desk.output.line(`to read: ${Object.keys(fieldsOfSource).join(', ')} [where …] [order by …] [limit …]`);
+			desk.output.line('commands: drain, admit, pause, resume, cancel NAME, move MODEL to VERSION, each with because "reason"');
 		} else if (line !== '') {
 			status = await desk.ask(line, confirm);
 		}
 	}
 }
 
-/** Asks on the terminal; without one nobody can confirm. */
+/** Asks for confirmation on the terminal. Without a terminal, nothing is confirmed. */
 export function confirmerOf(): Confirm {
 	return async () => {
 		if (!process.stdin.isTTY) {
