--- a/src/timeline/collector.ts
+++ b/src/timeline/collector.ts
@@ -1,6 +1,6 @@
 /**
- * Collects the events of all processes over TCP frames, and answers readers over the same listener. All it keeps is
- * bounded; what a slow follower cannot take is skipped and counted.
+ * Collects the events of all processes over TCP frames, and answers readers on the same listener. Its memory is bounded:
+ * events that a slow follower cannot receive in time are skipped and counted.
  */
 import {once} from 'node:events';
 import {
@@ -30,8 +30,8 @@
 	readonly #sockets = new Set<Socket>();
 
 	/**
-	 * @param store - Where the events are kept.
-	 * @param onBatch - Called with each batch after the store took it.
+	 * @param store - Holds the collected events.
+	 * @param onBatch - Called with each batch after it was added to the store.
 	 */
 	constructor(store: EventStore, onBatch: (batch: TimelineBatch) => void) {
 		this.#store = store;
@@ -42,14 +42,14 @@
 		this.#server.maxConnections = mostConnections;
 	}
 
-	/** Starts to listen. Resolves with `IP:port`. */
+	/** Starts to listen. Resolves with the address as `IP:port`. */
 	async listen(host: string, port: number): Promise<string> {
 		this.#server.listen(port, host);
 		await once(this.#server, 'listening');
 		return `${host}:${(this.#server.address() as AddressInfo).port}`;
 	}
 
-	/** Ends all connections. */
+	/** Stops listening and ends all connections. */
 	async close(): Promise<void> {
 		this.#server.close();
 		for (const socket of this.#sockets) {
@@ -97,7 +97,7 @@
 
 	async #answer(socket: Socket, query: TimelineQuery): Promise<void> {
 		const events = this.#store.events(query.query);
-		// Following starts with the snapshot, so that no event falls between the two.
+		// The follower is registered together with the snapshot, so that it misses no event between the two.
 		const follower = {socket, query, skipped: 0};
 		if (query.follow) {
 			this.#followers.add(follower);
@@ -116,7 +116,7 @@
 		}
 	}
 
-	/** Writes a reply, and waits while the reader is behind. */
+	/** Writes a reply, and waits until the reader has caught up or disconnected. */
 	async #reply(socket: Socket, {events, isComplete}: Pick<TimelineReply, 'events' | 'isComplete'>): Promise<void> {
 		const reply: TimelineReply = {
 			events, missing: isComplete ? this.#store.missing() : [], skipped: 0, isComplete,
@@ -133,7 +133,7 @@
 				continue;
 			}
 
-			// A follower that does not read would make this process keep all events for it. It gets a count instead.
+			// Buffering for a follower that does not read would use unbounded memory, so its events are only counted.
 			if (follower.socket.writableNeedDrain) {
 				follower.skipped += wanted.length;
 				continue;
--- a/src/timeline/draw-svg.ts
+++ b/src/timeline/draw-svg.ts
@@ -6,9 +6,9 @@
 const left = 120;
 
 /**
- * Draws a request's way as SVG: one vertical line a process, one row a step, arrows between the lines.
+ * Draws the trace of a request as SVG: one vertical line for each process, one row for each step, arrows between the lines.
  *
- * @param way - The way.
+ * @param way - The trace.
  * @returns The SVG document.
  */
 export function drawSvg(way: RequestWay): string {
@@ -31,10 +31,10 @@
 }
 
 /**
- * Wraps the drawing of a way in an HTML page.
+ * Wraps the drawing of a trace in an HTML page.
  *
- * @param way - The way.
- * @returns The page; it loads nothing from elsewhere.
+ * @param way - The trace.
+ * @returns The page, which loads no other resources.
  */
 export function drawHtml(way: RequestWay): string {
 	return `<!doctype html>\n<html lang="en"><head><meta charset="utf-8"><title>request ${escapeXml(way.requestId)}</title></head>\n<body>\n${drawSvg(way)}\n</body></html>`;
@@ -55,7 +55,7 @@
 	return left + (index * laneWidth) + (laneWidth / 2);
 }
 
-/** Names and details come from other processes; none may end the drawing's own markup. */
+/** Escapes text for XML. Names and details come from other processes and must not break out of the drawing's markup. */
 function escapeXml(text: string): string {
 	return text
 		.replaceAll('&', '&amp;')
--- a/src/timeline/draw-text.ts
+++ b/src/timeline/draw-text.ts
@@ -4,9 +4,9 @@
 const leastLaneWidth = 14;
 
 /**
- * Draws a request's way as text: one lane a process, one line a step, arrows between lanes.
+ * Draws the trace of a request as text: one lane for each process, one line for each step, arrows between lanes.
  *
- * @param way - The way.
+ * @param way - The trace.
  * @returns The lines.
  */
 export function drawText(way: RequestWay): string[] {
--- a/src/timeline/event-store.ts
+++ b/src/timeline/event-store.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps the newest events, and counts those that are missing. Each process start numbers its events from 1 without
- * holes, so a hole in what arrived is a lost event.
+ * Holds the newest events, and counts missing ones. Each start of a process numbers its events from 1 without gaps, so a gap
+ * in the received numbers means that events were lost.
  */
 import {type TimelineEvent} from '../observability/timeline-event.js';
 import {type TimelineBatch} from '../observability/timeline-sender.js';
 import {matchesFilter} from './matches-filter.js';
 import {type EventFilter, type MissingEvents} from './timeline-messages.js';
 
-/** How far the store may grow over its limit before it is cut, so that it is not copied for every batch. */
+/** How far the store may exceed its limit before it is trimmed, so that it is not copied for every batch. */
 const slackShare = 0.1;
 const mostProcessStarts = 10_000;
 
@@ -15,7 +15,7 @@
 	instance: string;
 	program: string;
 	dropped: number;
-	/** Events that arrived, and the highest number among them. */
+	/** The number of received events, and the highest sequence number among them. */
 	received: number;
 	highest: number;
 };
@@ -25,12 +25,12 @@
 	readonly #starts = new Map<string, ProcessStart>();
 	#events: TimelineEvent[] = [];
 
-	/** @param limit - How many events are kept. */
+	/** @param limit - The number of events that are retained. */
 	constructor(limit: number) {
 		this.#limit = limit;
 	}
 
-	/** Takes a batch of one process. */
+	/** Adds a batch of events from one process. */
 	take(batch: TimelineBatch): void {
 		this.#events.push(...batch.events);
 		if (this.#events.length > this.#limit * (1 + slackShare)) {
@@ -42,12 +42,12 @@
 		}
 	}
 
-	/** The kept events that pass a filter, in order of time. Events of one process stay in its own order. */
+	/** Returns the retained events that pass a filter, by time. Events of one process with equal times stay in its order. */
 	events(filter: EventFilter = {}): TimelineEvent[] {
 		return orderEvents(this.#events.filter(event => matchesFilter(event, filter)));
 	}
 
-	/** What is missing, by process start; processes with nothing missing are left out. */
+	/** Returns the numbers of missing events for each process start that misses any. */
 	missing(): MissingEvents[] {
 		return [...this.#starts.values()]
 			.map(({instance, program, dropped, received, highest}) => ({
@@ -72,10 +72,10 @@
 }
 
 /**
- * Puts events in order of time.
+ * Sorts events by time.
  *
  * @param events - Events of any processes; the array is not changed.
- * @returns The events by time, and by sequence where the times are equal.
+ * @returns The events sorted by time, and by sequence number where the times are equal.
  */
 export function orderEvents(events: readonly TimelineEvent[]): TimelineEvent[] {
 	return events.toSorted((left, right) => left.at - right.at || left.sequence - right.sequence);
--- a/src/timeline/format-event.ts
+++ b/src/timeline/format-event.ts
@@ -1,10 +1,10 @@
 import {type TimelineEvent} from '../observability/timeline-event.js';
 
 /**
- * Writes an event as one line.
+ * Formats an event as one line.
  *
  * @param event - The event.
- * @returns Time, instance, kind, and the cause as `name=value`.
+ * @returns Time, instance and kind, followed by each other known value as `name=value`.
  */
 export function formatEvent(event: TimelineEvent): string {
 	const {
--- a/src/timeline/main.ts
+++ b/src/timeline/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `savorygauge-timeline`: collects the events of all processes, follows them live, and draws a request's way. */
+/** `savorygauge-timeline`: collects the events of all processes, prints them live, and draws the trace of a request. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {
@@ -21,9 +21,9 @@
 };
 
 const program = new Command('savorygauge-timeline')
-	.description('Collects the events of all processes into one time line, follows it, and draws one request\'s way.')
+	.description('Collects the events of all processes into one time line, follows it, and draws the trace of a request.')
 	.usage('[options] [collect | read | follow | draw]')
-	.argument('[command]', 'collect: take events and print them (the default); read: print what a collector or file has; follow: go on printing; draw: draw one request\'s way')
+	.argument('[command]', 'collect: receive and print events (the default); read: print the events of a collector or file; follow: print events as they arrive; draw: draw the trace of a request')
 	.version(programVersion)
 	.exitOverride(error => {
 		process.exit(error.exitCode === 0 ? 0 : badUsageExitCode);
--- a/src/timeline/matches-filter.ts
+++ b/src/timeline/matches-filter.ts
@@ -2,11 +2,11 @@
 import {type EventFilter} from './timeline-messages.js';
 
 /**
- * Tells whether an event passes a filter.
+ * Checks whether an event passes a filter.
  *
  * @param event - The event.
- * @param filter - What is wanted; an absent or empty member lets all pass.
- * @returns True if every member that is given matches.
+ * @param filter - The filter; an absent or empty member lets every event pass.
+ * @returns True if every given member matches.
  */
 export function matchesFilter(event: TimelineEvent, filter: EventFilter): boolean {
 	const matches = (wanted: string | undefined, value: string | undefined): boolean => wanted === undefined || wanted === '' || wanted === value;
--- a/src/timeline/read-collector.test.ts
+++ b/src/timeline/read-collector.test.ts
@@ -8,9 +8,9 @@
 import {readCollector} from './read-collector.js';
 import {type TimelineQuery} from './timeline-messages.js';
 
-test('a time line that breaks off is an error for its reader, however the connection ends', async t => {
-	// An operator looks at the way of a request and misses its end. The collector dies behind a reply that is not the last
-	// one, or in the middle of the last one; what came must not look like all there is.
+test('a time line that is cut off is an error for its reader, however the connection ends', async t => {
+	// An operator reads the trace of a request, and the collector dies after a reply that is not the last one, or in the
+	// middle of the last one. The events received so far must not be taken for the whole trace.
 	const first = encodeFrame({
 		events: [], missing: [], skipped: 0, isComplete: false,
 	});
@@ -37,13 +37,13 @@
 });
 
 for (const [name, bytes] of Object.entries({
-	'says nothing': Buffer.alloc(0),
+	'sends nothing': Buffer.alloc(0),
 	'stops within a reply': encodeFrame({
 		events: [], missing: [], skipped: 0, isComplete: true,
 	}).subarray(0, -1),
 })) {
 	test(`a collector that ${name} is an error for its reader`, async t => {
-		// Guards against operators and scripts that wait for good on a collector that hangs.
+		// Guards against operators and scripts that wait forever for a collector that hangs.
 		const server = await startScriptedServer(t, socket => {
 			socket.write(bytes);
 		});
--- a/src/timeline/read-collector.ts
+++ b/src/timeline/read-collector.ts
@@ -5,16 +5,16 @@
 import {type TimelineQuery, type TimelineReply} from './timeline-messages.js';
 
 const connectMilliseconds = 3000;
-/** A collector answers from memory; one that sends nothing for so long before it is complete hangs. */
+/** A collector answers from memory. One that sends nothing for this long before its answer is complete counts as hanging. */
 const idleTimeoutMilliseconds = 5000;
 
 /**
- * Asks a running collector.
+ * Queries a running collector.
  *
  * @param address - `IP:port` of the collector.
- * @param query - Which events, and whether to follow.
+ * @param query - The filter for events, and whether to follow.
  * @returns The replies as they arrive; without `follow` they end with the complete one.
- * @throws An error when the collector cannot be reached, sends what is no reply, hangs, or ends before it was complete.
+ * @throws If the collector cannot be reached, sends an invalid reply, hangs, or disconnects before the complete reply.
  */
 export async function * readCollector(address: string, query: TimelineQuery): AsyncGenerator<TimelineReply> {
 	const separator = address.lastIndexOf(':');
@@ -29,13 +29,13 @@
 	for await (const bytes of socket as AsyncIterable<Uint8Array>) {
 		const replies = reader.read(Buffer.from(bytes));
 		if (replies.isLeft()) {
-			throw new Error(`${address} is no collector of the time line`);
+			throw new Error(`${address} is not a collector of the time line`);
 		}
 
 		for (const reply of replies.extract() as TimelineReply[]) {
 			isComplete ||= reply.isComplete;
 			if (isComplete) {
-				// Whoever follows waits for events, of which there may be none for hours.
+				// A follower waits for new events, and none may arrive for hours.
 				socket.setTimeout(0);
 			}
 
--- a/src/timeline/request-way.ts
+++ b/src/timeline/request-way.ts
@@ -1,8 +1,8 @@
-/** One request's way over the processes, worked out from its events. */
+/** The trace of one request across the processes, built from its events. */
 import {type TimelineEvent} from '../observability/timeline-event.js';
 import {orderEvents} from './event-store.js';
 
-/** One step on the way. An arrow goes between two lanes; a step without `to` stays on its lane. */
+/** One step of a trace: an arrow between two lanes, or, without `to`, a point on one lane. */
 export type WayStep = {
 	afterMilliseconds: number;
 	from: string;
@@ -11,7 +11,7 @@
 	isFailure: boolean;
 };
 
-/** The way: its lanes in order of appearance (`caller` first), and its steps in order of time. */
+/** The trace of a request: its lanes in order of appearance (`caller` first), and its steps in order of time. */
 export type RequestWay = {
 	requestId: string;
 	workspace: string;
@@ -20,17 +20,17 @@
 	steps: WayStep[];
 };
 
-/** Kinds whose arrow comes back from the endpoint. */
+/** Kinds whose arrow points from the endpoint to the instance. */
 const answerKinds: ReadonlySet<string> = new Set(['first-token', 'attempt-failed', 'order-refused', 'piece-read', 'claim-answered']);
 const failureKinds: ReadonlySet<string> = new Set(['request-refused', 'attempt-failed', 'order-refused', 'request-cancelled']);
 const callerLane = 'caller';
 
 /**
- * Works out the way of a request.
+ * Builds the trace of a request.
  *
- * @param requestId - The request.
- * @param events - Its events from all processes, in any order.
- * @returns The way, or `undefined` if there is no event of the request.
+ * @param requestId - The ID of the request.
+ * @param events - Events from all processes, in any order.
+ * @returns The trace, or `undefined` if no event belongs to the request.
  */
 export function requestWayOf(requestId: string, events: readonly TimelineEvent[]): RequestWay | undefined {
 	const ordered = orderEvents(events.filter(event => event.requestId === requestId));
--- a/src/timeline/saved-events.ts
+++ b/src/timeline/saved-events.ts
@@ -1,4 +1,4 @@
-/** Events in a file, one JSON object a line. */
+/** Saves events to a file and reads them back, one JSON object on each line. */
 import {createReadStream, createWriteStream, type WriteStream} from 'node:fs';
 import {createInterface} from 'node:readline';
 import {type TimelineEvent} from '../observability/timeline-event.js';
@@ -8,18 +8,21 @@
 const bufferLimitBytes = 16_777_216;
 const mostEventsRead = 1_000_000;
 
-/** Appends events to a file. A disk that is too slow or full costs events, which are counted, and never memory. */
+/** Appends events to a file. If the disk is too slow or full, events are dropped and counted instead of using up memory. */
 export class EventSaver {
 	readonly #stream: WriteStream;
 	#notSaved = 0;
 
-	/** @param path - The file; it is appended to. */
+	/**
+	 * @param path - The file; events are appended to it.
+	 * @param onError - Called when the file cannot be written.
+	 */
 	constructor(path: string, onError: (error: Error) => void) {
 		this.#stream = createWriteStream(path, {flags: 'a'});
 		this.#stream.on('error', onError);
 	}
 
-	/** How many events could not be saved. */
+	/** The number of events that could not be saved. */
 	get notSaved(): number {
 		return this.#notSaved;
 	}
@@ -40,10 +43,10 @@
 	}
 }
 
-/** What a saved file gave. */
+/** The content of a saved file. */
 export type SavedEvents = {
 	events: TimelineEvent[];
-	/** Numbers of lines that are no events, for example one that was cut off. */
+	/** Numbers of the lines that are not events, for example of one that was cut off. */
 	badLines: number[];
 };
 
@@ -51,9 +54,9 @@
  * Reads a saved file.
  *
  * @param path - The file.
- * @param filter - Which events are wanted.
+ * @param filter - Which events to return.
  * @returns At most a million events that pass the filter.
- * @throws The error of the file system.
+ * @throws The error of the file system if the file cannot be read.
  */
 export async function readSavedEvents(path: string, filter: EventFilter): Promise<SavedEvents> {
 	const saved: SavedEvents = {events: [], badLines: []};
--- a/src/timeline/timeline-commands.ts
+++ b/src/timeline/timeline-commands.ts
@@ -15,20 +15,20 @@
 
 export const timelineCommands = ['collect', 'read', 'follow', 'draw'] as const;
 
-/** What the program does. */
+/** The name of a command. */
 export type TimelineCommand = (typeof timelineCommands)[number];
 
-/** Writes results and problems; the program writes to the standard streams. */
+/** Receives results and problems; the program writes them to standard output and standard error. */
 export type TimelineOutput = {
 	line(text: string): void;
 	problem(text: string): void;
 };
 
 /**
- * Checks that the settings suit the command.
+ * Checks that the settings fit the command.
  *
  * @param command - The command.
- * @param settings - The settings, each sound by itself.
+ * @param settings - The settings, each valid by itself.
  * @returns All findings.
  */
 export function checkCommand(command: TimelineCommand, settings: TimelineSettings): Finding[] {
@@ -94,7 +94,7 @@
 	}
 }
 
-/** Prints events of a collector or a file. Gives the exit status. */
+/** Prints the events of a collector or a file. Resolves with the exit status. */
 export async function read(settings: TimelineSettings, output: TimelineOutput): Promise<number> {
 	const {events, problems} = await eventsOf(settings, filterOf(settings));
 	for (const event of orderEvents(events)) {
@@ -108,7 +108,7 @@
 	return 0;
 }
 
-/** Prints the events of a collector as they arrive, after those that it keeps. Ends only with the collector. */
+/** Prints the events that a collector holds and new ones as they arrive. Throws when the connection to the collector ends. */
 export async function follow(settings: TimelineSettings, output: TimelineOutput): Promise<void> {
 	let told = '';
 	for await (const reply of readCollector(settings.collector, {query: filterOf(settings), follow: true})) {
@@ -125,7 +125,7 @@
 	}
 }
 
-/** Draws one request's way over all processes. Gives the exit status. */
+/** Draws the trace of a request across all processes. Resolves with the exit status. */
 export async function draw(settings: TimelineSettings, output: TimelineOutput): Promise<number> {
 	const {events, problems} = await eventsOf(settings, {request: settings.request});
 	for (const problem of problems) {
@@ -134,7 +134,7 @@
 
 	const way = requestWayOf(settings.request, events);
 	if (way === undefined) {
-		output.problem(`there is no event of the request ${settings.request}`);
+		output.problem(`there are no events of the request ${settings.request}`);
 		return 1;
 	}
 
@@ -154,7 +154,7 @@
 	if (file !== '') {
 		const {events, badLines} = await readSavedEvents(file, filter);
 		const shown = badLines.slice(0, 10).join(', ');
-		return {events, problems: badLines.length === 0 ? [] : [`${file}: ${badLines.length} lines are no events: ${shown}`]};
+		return {events, problems: badLines.length === 0 ? [] : [`${file}: ${badLines.length} lines are not events: ${shown}`]};
 	}
 
 	const events: SavedEvents['events'] = [];
--- a/src/timeline/timeline-messages.ts
+++ b/src/timeline/timeline-messages.ts
@@ -1,4 +1,4 @@
-/** What goes over the collector's TCP frames. A sender sends batches; a reader sends one query and gets replies. */
+/** The messages in the collector's TCP frames. A sender sends batches; a reader sends one query and receives replies. */
 import {z} from 'zod';
 import {type TimelineEvent} from '../observability/timeline-event.js';
 import {type TimelineBatch} from '../observability/timeline-sender.js';
@@ -7,7 +7,7 @@
 const mostEventsInBatch = 10_000;
 
 const text = z.string().max(longestTextCharacters);
-// The kind is any word: a process of the next release, side by side with this collector, may know more kinds.
+// Any kind is accepted: during an upgrade, processes of the next release may send kinds that this collector does not know.
 const event = z.object({
 	kind: text,
 	at: z.number(),
@@ -37,7 +37,7 @@
 });
 const query = z.object({query: filter, follow: z.boolean().default(false)});
 
-/** Which events to give; an absent member lets all pass. */
+/** Which events to return; an absent member lets every event pass. */
 export type EventFilter = {
 	request?: string | undefined;
 	workspace?: string | undefined;
@@ -47,41 +47,41 @@
 	kinds?: string[] | undefined;
 };
 
-/** The question of a reader. With `follow` the replies go on as events arrive. */
+/** The query of a reader. With `follow`, further replies are sent as events arrive. */
 export type TimelineQuery = {
 	query: EventFilter;
 	follow: boolean;
 };
 
-/** One reply. */
+/** One of the replies to a query. */
 export type TimelineReply = {
 	events: TimelineEvent[];
-	/** What the collector knows to be missing. */
+	/** Events that the collector knows to be missing. */
 	missing: MissingEvents[];
-	/** Events that this follower was too slow for. */
+	/** Number of events that were skipped because this follower was too slow. */
 	skipped: number;
-	/** True once all kept events were given. */
+	/** True once all retained events have been sent. */
 	isComplete: boolean;
 };
 
-/** Events of one process start that never arrived. */
+/** Numbers of events of one process start that never arrived. */
 export type MissingEvents = {
 	instance: string;
 	program: string;
-	/** Dropped by the process itself, because the collector was slow or gone. */
+	/** Dropped by the process itself, because the collector was slow or unreachable. */
 	dropped: number;
-	/** Sent, but never received. */
+	/** Sent by the process, but never received. */
 	lost: number;
 };
 
-/** What a frame of a connection to the collector can be. */
+/** A message in a frame to the collector. */
 export type TimelineMessage = {kind: 'batch'; batch: TimelineBatch} | {kind: 'query'; query: TimelineQuery};
 
 /**
- * Checks a value that came out of a frame.
+ * Validates the content of a frame to the collector.
  *
- * @param value - Anything.
- * @returns The message; `undefined` for what is none.
+ * @param value - The decoded value.
+ * @returns The message; `undefined` if the value is not a valid message.
  */
 export function parseTimelineMessage(value: unknown): TimelineMessage | undefined {
 	const asBatch = batch.safeParse(value);
@@ -94,10 +94,10 @@
 }
 
 /**
- * Checks one event, for example a line of a saved file.
+ * Validates one event, for example from a line of a saved file.
  *
- * @param value - Anything.
- * @returns The event; `undefined` for what is none.
+ * @param value - The decoded value.
+ * @returns The event; `undefined` if the value is not a valid event.
  */
 export function parseTimelineEvent(value: unknown): TimelineEvent | undefined {
 	const parsed = event.safeParse(value);
--- a/src/timeline/timeline-settings.ts
+++ b/src/timeline/timeline-settings.ts
@@ -1,4 +1,4 @@
-/** The settings of `savorygauge-timeline`. The filters hold for every command. */
+/** The settings of `savorygauge-timeline`. `draw` filters by `request` only; the other commands use all filters. */
 import {type SettingDefinition, type SettingValues} from '../settings/setting-definition.js';
 import {
 	parseAddress, parseOptionalAddress, parseOptionalText, parseWholeNumberBetween,
--- a/src/timeline/timeline.test.ts
+++ b/src/timeline/timeline.test.ts
@@ -28,7 +28,7 @@
 	};
 }
 
-test('holes in the sequence of a process start are told, apart from what the process dropped itself', () => {
+test('gaps in the sequence of a process start are reported, apart from the events that the process itself dropped', () => {
 	const store = new EventStore(1000);
 	store.take({events: [eventOf(1), eventOf(2)], start: 1, dropped: 0});
 	store.take({events: [eventOf(6), eventOf(9)], start: 1, dropped: 3});
@@ -38,7 +38,7 @@
 	}]);
 });
 
-test('the store keeps the newest events within its bound', () => {
+test('the store retains the newest events within its bound', () => {
 	const store = new EventStore(1000);
 	for (let batch = 0; batch < 50; batch++) {
 		store.take({events: Array.from({length: 100}, (_, index) => eventOf((batch * 100) + index + 1)), start: 1, dropped: 0});
@@ -49,7 +49,7 @@
 	assert.equal(kept.at(-1)!.sequence, 5000);
 });
 
-test('events go from a sender through the collector to a reader who filters, and to one who follows', async t => {
+test('events pass from a sender through the collector to a reader with a filter, and to a follower', async t => {
 	const arrived: TimelineEvent[] = [];
 	const collector = new TimelineCollector(new EventStore(1000), ({events}) => {
 		arrived.push(...events);
@@ -78,9 +78,9 @@
 	await follower.return(undefined);
 });
 
-// A broken process sends the collector bytes that are no messages of ours. Only its own connection may suffer; the
-// events of the others must go on arriving.
-test('a connection that sends what is no message is ended, and the collector goes on', async t => {
+// A faulty process sends the collector bytes that are not valid messages. Only its own connection may be closed; events of
+// other processes must still be received.
+test('a connection that sends an invalid message is closed, and the collector keeps working', async t => {
 	const store = new EventStore(1000);
 	const collector = new TimelineCollector(store, () => undefined);
 	const address = await collector.listen('127.0.0.1', 0);
@@ -101,7 +101,7 @@
 	assert.equal(store.events().length, 1);
 });
 
-test('events are saved as JSON lines and read back; a line that was cut off is told by its number', async t => {
+test('events are saved as JSON lines and read back; a line that was cut off is reported by its number', async t => {
 	const folder = await mkdtemp(path.join(tmpdir(), 'timeline-'));
 	t.after(async () => rm(folder, {recursive: true}));
 	const file = path.join(folder, 'events.jsonl');
@@ -120,7 +120,7 @@
 	assert.deepEqual({sequences: events.map(({sequence}) => sequence), badLines}, {sequences: [1, 3], badLines: [4]});
 });
 
-test('the way of a request is drawn over all processes, as text and as a drawing', () => {
+test('the trace of a request is drawn across all processes, as text and as SVG and HTML', () => {
 	const common = {workspace: 'quay', attempt: 1, endpoint: 'engine-1'};
 	const way = requestWayOf('r1', [
 		eventOf(4, {kind: 'request-finished', at: 1_700_000_000_040}),
@@ -142,7 +142,7 @@
 	assert.equal(requestWayOf('nobody', []), undefined);
 });
 
-test('settings that do not suit the command are findings', () => {
+test('settings that do not fit the command are reported as findings', () => {
 	const settings = checkSettings(timelineSettingDefinitions, {flags: {output: 'a.png'}, environment: {}}).unsafeCoerce();
 	assert.deepEqual(checkCommand('draw', settings).map(({place}) => place), ['--collector', '--request', '--output'].map(name => ({source: 'flag', name})));
 });
