--- a/src/operator/run-prompt.ts
+++ b/src/operator/run-prompt.ts
@@ -49,7 +49,7 @@
 		}
 
 		if (line === 'help') {
-			desk.output.line(`to read: ${Object.keys(fieldsOfSource).join(', ')} [where …] [order by …] [limit …]`);
+			desk.output.line(`sources: ${Object.keys(fieldsOfSource).join(', ')} [where …] [order by …] [limit …]`);
 			desk.output.line('commands: drain, admit, pause, resume, cancel NAME, move MODEL to VERSION, each with because "reason"');
 		} else if (line !== '') {
 			status = await desk.ask(line, confirm);
