--- a/src/language/format-table.ts
+++ b/src/language/format-table.ts
@@ -16,7 +16,7 @@
 }
 
 function cellOf(value: Row[string]): string {
-	// Names come from endpoints. Control characters in them must not move the terminal's cursor or colour its lines.
+	// Endpoints choose their own names. Control characters in them must not move the terminal's cursor or colour its lines.
 	const text = String(value ?? '-').replaceAll(/\p{Cc}/gv, '?');
 	return text.length > longestCellCharacters ? `${text.slice(0, longestCellCharacters - 1)}…` : text;
 }
