--- a/src/load/compare/compare-policies.test.ts
+++ b/src/load/compare/compare-policies.test.ts
@@ -10,7 +10,7 @@
 	workload, policies: ['least-loaded', 'chosen'], seeds: [1, 2], loadFactor: 1,
 };
 
-test('the same seeds give the same figures, and every run is told of', async () => {
+test('equal seeds give equal figures, and the progress of every run is reported', async () => {
 	const told: Progress[] = [];
 	const first = await comparePolicies(comparison, progress => {
 		told.push(progress);
@@ -22,7 +22,7 @@
 	assert.match(formatReport(first), /<svg/v);
 });
 
-test('a stop in the middle gives what was played until then, and says that it is partial', async () => {
+test('a comparison that is stopped returns the finished runs and is marked as partial', async () => {
 	const stop = new AbortController();
 	const result = await comparePolicies(comparison, ({done}) => {
 		if (done === 3) {
--- a/src/load/compare/compare-policies.ts
+++ b/src/load/compare/compare-policies.ts
@@ -1,11 +1,11 @@
-/** Plays every policy with every seed and gathers the measures. */
+/** Runs a workload with every policy and seed and collects the measures. */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {intervalOf, type Interval} from '../measure/statistics.js';
 import {summariseRun, type RunSummary} from '../measure/summarise-run.js';
 import {runSimulation} from '../simulation/run-simulation.js';
 import {type Workload} from '../workload/workload-schema.js';
 
-/** What to compare. */
+/** The workload, and the policies and seeds that it is run with. */
 export type Comparison = {
 	workload: Workload;
 	policies: readonly string[];
@@ -13,14 +13,14 @@
 	loadFactor: number;
 };
 
-/** The measures of one policy over its seeds. */
+/** The measures of one policy, averaged over its seeds. */
 export type PolicyResult = {
 	policy: string;
 	seeds: number[];
 	measures: Record<string, Interval>;
 };
 
-/** A whole or, after a stop, partial comparison. */
+/** The result of a comparison; partial if it was stopped early. */
 export type ComparisonResult = {
 	workload: string;
 	loadFactor: number;
@@ -28,15 +28,15 @@
 	results: PolicyResult[];
 };
 
-/** How far a comparison is. */
+/** Progress of a comparison: number of finished runs, of all runs, and the last finished run. */
 export type Progress = {done: number; of: number; policy: string; seed: number};
 
 /**
- * Compares policies.
+ * Compares policies. Yields to the event loop after each run, so that a stop is noticed.
  *
- * @param comparison - What to compare.
- * @param onProgress - Is told of every run that ended.
- * @param signal - Stops after the run under way; what was played until then is the result.
+ * @param comparison - Workload, policies and seeds.
+ * @param onProgress - Called after every run.
+ * @param signal - Stops the comparison after the current run; the result holds the finished runs.
  */
 export async function comparePolicies(comparison: Comparison, onProgress: (progress: Progress) => void, signal: AbortSignal): Promise<ComparisonResult> {
 	const {workload, policies, seeds, loadFactor} = comparison;
@@ -62,7 +62,7 @@
 	};
 }
 
-/** One run, and the same urgent requests alone: the time to first token that the rest of the load is held against. */
+/** Runs the workload, and its urgent requests alone at load 1: their time to first token is the baseline of the loaded run. */
 function playOnce(workload: Workload, run: {policy: string; seed: number; loadFactor: number}): RunSummary {
 	const summary = summariseRun(workload, runSimulation({workload, ...run}));
 	const alone = summariseRun(workload, runSimulation({
--- a/src/load/compare/format-report.ts
+++ b/src/load/compare/format-report.ts
@@ -1,4 +1,4 @@
-/** Draws a comparison as one HTML page: a bar chart per measure, with the 95% interval over seeds as a whisker. */
+/** Formats a comparison as one HTML page: a bar chart per measure, with the 95% interval over seeds as a whisker. */
 import {type ComparisonResult} from './compare-policies.js';
 
 const barHeight = 26;
@@ -10,10 +10,10 @@
 type Bar = {policy: string; mean: number; halfWidth: number};
 
 /**
- * Draws a comparison.
+ * Formats a comparison.
  *
  * @param result - The comparison.
- * @returns A whole HTML page that needs nothing else.
+ * @returns A self-contained HTML page.
  */
 export function formatReport(result: ComparisonResult): string {
 	const names = [...new Set(result.results.flatMap(({measures}) => Object.keys(measures)))];
--- a/src/load/compare/format-table.ts
+++ b/src/load/compare/format-table.ts
@@ -2,10 +2,10 @@
 import {type ComparisonResult} from './compare-policies.js';
 
 /**
- * Sets a comparison out as a table for people: a line per measure, a column per policy, each with its 95% interval.
+ * Formats a comparison as a text table: a line per measure and a column per policy, each figure with its 95% interval.
  *
  * @param result - The comparison.
- * @returns Lines without a last line end.
+ * @returns The lines, without a line break at the end.
  */
 export function formatTable({workload, loadFactor, isPartial, results}: ComparisonResult): string {
 	const measures = [...new Set(results.flatMap(result => Object.keys(result.measures)))];
--- a/src/load/decision-cost/main.ts
+++ b/src/load/decision-cost/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:decisions`: what a decision costs with 15, 150 and 1,500 endpoints in view, each endpoint's report
- * renewed between two decisions as often as at the target size.
+ * `npm run bench:decisions`: measures the time of a routing decision with 15, 150 and 1,500 endpoints in view, and
+ * of an admission decision. Between two routing decisions as many load reports arrive as at the target size.
  */
 import process from 'node:process';
 import {FairShareAdmission} from '../../decision/admission/fair-share-admission.js';
@@ -17,7 +17,7 @@
 const prefixes = 2000;
 const piecesInPrompt = 18;
 const servicesInView = 2;
-/** A decision before this share of the reports is renewed is rare: 16 requests and 1,500 reports a second. */
+/** Load reports that arrive between two decisions: 1,500 reports and 16 requests a second make about 90. */
 const renewedPerDecision = 90;
 const waitingRequests = 200;
 const workspaces = 40;
--- a/src/load/main.ts
+++ b/src/load/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `savorygauge-load`: plays workloads against policies and compares them. */
+/** `savorygauge-load`: runs workloads in virtual time against policies and compares the results. */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import {Command, InvalidArgumentError} from 'commander';
@@ -27,7 +27,7 @@
 function parseLoad(text: string): number {
 	const factor = Number(text);
 	if (!(factor > 0)) {
-		throw new InvalidArgumentError('a load factor is a number above 0.');
+		throw new InvalidArgumentError('the load factor must be a number above 0.');
 	}
 
 	return factor;
@@ -55,20 +55,20 @@
 }
 
 const program = new Command('savorygauge-load')
-	.description('plays workloads and compares policies')
+	.description('runs workloads in virtual time and compares policies')
 	.version(programVersion)
 	.exitOverride(error => {
 		process.exit(error.exitCode === 0 ? 0 : badUsageExitCode);
 	});
 program.command('compare')
-	.description('plays a workload in virtual time with each policy and seed, and sets the measures side by side')
+	.description('runs a workload in virtual time with each policy and seed, and prints the measures side by side')
 	.requiredOption('--workload <file>', 'workload file; see workloads/')
-	.requiredOption('--policy <name>', `policy to play; may be repeated: ${Object.keys(policies).join(', ')}`, addPolicy)
+	.requiredOption('--policy <name>', `policy to run; may be repeated: ${Object.keys(policies).join(', ')}`, addPolicy)
 	.option('--seeds <seeds>', '3, 1..10 or 1,4,9', parseSeeds, [1])
-	.option('--load <factor>', 'times that requests come as often as the file says', parseLoad, 1)
+	.option('--load <factor>', 'factor by which the request rates of the file are multiplied', parseLoad, 1)
 	.option('--json', 'print one JSON object', false)
-	.option('--report <file>', 'write an HTML page with charts too')
-	.option('--quiet', 'no progress on the standard error', false)
+	.option('--report <file>', 'also write an HTML page with charts')
+	.option('--quiet', 'print no progress on standard error', false)
 	.action(compare);
 
 await program.parseAsync();
--- a/src/load/measure/fair-shares.ts
+++ b/src/load/measure/fair-shares.ts
@@ -1,12 +1,12 @@
-/** One workspace's wish for work and its weight. */
+/** The work that one workspace asked for, and its weight. */
 export type Demand = {workspace: string; tokens: number; share: number};
 
 /**
- * Divides work by weighted max-min fairness: nobody gets more than they asked for, and what they leave goes to the
- * others by weight.
+ * Divides work by weighted max-min fairness: no workspace gets more than it asked for, and what it doesn't use is divided
+ * among the others by weight.
  *
- * @param demands - What each workspace asked for.
- * @param total - The work that there was, in the same unit.
+ * @param demands - The demand of each workspace.
+ * @param total - The work to divide, in the unit of the demands.
  * @returns The fair amount by workspace.
  */
 export function fairShares(demands: readonly Demand[], total: number): Map<string, number> {
--- a/src/load/measure/statistics.ts
+++ b/src/load/measure/statistics.ts
@@ -1,13 +1,13 @@
-/** Small statistics over the figures of runs. */
+/** Quantiles and confidence intervals of the figures of runs. */
 
-/** A mean over seeds with half the width of its 95% interval. */
+/** A mean over seeds with half the width of its 95% confidence interval. */
 export type Interval = {mean: number; halfWidth: number};
 
 /**
- * Gives a quantile by the nearest rank.
+ * Returns a quantile by the nearest-rank method.
  *
  * @param values - In any order.
- * @param share - For example 0.95.
+ * @param share - The quantile as a fraction, for example 0.95.
  * @returns The value, or `NaN` if there are none.
  */
 export function quantileOf(values: readonly number[], share: number): number {
@@ -15,11 +15,11 @@
 	return sorted[Math.min(sorted.length - 1, Math.ceil(share * sorted.length) - 1)] ?? Number.NaN;
 }
 
-/** Student's t for a 95% interval, by degrees of freedom from 1 on. */
+/** Student's t for a 95% confidence interval; index 0 is for 1 degree of freedom. */
 const studentT = [12.71, 4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26];
 const normalT = 1.96;
 
-/** Gives mean and 95% interval of figures that stand for one seed each. */
+/** Returns the mean and 95% confidence interval of figures, one for each seed. */
 export function intervalOf(values: readonly number[]): Interval {
 	const mean = values.reduce((sum, value) => sum + value, 0) / values.length;
 	if (values.length < 2) {
--- a/src/load/measure/summarise-run.ts
+++ b/src/load/measure/summarise-run.ts
@@ -1,4 +1,4 @@
-/** Turns the outcomes of one run into the users' measures. The warm-up is left out. */
+/** Computes the measures of one run from its outcomes. Requests that arrive during the warm-up are left out. */
 import {type Outcome} from '../simulation/outcome.js';
 import {type SimulationResult} from '../simulation/run-simulation.js';
 import {type Workload} from '../workload/workload-schema.js';
@@ -9,7 +9,7 @@
 /** The measures of one run, by name. Times are in milliseconds. */
 export type RunSummary = Record<string, number>;
 
-/** Summarises a run. */
+/** Returns the measures of a run, by the names that tables and reports print. */
 export function summariseRun(workload: Workload, result: SimulationResult): RunSummary {
 	const start = workload.warmUpSeconds * 1000;
 	const end = workload.seconds * 1000;
@@ -52,7 +52,7 @@
 	return sumOf(served, ({least: tokens}) => tokens) / sumOf(served, ({request}) => request.promptTokens);
 }
 
-/** Prompt and answer tokens a second of answers that ended in the window and whose first token came in time. */
+/** Prompt and answer tokens a second, of answers that ended in the window and whose first token met the deadline. */
 function goodput(outcomes: readonly Outcome[], start: number, end: number): number {
 	const good = outcomes.filter(({request, endedAt, firstTokenMilliseconds}) =>
 		endedAt !== undefined && endedAt >= start && endedAt < end && request.arrivesAt + firstTokenMilliseconds! <= request.deadline);
--- a/src/load/measure/unavoidable-recompute.ts
+++ b/src/load/measure/unavoidable-recompute.ts
@@ -1,16 +1,17 @@
 /**
- * The recompute that no policy can avoid: questions, first uses, and what Belady's rule (drop what is used again last)
- * must drop if all tiers together were one cache. It sees the future, so no policy can beat it.
+ * The lower bound of recomputed prompt tokens. No policy avoids prefilling questions, first uses of a context, and the
+ * blocks that Belady's algorithm (evict the block whose next use is furthest in the future) evicts if all tiers together
+ * are one cache. The algorithm knows the future requests, so no policy does better.
  */
 import {pieceTokens} from '../simulation/fake-engine.js';
 import {type WorkloadRequest} from '../workload/generate-requests.js';
 
 /**
- * Works out the least prompt tokens that have to be recomputed for each request.
+ * Computes the minimum number of prompt tokens that have to be recomputed for each request.
  *
  * @param requests - In order of arrival.
- * @param roomPieces - Pieces in all tiers together.
- * @returns Tokens, in the order of the requests.
+ * @param roomPieces - Capacity of all tiers together, in blocks.
+ * @returns Numbers of tokens, in the order of the requests.
  */
 export function unavoidableRecompute(requests: readonly WorkloadRequest[], roomPieces: number): number[] {
 	const nextUses = nextUsesOf(requests);
--- a/src/load/overhead/load-client.ts
+++ b/src/load/overhead/load-client.ts
@@ -1,18 +1,18 @@
-/** A caller that costs little itself: it times the first token and looks at the end of the stream only. */
+/** A caller with little overhead of its own: it times the first token and parses only the end of the stream. */
 import {Buffer} from 'node:buffer';
 import {Agent} from 'undici';
 
 const tailBytes = 1024;
 
-/** Where load goes. */
+/** The servers that load is sent to. */
 export type LoadTarget = {
 	name: 'direct' | 'entry';
-	/** Addresses, used in turn. */
+	/** Addresses, used round-robin. */
 	addresses: readonly string[];
 	headers: Record<string, string>;
 };
 
-/** What one stream gave. */
+/** The result of one streamed answer. */
 export type StreamResult = {
 	timeToFirstTokenMilliseconds: number;
 	isWhole: boolean;
@@ -32,7 +32,7 @@
 		return this.#target.name;
 	}
 
-	/** Sends one streamed prompt and reads it to its end. */
+	/** Sends one prompt and reads the streamed answer to its end. */
 	async stream(maxTokens: number): Promise<StreamResult> {
 		const {addresses, headers} = this.#target;
 		const number = this.#sent++;
--- a/src/load/overhead/main.ts
+++ b/src/load/overhead/main.ts
@@ -1,7 +1,8 @@
 /**
- * Measures what one entry adds: time to first token, requests and tokens a second for a core, and memory, against
- * stand-in engines that answer at once, direct and through the entry side by side in one run. This process is the load
- * generator; entry and engines are processes of their own.
+ * `npm run bench:overhead`: measures the overhead of one entry: the time to first token that it adds, the requests and
+ * tokens a second that it serves per core, and its memory. The same load goes directly to stand-in engines that answer
+ * without delay and through the entry, within one run. This process generates the load; the entry and the engines are
+ * separate processes.
  */
 import {Command} from 'commander';
 import {demoDeclarationPath, permitsModelService} from '../../demo/demo-declaration.js';
@@ -17,7 +18,7 @@
 const streamPlan = {callers: 160, seconds: 6, tokens: 500};
 const warmUp = {callers: 32, seconds: 2, tokens: 16};
 
-/** All figures. */
+/** All figures of the benchmark; `--json` prints them under these names. */
 type OverheadReport = {
 	latency: {direct: LatencyFigures; entry: LatencyFigures; addedMedianMilliseconds: number; addedP99Milliseconds: number; usage: EntryUsage};
 	shortRequests: {direct: ThroughputFigures; entry: ThroughputFigures; usage: EntryUsage};
@@ -38,7 +39,7 @@
 	try {
 		await deployment.start();
 		await deployment.apply(demoDeclarationPath, 'for the measurement', () => {
-			// The edits are of no interest here.
+			// The applied edits are not printed.
 		});
 		const [entryProcess] = deployment.withRole('entry');
 		const engines = deployment.withRole('model-engine').map(({listed}) => listed.address);
@@ -68,7 +69,7 @@
 			shortRequests: {direct: shortDirect, entry: shortEntry.value, usage: shortEntry.usage},
 		};
 	});
-	// A token every millisecond on each stream, so that tokens come one by one as from an engine that decodes.
+	// One token per millisecond on each stream, so that tokens arrive one by one as from a real engine.
 	const streamedTokens = await withDeployment(1, async ({direct, entry, entryPid}) => {
 		const directFigures = await measureThroughput(direct, streamPlan);
 		const {value, usage} = await withUsage(entryPid, async () => measureThroughput(entry, streamPlan));
--- a/src/load/overhead/overhead-phases.ts
+++ b/src/load/overhead/overhead-phases.ts
@@ -1,9 +1,9 @@
-/** The three loads of the overhead measurement. */
+/** The loads of the overhead benchmark: latency at a fixed rate and throughput without pauses, with the process usage. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type LoadClient, type StreamResult} from './load-client.js';
 import {processorSecondsOf, residentMegabytesOf} from './process-usage.js';
 
-/** Times to first token of one way, in milliseconds. */
+/** Times to first token on one path (direct or through the entry), in milliseconds. */
 export type LatencyFigures = {
 	requests: number;
 	notWhole: number;
@@ -11,20 +11,20 @@
 	p99Milliseconds: number;
 };
 
-/** What a way carries when its callers never pause. */
+/** Throughput of one path when its callers never pause. */
 export type ThroughputFigures = {
 	requestsPerSecond: number;
 	tokensPerSecond: number;
 	notWhole: number;
 };
 
-/** What the entry used meanwhile. */
+/** Processor and memory usage of the entry during a load. */
 export type EntryUsage = {
 	cores: number;
 	residentMegabytes: number;
 };
 
-/** Gives the value at a share, from 0 to 1, of sorted values. */
+/** Returns the quantile of sorted values at a share from 0 to 1; 0 if there are no values. */
 function valueAt(sorted: readonly number[], share: number): number {
 	return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 }
@@ -43,11 +43,11 @@
 }
 
 /**
- * Sends at a fixed rate on both ways side by side, whether answers come or not.
+ * Sends requests at a fixed rate on both paths at the same time, without waiting for answers (open loop).
  *
- * @param clients - The ways.
- * @param plan - Requests a second on each way, for how many seconds, with how many tokens in each answer.
- * @returns The figures of each way, in the order given.
+ * @param clients - The clients of the two paths.
+ * @param plan - Requests a second on each path, duration in seconds, and tokens in each answer.
+ * @returns The figures of each path, in the order of the clients.
  */
 export async function measureLatency(clients: readonly LoadClient[], plan: {perSecond: number; seconds: number; tokens: number}): Promise<LatencyFigures[]> {
 	const running = clients.map((): Array<Promise<StreamResult>> => []);
@@ -59,7 +59,7 @@
 			await delay(dueIn);
 		}
 
-		// The ways take turns in going first, so that neither meets the other's work every time.
+		// The paths alternate in sending first, so that neither always waits for the work of the other.
 		const order = number % 2 === 0 ? [0, 1] : [1, 0];
 		for (const index of order) {
 			running[index]!.push(clients[index]!.stream(plan.tokens));
@@ -71,11 +71,11 @@
 }
 
 /**
- * Lets many callers send one prompt after the other for some seconds.
+ * Lets several callers send prompts one after the other, without pauses (closed loop).
  *
- * @param client - The way.
- * @param plan - How many callers, for how many seconds, with how many tokens in each answer.
- * @returns What was carried.
+ * @param client - The client of the path.
+ * @param plan - Number of callers, duration in seconds, and tokens in each answer.
+ * @returns The throughput over all callers.
  */
 export async function measureThroughput(client: LoadClient, plan: {callers: number; seconds: number; tokens: number}): Promise<ThroughputFigures> {
 	const startedAt = performance.now();
@@ -100,11 +100,11 @@
 }
 
 /**
- * Runs a load and reads what a process used during it.
+ * Runs a load and measures the usage of a process during it.
  *
- * @param pid - The process.
- * @param load - The load.
- * @returns What the load gave, and the use.
+ * @param pid - The process id.
+ * @param load - Generates the load; resolves when it has ended.
+ * @returns The result of the load, and the usage.
  */
 export async function withUsage<Value>(pid: number, load: () => Promise<Value>): Promise<{value: Value; usage: EntryUsage}> {
 	const [usedBefore, startedAt] = [processorSecondsOf(pid), performance.now()];
--- a/src/load/policies.ts
+++ b/src/load/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that can be compared, by name. Each entry instance gets its own, with its own knowledge. */
+/** The policies that can be compared, by name. Each simulated entry gets its own policies, which share no state. */
 import {type AdmissionPolicy} from '../decision/admission/admission-policy.js';
 import {FairShareAdmission} from '../decision/admission/fair-share-admission.js';
 import {BoundedQueueAdmission} from '../decision/admission/bounded-queue-admission.js';
@@ -14,19 +14,19 @@
 import {StickyPolicy} from '../decision/routing/sticky-policy.js';
 import {pieceTokens} from './simulation/fake-engine.js';
 
-/** What one entry instance decides with. */
+/** The policies of one entry instance. */
 export type EntryPolicies = {
 	prefixes: CachedPrefixes;
 	routing: RoutingPolicy;
 	admission: AdmissionPolicy;
 	keeping: SavePolicy;
-	/** The stores' links by name, as the policies see them; none for policies that do not look. */
+	/** Estimates of the stores' links by store name; empty for policies that don't use them. */
 	links: ReadonlyMap<string, LinkEstimate>;
-	/** Whether fetches for work that can wait leave a crowded link to others. */
+	/** Whether fetches for requests that are not urgent pause while a link is congested. */
 	isPolite: boolean;
 };
 
-/** What policies are told of the instance that they stand in. */
+/** The instance that the policies decide for, and the deployment around it. */
 export type EntryPlace = {index: number; dataCentre: string; stores: readonly string[]; pieceBytes: number; linkBytesPerSecond: number; instances: number};
 
 export const policies: Readonly<Record<string, (place: EntryPlace) => EntryPolicies>> = {
--- a/src/load/simulation/event-queue.ts
+++ b/src/load/simulation/event-queue.ts
@@ -1,4 +1,4 @@
-/** Virtual time: events in order of their time, and in order of their making where times are equal. */
+/** Virtual time: runs events in the order of their times, and in the order of scheduling where times are equal. */
 
 type ScheduledEvent = {at: number; sequence: number; run: () => void};
 
@@ -7,18 +7,18 @@
 	#sequence = 0;
 	#now = 0;
 
-	/** The present virtual time in milliseconds. */
+	/** The current virtual time in milliseconds. */
 	get now(): number {
 		return this.#now;
 	}
 
-	/** Runs something after a delay in milliseconds. */
+	/** Schedules a callback after a delay in milliseconds; a negative delay counts as 0. */
 	after(milliseconds: number, run: () => void): void {
 		this.#push({at: this.#now + Math.max(0, milliseconds), sequence: this.#sequence++, run});
 	}
 
 	/**
-	 * Runs all events up to a time.
+	 * Runs all events up to and including a time, and sets the current time to it.
 	 *
 	 * @param end - Virtual time in milliseconds.
 	 */
--- a/src/load/simulation/fake-engine.ts
+++ b/src/load/simulation/fake-engine.ts
@@ -1,6 +1,7 @@
 /**
- * A fake model engine in virtual time: continuous batching in steps, prefill in chunks that slow the decoding of the
- * others, a prefix cache that evicts the least recently used piece, priorities among those that wait, and load reports.
+ * A fake model engine in virtual time. It batches continuously in steps, prefills in chunks that slow down the decoding
+ * of the other requests in the batch, evicts the least recently used blocks from its prefix cache, serves waiting requests
+ * by priority and reports its load.
  */
 import {type CacheEvent, type LoadReport} from '../../ports/model-engine.js';
 import {type PriorityClass} from '../../shared/types.js';
@@ -10,18 +11,18 @@
 export const pieceTokens = 2048;
 const priorityRank: Record<PriorityClass, number> = {urgent: 0, normal: 1, overnight: 2};
 
-/** How fast and large an engine is. */
+/** Speed and capacity of an engine. */
 export type EngineSpeed = {
 	prefillTokensPerSecond: number;
-	/** Prompt tokens that one step prefills at most. */
+	/** Maximum number of prompt tokens that one step prefills. */
 	chunkTokens: number;
-	/** How long a step takes that only decodes. */
+	/** Duration of a step that only decodes. */
 	stepMilliseconds: number;
 	batchLimit: number;
 	cachePieces: number;
 };
 
-/** A prompt at an engine. */
+/** A prompt sent to an engine, with the callbacks for its first token and its end. */
 export type EngineJob = {
 	requestId: string;
 	priority: PriorityClass;
@@ -38,7 +39,7 @@
 	readonly name: string;
 	readonly dataCentre: string;
 	readonly service: string;
-	/** Times that a step takes longer than it should. */
+	/** Factor by which the duration of each step is multiplied. */
 	slowness = 1;
 	isDead = false;
 	readonly #queue: EventQueue;
@@ -60,7 +61,7 @@
 		this.#cache = new RecencySet(speed.cachePieces);
 	}
 
-	/** Takes a prompt. */
+	/** Accepts a prompt; an engine that is down ends it as failed at once. */
 	submit(job: EngineJob): void {
 		if (this.isDead) {
 			job.end(false);
@@ -72,19 +73,19 @@
 		this.#startStep();
 	}
 
-	/** Takes cache pieces from a store. */
+	/** Adds cache blocks that were fetched from a store. */
 	importPieces(pieceKeys: readonly string[]): void {
 		for (const key of pieceKeys) {
 			this.#keep(key);
 		}
 	}
 
-	/** Says whether a piece is in the prefix cache. */
+	/** Returns whether a block is in the prefix cache. */
 	holds(pieceKey: string): boolean {
 		return this.#cache.has(pieceKey);
 	}
 
-	/** Dies: everything that it had breaks off. */
+	/** Crashes: the cache is lost, and all waiting and running prompts end as failed. */
 	die(): void {
 		this.isDead = true;
 		const jobs = [...this.#waiting, ...this.#batch.map(({job}) => job)];
@@ -96,7 +97,7 @@
 		}
 	}
 
-	/** Its load at this moment. */
+	/** Returns the current load. */
 	report(): LoadReport {
 		const toPrefill = this.#batch.reduce((sum, member) => sum + member.toPrefill, 0);
 		const waiting = this.#waiting.reduce((sum, job) => sum + job.promptTokens - (this.#cachedPieces(job) * pieceTokens), 0);
@@ -181,7 +182,7 @@
 	#endStep(decoding: readonly BatchMember[]): void {
 		for (const member of this.#batch) {
 			if (member.toPrefill === 0 && !decoding.includes(member)) {
-				// Last piece first: the end of a prefix is worth less than its start, and must be evicted before it.
+				// Last block first, so that the end of a prefix, useless without its start, is evicted before it.
 				for (const key of member.job.pieceKeys.toReversed()) {
 					this.#keep(key);
 				}
--- a/src/load/simulation/fake-store.ts
+++ b/src/load/simulation/fake-store.ts
@@ -1,12 +1,12 @@
 /**
- * A fake cache store in virtual time: a fast tier and a slow tier of bounded room, behind one limited link that
- * carries one transfer after the other, so that a crowd at the link waits.
+ * A fake cache store in virtual time: a memory tier and a slower disk tier of bounded capacity, behind one link of limited
+ * bandwidth. The link carries one transfer at a time, so that concurrent transfers queue.
  */
 import {type CacheEvent} from '../../ports/model-engine.js';
 import {type EventQueue} from './event-queue.js';
 import {RecencySet} from './recency-set.js';
 
-/** How large and fast a store is. */
+/** Capacity and speed of a store. */
 export type StoreSize = {
 	memoryPieces: number;
 	diskPieces: number;
@@ -17,7 +17,7 @@
 
 export class FakeStore {
 	readonly name: string;
-	/** Times that the link is slower than it should be. */
+	/** Factor by which the duration of each transfer is multiplied. */
 	slowness = 1;
 	isDead = false;
 	isFull = false;
@@ -39,7 +39,7 @@
 		this.#disk = new RecencySet(size.diskPieces);
 	}
 
-	/** Has pieces from before the run, without using the link. */
+	/** Adds blocks that were saved before the run, without using the link. */
 	preload(pieceKeys: readonly string[]): void {
 		for (const key of pieceKeys) {
 			this.#keep(key);
@@ -47,12 +47,12 @@
 		}
 	}
 
-	/** How long a piece takes on an idle link, from the slower tier. */
+	/** Milliseconds that a block takes from the slower tier on an idle link. */
 	get idleMillisecondsPerPiece(): number {
 		return 1000 * this.#size.pieceBytes / Math.min(this.#size.linkBytesPerSecond, this.#size.diskBytesPerSecond);
 	}
 
-	/** Reads the leading pieces that are there; a missing one ends the run. `done` gets what arrived. */
+	/** Reads the leading blocks up to the first that is missing. `done` receives the keys of the blocks that were read. */
 	fetch(pieceKeys: readonly string[], done: (found: readonly string[]) => void): void {
 		const missing = this.isDead ? 0 : pieceKeys.findIndex(key => !this.#memory.has(key) && !this.#disk.has(key));
 		const found = missing === -1 ? pieceKeys : pieceKeys.slice(0, missing);
@@ -66,7 +66,7 @@
 		});
 	}
 
-	/** Writes pieces. A full or dead store takes none. */
+	/** Writes the blocks that are not stored yet, one after the other. A store that is full or down writes none. */
 	save(pieceKeys: readonly string[]): void {
 		if (this.isFull || this.isDead) {
 			return;
--- a/src/load/simulation/load-patterns.test.ts
+++ b/src/load/simulation/load-patterns.test.ts
@@ -1,8 +1,9 @@
 /**
- * What callers see when load and faults come together. In each run a pattern of load (a burst, a few prefixes with most
- * of the load, a slow endpoint, long work among short, saturation), alone, with a second pattern, or with a fault in the
- * middle (20 s to 40 s), meets fifteen entries with knowledge of their own. Callers stop asking at 50 s and the run ends
- * at 90 s, so that whoever is then without answer or refusal was forgotten: that is what these tests look for first.
+ * What callers see under combinations of load patterns and faults. Each run plays a pattern (a burst, one prefix with most
+ * of the load, a slow endpoint, long requests among short ones, saturation) alone, with a second pattern, or with a fault
+ * from 20 s to 40 s, against fifteen entries that share no state. The last request arrives before 50 s and the run ends
+ * at 90 s: an urgent request that has neither an answer nor a refusal by then has been lost by its entry, which is the
+ * failure that these tests guard against first.
  */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -58,7 +59,7 @@
 	},
 ];
 
-/** Four urgent requests of five come from one workspace about one thing. */
+/** Gives four of five urgent requests the same workspace and prompt prefix. */
 function oneHotPrefix(requests: readonly WorkloadRequest[]): WorkloadRequest[] {
 	const hot = requests.find(({className}) => className === 'quay-question')!;
 	return requests.map((request, index) => request.className === 'quay-question' && index % 5 !== 0
@@ -93,12 +94,12 @@
 		assert.ok(endedAt === undefined || refusal === undefined, `${told} was answered and refused`);
 		assert.ok(ran !== 'not-run' || attempts === 0, `${told} was refused as not run after ${attempts} attempts`);
 		if (refusal === 'deadline' || refusal === 'overloaded') {
-			assert.ok((retryAfterMilliseconds ?? 0) >= 1000, `${told} was not told when to come back`);
+			assert.ok((retryAfterMilliseconds ?? 0) >= 1000, `${told} was refused without a retry delay`);
 			assert.ok(refusedAt! <= request.deadline + 200, `${told} was refused after its deadline`);
 		}
 
 		if (request.priority === 'urgent') {
-			assert.ok(endedAt !== undefined || refusal !== undefined, `${told} was forgotten`);
+			assert.ok(endedAt !== undefined || refusal !== undefined, `${told} was neither answered nor refused`);
 		}
 	}
 }
@@ -110,13 +111,13 @@
 }
 
 for (const pattern of patterns) {
-	test(`${pattern.name}: urgent callers are answered in time`, () => {
+	test(`${pattern.name}: urgent requests are answered in time`, () => {
 		const outcomes = play([pattern]);
 		checkCallers(outcomes);
 		assert.ok(urgentShareInTime(outcomes) >= 0.97, `in time: ${urgentShareInTime(outcomes)}`);
 	});
 	for (const other of patterns.slice(patterns.indexOf(pattern) + 1)) {
-		test(`${pattern.name} with ${other.name}: nobody is forgotten, most urgent callers are answered in time`, () => {
+		test(`${pattern.name} with ${other.name}: no urgent request is lost, most are answered in time`, () => {
 			const outcomes = play([pattern, other]);
 			checkCallers(outcomes);
 			assert.ok(urgentShareInTime(outcomes) >= 0.9, `in time: ${urgentShareInTime(outcomes)}`);
@@ -126,14 +127,14 @@
 
 for (const [index, fault] of faults.entries()) {
 	const pattern = patterns[index % patterns.length]!;
-	test(`${pattern.name} while ${fault.kind}: nobody is forgotten, most urgent callers are answered in time`, () => {
+	test(`${pattern.name} during ${fault.kind}: no urgent request is lost, most are answered in time`, () => {
 		const outcomes = play([pattern], fault);
 		checkCallers(outcomes);
 		assert.ok(urgentShareInTime(outcomes) >= 0.85, `in time: ${urgentShareInTime(outcomes)}`);
 	});
 }
 
-test('a slow endpoint is found by its own latency, and used again after it recovered', () => {
+test('a slow endpoint is recognised by its latency, and urgent requests avoid it', () => {
 	const outcomes = play([patterns[2]!]);
 	const urgent = outcomes.filter(({request}) => request.priority === 'urgent');
 	const during = urgent.filter(({request}) => request.arrivesAt > 28_000 && request.arrivesAt < 40_000);
--- a/src/load/simulation/outcome.ts
+++ b/src/load/simulation/outcome.ts
@@ -1,18 +1,18 @@
-/** What became of one request of a run. */
+/** The outcome of one request of a run: its answer or refusal, and where its time went. */
 import {type RefusalReason} from '../../shared/types.js';
 import {type WorkloadRequest} from '../workload/generate-requests.js';
 
 export type Outcome = {
 	request: WorkloadRequest;
-	/** From the caller's sending to the caller's first token. */
+	/** From the moment the caller sends the request until it receives the first token. */
 	firstTokenMilliseconds?: number;
-	/** When the caller had the whole answer, in milliseconds since the start of the run. */
+	/** When the caller had received the whole answer, in milliseconds since the start of the run. */
 	endedAt?: number;
 	refusal?: RefusalReason;
 	ran?: 'not-run' | 'unknown';
 	retryAfterMilliseconds?: number;
 	refusedAt?: number;
-	/** Where the time to the first token went. */
+	/** When the entry admitted the request, in milliseconds since the start of the run. */
 	admittedAt?: number;
 	fetchMilliseconds: number;
 	recomputedTokens: number;
--- a/src/load/simulation/recency-set.ts
+++ b/src/load/simulation/recency-set.ts
@@ -1,4 +1,4 @@
-/** A set with bounded room that gives up its least recently used member. */
+/** A set of bounded capacity that evicts its least recently used members. */
 export class RecencySet {
 	readonly #members = new Set<string>();
 	#room: number;
@@ -11,7 +11,7 @@
 		return this.#members.size;
 	}
 
-	/** Changes the room; members beyond it go when the next one is kept. */
+	/** Changes the capacity; members in excess of it are evicted when the next one is added. */
 	setRoom(room: number): void {
 		this.#room = room;
 	}
@@ -20,14 +20,14 @@
 		return this.#members.has(key);
 	}
 
-	/** Marks a member as just used. */
+	/** Marks a member as the most recently used; does nothing if it is not in the set. */
 	touch(key: string): void {
 		if (this.#members.delete(key)) {
 			this.#members.add(key);
 		}
 	}
 
-	/** Keeps a member and gives those that had to go. */
+	/** Adds a member, or marks it as the most recently used, and returns the members that were evicted for it. */
 	keep(key: string): string[] {
 		this.#members.delete(key);
 		this.#members.add(key);
--- a/src/load/simulation/run-simulation.ts
+++ b/src/load/simulation/run-simulation.ts
@@ -1,4 +1,4 @@
-/** Plays one workload with one policy in virtual time. The same arguments give the same run. */
+/** Runs one workload with one policy in virtual time. The run is deterministic: equal arguments give equal results. */
 import {type CacheEvent, type LoadReport} from '../../ports/model-engine.js';
 import {type EndpointView} from '../../decision/routing/routing-policy.js';
 import {policies} from '../policies.js';
@@ -15,26 +15,26 @@
 const entryAdvanceMilliseconds = 100;
 const eventBatchMilliseconds = 500;
 
-/** What to play. */
+/** Workload, policy, seed and faults of one run. */
 export type SimulationPlan = {
 	workload: Workload;
 	policy: string;
 	seed: number;
 	loadFactor: number;
 	faults?: readonly Fault[];
-	/** Only these requests are played; all when absent. */
+	/** Selects the requests that are part of the run; all when absent. */
 	only?: (request: WorkloadRequest) => boolean;
-	/** Changes the requests, to make a pattern of load that the workload does not have. */
+	/** Transforms the generated requests into a load pattern that a workload file can't express. */
 	reshape?: (requests: readonly WorkloadRequest[]) => readonly WorkloadRequest[];
 };
 
-/** What a run gave. */
+/** The result of a run: an outcome for each request, and the bytes that crossed the stores' links. */
 export type SimulationResult = {
 	outcomes: readonly Outcome[];
 	linkBytes: number;
 };
 
-/** Plays a run to its end. */
+/** Runs a plan to the end of its workload. */
 export function runSimulation(plan: SimulationPlan): SimulationResult {
 	return new Simulation(plan).run();
 }
@@ -94,7 +94,7 @@
 		return {outcomes, linkBytes: [...this.#stores.values()].reduce((sum, {linkBytes}) => sum + linkBytes, 0)};
 	}
 
-	/** What was used hours ago is in the stores, if the policy saves at all; accelerators have long evicted it. */
+	/** Fills the stores with contexts that were used hours ago, if the policy saves blocks; engines have evicted them since. */
 	#preload(requests: readonly WorkloadRequest[]): void {
 		const prompts = new Map(requests.filter(({isUsedBefore, pieceKeys}) => isUsedBefore && pieceKeys.length > 0).map(request => [request.pieceKeys[0]!, request]));
 		const [entry] = this.#entries;
--- a/src/load/simulation/simulated-entry.ts
+++ b/src/load/simulation/simulated-entry.ts
@@ -1,4 +1,4 @@
-/** One entry instance in virtual time: carries out what its own policies decide, with its own knowledge. */
+/** One entry instance in virtual time: executes the decisions of its own policies, which share no state with other entries. */
 import {AdmissionWindow} from '../../decision/admission/admission-window.js';
 import {type AdmissionAction} from '../../decision/admission/admission-policy.js';
 import {fetchPause} from '../../decision/cache/fetch-pause.js';
@@ -12,14 +12,14 @@
 
 const attemptLimit = 4;
 
-/** What an entry reaches. */
+/** The components around an entry, and the latencies to them. */
 export type EntrySurroundings = {
 	queue: EventQueue;
 	engines: ReadonlyMap<string, FakeEngine>;
 	stores: ReadonlyMap<string, FakeStore>;
-	/** The newest load reports that reached this entry. */
+	/** Returns the endpoints with the latest load reports that this entry has received. */
 	views: () => readonly EndpointView[];
-	/** One way, in milliseconds. */
+	/** Returns the one-way latency to a data centre in milliseconds. */
 	latencyTo: (dataCentre: string) => number;
 	clientMilliseconds: number;
 	services: readonly string[];
@@ -45,7 +45,7 @@
 		this.#windows = new Map(around.services.map(service => [service, new AdmissionWindow(service)]));
 	}
 
-	/** A caller's request arrives. */
+	/** Handles the arrival of a caller's request. */
 	arrive(outcome: Outcome): void {
 		const {request} = outcome;
 		const route = {
@@ -55,12 +55,12 @@
 		this.#carryOut(this.policies.admission.arrive(route, this.#around.queue.now));
 	}
 
-	/** Passes time on to the policies. */
+	/** Lets the admission policy act on the time that has passed. */
 	advance(): void {
 		this.#carryOut(this.policies.admission.advance(this.#around.queue.now));
 	}
 
-	/** Passes a new round of load reports on to the policies. */
+	/** Recomputes the admission capacity of each service from new load reports. */
 	takeReports(): void {
 		const {queue, views, instances} = this.#around;
 		const dither = hashOf(`${this.name}|${queue.now}`) / (2 ** 32);
@@ -121,8 +121,8 @@
 	}
 
 	/**
-	 * Brings the pieces. Urgent work asks for all of them at once, so that it queues at the link once; work that can wait
-	 * asks for one after the other and rests when the link is crowded.
+	 * Fetches the blocks of a plan. An urgent request fetches all of them in one transfer, so that it queues at the link only
+	 * once. Other requests fetch one block at a time and pause between blocks while the link is congested.
 	 */
 	#fetchFrom(store: FakeStore, run: Run, plan: FetchRun, done: number): void {
 		const {queue, engines} = this.#around;
--- a/src/load/workload/generate-requests.ts
+++ b/src/load/workload/generate-requests.ts
@@ -1,4 +1,4 @@
-/** Turns a workload and a seed into the requests of one run. */
+/** Generates the requests of one run from a workload and a seed. */
 import {pieceTokens} from '../simulation/fake-engine.js';
 import {type PriorityClass} from '../../shared/types.js';
 import {Random} from './random.js';
@@ -18,18 +18,18 @@
 	promptTokens: number;
 	outputTokens: number;
 	pieceKeys: readonly string[];
-	/** Whether its context was used hours before the run. */
+	/** Whether its context was already used hours before the run. */
 	isUsedBefore: boolean;
 };
 
 type Context = {workspace: string; share: number; popularity: number; tokens: number; pieceKeys: readonly string[]; isUsedBefore: boolean};
 
 /**
- * Makes the requests of one run, in order of arrival.
+ * Generates the requests of one run, in order of arrival.
  *
  * @param workload - The workload.
- * @param seed - Decides every random choice.
- * @param loadFactor - Times that requests come as often as the file says.
+ * @param seed - Seed of every random choice: the same seed gives the same requests.
+ * @param loadFactor - Factor by which the request rates of the workload are multiplied.
  */
 export function generateRequests(workload: Workload, seed: number, loadFactor: number): WorkloadRequest[] {
 	const contexts = new Map(workload.classes.map((kind, index) => [kind.name, contextsOf(workload, kind, seed + (7919 * index))]));
--- a/src/load/workload/random.ts
+++ b/src/load/workload/random.ts
@@ -1,4 +1,4 @@
-/** Seeded randomness for workloads. */
+/** Seeded random numbers for workloads. */
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
@@ -9,22 +9,22 @@
 		this.#generator = xoroshiro128plus(seed);
 	}
 
-	/** A number from 0 up to, and without, 1. */
+	/** Returns a uniform number from 0 to 1, 1 excluded. */
 	fraction(): number {
 		return uniformFloat64(this.#generator);
 	}
 
-	/** A number between two bounds. */
+	/** Returns a uniform number between two bounds. */
 	between([low, high]: readonly [number, number]): number {
 		return low + (this.fraction() * (high - low));
 	}
 
-	/** A whole number from 0 up to, and without, `count`. */
+	/** Returns a whole number from 0 to `count`, `count` excluded. */
 	index(count: number): number {
 		return Math.floor(this.fraction() * count);
 	}
 
-	/** A time to the next event of a Poisson process with this mean. */
+	/** Returns the time to the next event of a Poisson process: exponentially distributed, in the unit of the mean. */
 	wait(mean: number): number {
 		return -Math.log(1 - this.fraction()) * mean;
 	}
--- a/src/load/workload/read-workload.ts
+++ b/src/load/workload/read-workload.ts
@@ -3,11 +3,11 @@
 import {type Workload, workloadSchema} from './workload-schema.js';
 
 /**
- * Reads a workload file.
+ * Reads and validates a workload file.
  *
- * @param path - Where it stands.
+ * @param path - Path of the YAML file.
  * @returns The workload.
- * @throws A `ZodError` that names every wrong member, or the error of reading the file.
+ * @throws `ZodError` that names every invalid key, or the error of reading or parsing the file.
  */
 export function readWorkload(path: string): Workload {
 	return workloadSchema.parse(parse(readFileSync(path, 'utf8')));
--- a/src/load/workload/workload-schema.ts
+++ b/src/load/workload/workload-schema.ts
@@ -1,4 +1,4 @@
-/** The format of a workload file: a deployment with its sizes, and who asks for what how often. */
+/** The format of a workload file: a deployment with its sizes, and the classes of requests with their rates. */
 import {z} from 'zod';
 
 const engineSchema = z.object({
@@ -26,14 +26,14 @@
 	priority: z.enum(['urgent', 'normal', 'overnight']),
 	requestsPerSecond: z.number().nonnegative(),
 	deadlineMilliseconds: z.number().positive(),
-	/** How many kept contexts each unit of workspace weight has; 0 for prompts without one. */
+	/** Number of reusable contexts for each unit of workspace weight; 0 for prompts without one. */
 	contextsPerWeight: z.number().nonnegative(),
 	contextTokens: z.tuple([z.number(), z.number()]),
 	questionTokens: z.tuple([z.number(), z.number()]),
 	outputTokens: z.tuple([z.number(), z.number()]),
-	/** How unevenly the contexts are asked for; 0 is even. */
+	/** Exponent of the contexts' popularity (Zipf); 0 makes all contexts equally popular. */
 	skew: z.number().nonnegative(),
-	/** Contexts are shared with the class of this name. */
+	/** Name of the class whose contexts this class uses; its own when absent. */
 	contextsOf: z.string().optional(),
 });
 
@@ -45,7 +45,7 @@
 	dataCentres: z.number().int().positive(),
 	betweenDataCentresMilliseconds: z.number(),
 	clientMilliseconds: z.number(),
-	/** Share of the kept contexts that were used hours before the run, so that a policy which saves has them in a store. */
+	/** Share of the contexts that were used hours before the run, so that a policy which saves blocks has them in a store. */
 	usedBeforeShare: z.number().min(0).max(1),
 	loadReport: z.object({everyMilliseconds: z.number(), lagMilliseconds: z.number()}),
 	cacheEvents: z.object({lagMilliseconds: z.number(), lostShare: z.number()}),
@@ -55,7 +55,7 @@
 	classes: z.array(classSchema),
 });
 
-/** A workload as its file gives it. */
+/** The content of a workload file. */
 export type Workload = z.infer<typeof workloadSchema>;
-/** One kind of request in a workload. */
+/** One class of requests in a workload. */
 export type WorkloadClass = z.infer<typeof classSchema>;
