--- a/src/bench/bench-changes.ts
+++ b/src/bench/bench-changes.ts
@@ -1,13 +1,13 @@
-/** Configuration changes of ordinary size for benches and tests. */
+/** Configuration changes of ordinary size for benchmarks and tests. */
 import {changeDigest} from '../protocol/configuration/change-digest.js';
 import {type ConfigurationState} from '../protocol/configuration/configuration-state.js';
 import {type ConfigurationChange} from '../shared/types.js';
 
 /**
- * Makes the next change: one workspace set anew.
+ * Creates the next change, which sets one workspace.
  *
- * @param state - The configuration that it follows.
- * @param number - Decides which workspace it is.
+ * @param state - The configuration that the change is based on.
+ * @param number - Selects the workspace.
  * @returns The change.
  */
 export function changeOf(state: ConfigurationState, number: number): ConfigurationChange {
--- a/src/bench/bench-reports.ts
+++ b/src/bench/bench-reports.ts
@@ -1,7 +1,7 @@
-/** Load reports for benches and tests. */
+/** Load reports for benchmarks and tests. */
 import {type LoadReport} from '../ports/model-engine.js';
 
-/** The report of an engine that does nothing. */
+/** The report of an idle engine. */
 export const idleReport: LoadReport = {
 	model: 'permit-model',
 	weightVersion: '2026-11',
@@ -18,10 +18,10 @@
 };
 
 /**
- * Gives the report of a busy engine.
+ * Creates the report of a busy engine.
  *
- * @param random - Gives numbers from 0 up to 1.
- * @returns A report with numbers that change from one to the next.
+ * @param random - Returns numbers from 0 to 1, 1 excluded.
+ * @returns A report with random load figures.
  */
 export function busyReport(random: () => number): LoadReport {
 	return {
--- a/src/bench/capacity/capacity-page.test.ts
+++ b/src/bench/capacity/capacity-page.test.ts
@@ -7,16 +7,16 @@
 
 const data = JSON.parse(readFileSync(slopesFile, 'utf8')) as SlopesData;
 
-test('the capacity page agrees with the data file', () => {
+test('the tables of the capacity page are up to date with the data file', () => {
 	const page = readFileSync(capacityPage, 'utf8');
 	assert.equal(withTables(page, data), page, 'run `npm run docs:capacity`');
 });
 
-test('the slopes of the data file are those of its runs', () => {
+test('the slopes of the data file are those computed from its runs', () => {
 	assert.deepEqual(structuredClone(slopesOf(data.runs)), data.slopes);
 });
 
-test('no row is called carried that is over its bound, and each names runs that there are', () => {
+test('rows over their bound are not marked as carried, and every named run exists', () => {
 	const ids = new Set(data.runs.map(({id}) => id));
 	for (const row of capacityRows(data)) {
 		assert.ok(row.status === 'not carried yet' || row.value <= row.bound, `${row.role}: ${row.quantity} is ${row.value}, over ${row.bound}`);
--- a/src/bench/capacity/capacity-page.ts
+++ b/src/bench/capacity/capacity-page.ts
@@ -1,10 +1,10 @@
-/** Writes the tables of docs/CAPACITY.md into the page, between marks; all else on the page is written by hand. */
+/** Generates the tables of docs/CAPACITY.md between marks of the page; the rest of the page is written by hand. */
 import {type SlopesData} from '../slopes/slopes-data.js';
 import {type CapacityRow} from './capacity-row.js';
 import {capacityRows} from './capacity-rows.js';
 import {targetLines} from './target-lines.js';
 
-/** Where the page stands. */
+/** Path of the page. */
 export const capacityPage = 'docs/CAPACITY.md';
 
 /** Thrown when the page lacks a mark. */
@@ -13,11 +13,12 @@
 }
 
 /**
- * Puts the tables into the page.
+ * Replaces the tables of the page.
  *
- * @param page - The page as it stands.
- * @param data - The data file of the slopes bench.
- * @returns The page with its tables worked out anew.
+ * @param page - The current text of the page.
+ * @param data - The data file of the slopes benchmark.
+ * @returns The page with tables computed from the data.
+ * @throws `MarkMissingError` if the page lacks a mark.
  */
 export function withTables(page: string, data: SlopesData): string {
 	const tables = {
@@ -28,7 +29,7 @@
 		const [begin, end] = [`<!-- begin ${name} -->`, `<!-- end ${name} -->`];
 		const [from, to] = [result.indexOf(begin), result.indexOf(end)];
 		if (from === -1 || to < from) {
-			throw new MarkMissingError(`${begin} and ${end} are not on the page`);
+			throw new MarkMissingError(`the page must contain ${begin} and, after it, ${end}`);
 		}
 
 		result = `${result.slice(0, from + begin.length)}\n${table}\n${result.slice(to)}`;
--- a/src/bench/capacity/capacity-row.ts
+++ b/src/bench/capacity/capacity-row.ts
@@ -1,22 +1,22 @@
-/** A row of docs/CAPACITY.md, and how rows read the measured slopes. */
+/** A row of docs/CAPACITY.md, and access to the measured slopes for rows. */
 import {type Line} from '../slopes/fit-line.js';
 import {type SlopesData} from '../slopes/slopes-data.js';
 
-/** Whether the target is carried by what stands today. */
+/** Whether the present implementation meets the target. */
 export type CapacityStatus = 'carried' | 'not carried yet';
 
-/** One row. */
+/** One row of the table. */
 export type CapacityRow = {
 	role: string;
 	quantity: string;
 	formula: string;
-	/** The slope or figure that the formula uses, as shown. */
+	/** The slope or figure that the formula uses, formatted for the page. */
 	slope: string;
 	value: number;
 	bound: number;
 	unit: string;
 	status: CapacityStatus;
-	/** What carries it, or what has to change. */
+	/** The mechanism that meets the target, or the change that is needed for it. */
 	mechanism: string;
 	runs: string;
 };
@@ -30,9 +30,9 @@
 };
 
 /**
- * Gives the figures of a data file.
+ * Returns accessors to the figures of a data file.
  *
- * @param data - The data file of the slopes bench.
+ * @param data - The data file of the slopes benchmark.
  */
 export function figuresOf(data: SlopesData): Figures {
 	return {
--- a/src/bench/capacity/capacity-rows.ts
+++ b/src/bench/capacity/capacity-rows.ts
@@ -1,5 +1,5 @@
 /**
- * The rows of docs/CAPACITY.md: what each role costs at the target size, worked out from the measured slopes. Each row
+ * The rows of docs/CAPACITY.md: the cost of each role at the target size, computed from the measured slopes. Each row
  * names the runs that its figures come from.
  */
 import {type SlopesData} from '../slopes/slopes-data.js';
@@ -12,10 +12,10 @@
 import {totalRows} from './total-rows.js';
 
 /**
- * Works out all rows.
+ * Computes all rows.
  *
- * @param data - The data file of the slopes bench.
- * @returns The rows, by role.
+ * @param data - The data file of the slopes benchmark.
+ * @returns The rows, grouped by role.
  */
 export function capacityRows(data: SlopesData): CapacityRow[] {
 	const figures = figuresOf(data);
--- a/src/bench/capacity/capacity-target.ts
+++ b/src/bench/capacity/capacity-target.ts
@@ -1,6 +1,6 @@
-/** The target size that docs/CAPACITY.md answers, and what its formulas share. */
+/** The target size of docs/CAPACITY.md, and constants that several formulas use. */
 
-/** The target size, and what follows from it by division alone. */
+/** The target size, and figures derived from it by division. */
 export const target = {
 	daemons: 760,
 	dataCentres: 8,
@@ -19,16 +19,16 @@
 	memoryBytes: 32 * 1024 * 1024,
 	bytesPerSecond: 4096,
 	tableReads: 2000,
-	/** As the budget of claims counts it. */
+	/** The same figure as in the budget of claims. */
 	tableWrites: 400,
 	everywhereMilliseconds: 3000,
 } as const;
 
-/** Microseconds of processor time in a second that make one per cent of a core. */
+/** Microseconds of processor time a second that are one per cent of a core. */
 export const microsecondsPerPercent = 10_000;
 
-/** Changes that each daemon keeps for peers that are behind. */
+/** Number of changes that each daemon retains for peers that lag behind. */
 export const keptChanges = 1024;
 
-/** How long changes were made in the runs that measure what they hold. */
+/** For how long changes were made in the runs that measure their memory. */
 export const changesMeasuredSeconds = 8.5;
--- a/src/bench/capacity/data-path-rows.ts
+++ b/src/bench/capacity/data-path-rows.ts
@@ -1,4 +1,4 @@
-/** The row of docs/CAPACITY.md for answers on their way to callers. */
+/** The row of docs/CAPACITY.md for the data path: answers that an entry relays to callers. */
 import {type CapacityRow, type Figures} from './capacity-row.js';
 import {target} from './capacity-target.js';
 
--- a/src/bench/capacity/knowledge-rows.ts
+++ b/src/bench/capacity/knowledge-rows.ts
@@ -1,4 +1,4 @@
-/** The rows of docs/CAPACITY.md for the knowledge of load. */
+/** The rows of docs/CAPACITY.md for load gossip and polls of the endpoints' load. */
 import {type CapacityRow, type Figures} from './capacity-row.js';
 import {microsecondsPerPercent, target} from './capacity-target.js';
 
--- a/src/bench/capacity/main.ts
+++ b/src/bench/capacity/main.ts
@@ -1,8 +1,8 @@
-/** `npm run docs:capacity`: works the tables of docs/CAPACITY.md out from the data file of the slopes bench. */
+/** `npm run docs:capacity`: generates the tables of docs/CAPACITY.md from the data file of the slopes benchmark. */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {type SlopesData, slopesFile} from '../slopes/slopes-data.js';
 import {capacityPage, withTables} from './capacity-page.js';
 
 const data = JSON.parse(readFileSync(slopesFile, 'utf8')) as SlopesData;
 writeFileSync(capacityPage, withTables(readFileSync(capacityPage, 'utf8'), data));
-console.log(`${capacityPage} is worked out from ${slopesFile}`);
+console.log(`wrote the tables of ${capacityPage} from ${slopesFile}`);
--- a/src/bench/capacity/other-rows.ts
+++ b/src/bench/capacity/other-rows.ts
@@ -1,4 +1,4 @@
-/** The rows of docs/CAPACITY.md for the cache directory, claims and the time line. */
+/** The rows of docs/CAPACITY.md for the cache directory, claims and the timeline of events. */
 import {type CapacityRow, type Figures} from './capacity-row.js';
 import {target} from './capacity-target.js';
 
--- a/src/bench/capacity/target-lines.ts
+++ b/src/bench/capacity/target-lines.ts
@@ -1,4 +1,4 @@
-/** Every line of the target, whether it is carried, and by what. docs/CAPACITY.md shows them in this order. */
+/** Every line of the target, its status and the mechanism behind it. docs/CAPACITY.md shows them in this order. */
 import {type CapacityStatus} from './capacity-row.js';
 
 /** One line of the target. */
--- a/src/bench/capacity/total-rows.ts
+++ b/src/bench/capacity/total-rows.ts
@@ -1,4 +1,4 @@
-/** The rows of docs/CAPACITY.md that add up what control takes in one daemon. */
+/** The rows of docs/CAPACITY.md that add up the cost of the control part of one daemon. */
 import {type CapacityRow, type Figures} from './capacity-row.js';
 import {
 	changesMeasuredSeconds, keptChanges, microsecondsPerPercent, target,
--- a/src/bench/log-cost/main.ts
+++ b/src/bench/log-cost/main.ts
@@ -1,11 +1,12 @@
 /**
- * `npm run --silent bench:log | cat > /dev/null`: what the log costs a gateway in processor time, against none.
+ * `npm run --silent bench:log | cat > /dev/null`: measures the processor time that logging adds to a gateway.
  *
- * A caller sends short requests as fast as they are answered, in turns straight to the endpoint, through the gateway without
- * a log, with the log as it is, and with every line written, which no bound allows. Caller, endpoint and gateway share this
- * process, so what the first turn takes is subtracted from the others. Lines go to standard output and the report to
- * standard error. A loop that only writes lines would tell a quarter to a half of the cost: between requests each write
- * wakes the reader and finds the processor's caches cold.
+ * A caller sends short requests as fast as they are answered, in four alternating variants: straight to the endpoint,
+ * through the gateway without a log, through the gateway with the log as it is, and with every line written, which the
+ * log's bounds don't allow otherwise. Caller, endpoint and gateway share this process, so the cost of the first variant is
+ * subtracted from the others. Lines go to standard output and the report to standard error. A loop that only writes lines
+ * would show only a quarter to a half of the cost: between requests each write wakes the reader and finds the processor's
+ * caches cold.
  */
 import {Agent, request as sendRequest} from 'node:http';
 import process from 'node:process';
@@ -34,7 +35,7 @@
 	});
 }
 
-/** Gives microseconds of processor time for each request. */
+/** Runs one round and returns microseconds of processor time per request. */
 async function costOfRound(agent: Agent, address: string): Promise<number> {
 	const start = process.cpuUsage();
 	for (let sent = 0; sent < requestsInRound; sent += requestsAtOnce) {
@@ -47,11 +48,11 @@
 
 class NoLog extends DecisionLog {
 	override record(): void {
-		// Nothing is written, counted or bounded; the fields of a line are still made, some microseconds a request.
+		// Nothing is written, counted or bounded. The fields of a line are still built, which takes some microseconds a request.
 	}
 }
 
-/** A log that takes each line for the only one of its second, so that its bounds leave out none. */
+/** Returns a log whose clock advances by a second with each line, so that the limits per second never drop a line. */
 function unboundedLog(): DecisionLog {
 	let now = Date.UTC(2000);
 	return new DecisionLog(process.stdout, {instance: 'front-zone-1'}, () => {
@@ -78,14 +79,14 @@
 	for (const [turn, {address, log}] of Object.entries(turns) as Array<[Turn, {address: string; log: DecisionLog}]>) {
 		gateway.context.log = log;
 		const cost = await costOfRound(agent, address);
-		// The first round compiles.
+		// The first round is a warm-up (JIT compilation) and isn't counted.
 		costs.set(turn, round === 0 ? [] : [...costs.get(turn)!, cost]);
 	}
 }
 
 agent.destroy();
 await gateway.close();
-// Differences within a round: the machine's other load changes from round to round more than the log costs.
+// The difference is taken within each round, since other load on the machine varies between rounds by more than the log costs.
 const medianBetween = (turn: Turn, base: Turn): number => quantileOf(costs.get(turn)!.map((cost, round) => cost - costs.get(base)![round]!), 0.5);
 const own = medianBetween('without a log', 'straight');
 console.error(`the gateway without a log: ${own.toFixed(0)} µs of processor time a request (median of ${rounds} rounds of ${requestsInRound} requests)`);
--- a/src/bench/slopes/bench-daemon.ts
+++ b/src/bench/slopes/bench-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The control part of one entry without its data path: peers over TCP, and endpoints whose reports are made up here, so
- * that processor time and bytes are those of control alone.
+ * The control part of one entry without its data path: peers over TCP, and endpoints whose load reports are generated
+ * here, so that only the processor time and bytes of control are measured.
  */
 import {systemClock} from '../../adapters/system-clock.js';
 import {stateOfSnapshot} from '../../peer/configuration/configuration-snapshot.js';
@@ -21,9 +21,9 @@
 	readonly #reportsPerSecond: number;
 
 	/**
-	 * @param name - Of the instance.
-	 * @param dataCentre - Its data centre.
-	 * @param reportsPerSecond - How often each owned endpoint reports.
+	 * @param name - Name of the instance.
+	 * @param dataCentre - Data centre of the instance.
+	 * @param reportsPerSecond - Load reports a second of each owned endpoint.
 	 */
 	constructor(name: string, dataCentre: string, reportsPerSecond: number) {
 		this.#name = name;
@@ -56,7 +56,7 @@
 		});
 	}
 
-	/** Starts; resolves with its line in the platform's list. */
+	/** Starts the daemon; resolves with its entry in the platform's list. */
 	async start(): Promise<ListedInstance> {
 		const peerAddress = await this.service.listen();
 		void this.service.run(this.#stop.signal);
@@ -66,14 +66,14 @@
 		};
 	}
 
-	/** Takes a change as if it had read it in the table. */
+	/** Applies and announces a change as if it had been read from the table. */
 	accept(change: ConfigurationChange): void {
 		if (this.keeper.offerChange(change) === undefined) {
 			this.service.announceChange(change);
 		}
 	}
 
-	/** Ends; its links break and nobody is told by it. */
+	/** Stops the daemon: its links break, and it doesn't announce its end. */
 	stop(): void {
 		this.#stop.abort();
 	}
--- a/src/bench/slopes/data-path-run.ts
+++ b/src/bench/slopes/data-path-run.ts
@@ -1,4 +1,4 @@
-/** Measures what serving costs an entry process: processor time for a request, by the tokens of its answer. */
+/** Measures the processor time that an entry process spends on a request, by the number of tokens in the answer. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as delay} from 'node:timers/promises';
 import {request} from 'undici';
@@ -16,13 +16,13 @@
 const clockTicksPerSecond = 100;
 const waitMilliseconds = 50;
 
-/** What one request cost the entry. */
+/** Processor time of the entry per request, and how many of the requests were served. */
 export type DataPathCost = {processorMilliseconds: number; served: number; asked: number};
 
 /**
  * Sends prompts through one entry process.
  *
- * @param tokensOf - For each run, the tokens of its answers.
+ * @param tokensOf - Number of tokens in each answer, one figure for each run.
  * @returns The cost of each run, in order.
  */
 export async function runDataPath(tokensOf: readonly number[]): Promise<DataPathCost[]> {
@@ -70,7 +70,7 @@
 	return {processorMilliseconds: (processorMilliseconds(pid) - before) / asked, served, asked};
 }
 
-/** The processor time of a process, user and system, from the kernel's own count. */
+/** Returns the user and system time of a process in milliseconds, as the Linux kernel counts it. */
 function processorMilliseconds(pid: number): number {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ').at(-1)!.split(' ');
 	return (Number(fields[11]) + Number(fields[12])) * 1000 / clockTicksPerSecond;
--- a/src/bench/slopes/event-bytes.ts
+++ b/src/bench/slopes/event-bytes.ts
@@ -2,7 +2,7 @@
 import {type TimelineEvent} from '../../observability/timeline-event.js';
 
 /**
- * Gives the size of an ordinary event of the time line on the wire.
+ * Returns the encoded size of a typical timeline event.
  *
  * @returns Bytes.
  */
--- a/src/bench/slopes/fit-line.test.ts
+++ b/src/bench/slopes/fit-line.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {fitLine} from './fit-line.js';
 
-test('a line through exact points has no error, and scatter shows in it', () => {
+test('exact points give a slope error of 0, scattered points a positive one', () => {
 	assert.deepEqual(fitLine([{x: 1, y: 3}, {x: 2, y: 5}, {x: 3, y: 7}]), {
 		intercept: 1, slope: 2, slopeError: 0, points: 3,
 	});
--- a/src/bench/slopes/held-bytes.ts
+++ b/src/bench/slopes/held-bytes.ts
@@ -1,13 +1,13 @@
 import process from 'node:process';
 
 /**
- * Gives the memory that live objects hold: the JavaScript heap after a collection, and buffers outside of it. What the
- * runtime itself takes, and what the kernel keeps for sockets, is not in it.
+ * Returns the memory of live objects: the JavaScript heap after garbage collection, and buffers outside the heap. Memory of
+ * the runtime itself and of the kernel's sockets isn't included. Needs `--expose-gc`.
  *
  * @returns Bytes.
  */
 export function heldBytes(): number {
-	// The first collection may only finish one that was under way; the last one sees everything that is free.
+	// The first collection may only finish one that is already in progress; the last one frees everything unreachable.
 	for (let round = 0; round < 3; round++) {
 		globalThis.gc?.();
 	}
--- a/src/bench/slopes/main.ts
+++ b/src/bench/slopes/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:slopes`: measures what control costs a daemon at several sizes, and writes the data file and the plots
- * that docs/CAPACITY.md rests on. `--quick` measures fewer sizes for less time, and writes nothing.
+ * `npm run bench:slopes`: measures the cost of control in a daemon at several sizes, and writes the data file and the plots
+ * that docs/CAPACITY.md is based on. `--quick` measures fewer sizes for a shorter time and writes nothing.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import process from 'node:process';
--- a/src/bench/slopes/measure-state.ts
+++ b/src/bench/slopes/measure-state.ts
@@ -1,4 +1,4 @@
-/** Memory and processor time of the state that one daemon keeps, at a given size. */
+/** Measures the memory and processor time of state in one daemon, at a given size. */
 import process from 'node:process';
 import {CachedPrefixes} from '../../decision/cache/cached-prefixes.js';
 import {type LoadSummary} from '../../peer/message/peer-message.js';
@@ -17,16 +17,16 @@
 const rounds = 20;
 const piecesPerHolder = 4000;
 
-/** What a state of that size costs: bytes held, and processor time of its ordinary step. */
+/** The cost of a state: the bytes that it holds, and the mean processor time of a typical step. */
 export type StateCost = {heldBytes: number; processorMicroseconds: number};
 
 type Kept = {kept: unknown; step(): void};
 
 /**
- * Measures one state.
+ * Builds and measures one state. A step applies the list (servers), adds a block (prompts) or applies a change (workspaces).
  *
- * @param size - What it is, and how much of it.
- * @returns Its cost: a step is taking the list (servers), learning of a piece (prompts), or applying a change (workspaces).
+ * @param size - Kind and size of the state.
+ * @returns The cost of the state.
  */
 export function measureState(size: StateSize): StateCost {
 	const before = heldBytes();
@@ -42,7 +42,7 @@
 	return {heldBytes: kept === undefined ? 0 : held, processorMicroseconds: (user + system) / rounds};
 }
 
-/** The servers of a data centre as one of its 95 daemons keeps them: all by name, those of its cell with their load. */
+/** Builds the state of one of 95 daemons about the servers of its data centre: all by name, those of its cell with their load. */
 function keepServers(count: number): Kept {
 	const membership = new Membership({
 		name: 'entry-0', dataCentre: 'split', peerAddress: '', incarnation: 1,
@@ -71,7 +71,7 @@
 	return {kept: [membership, knowledge], step: take};
 }
 
-/** Where kept prefixes are, as routing keeps them: every piece at one holder. */
+/** Builds the directory of cached prefixes that routing uses, with each block at one holder. */
 function keepPrompts(count: number): Kept {
 	const prefixes = new CachedPrefixes();
 	for (let index = 0; index < count; index++) {
--- a/src/bench/slopes/peer-run.ts
+++ b/src/bench/slopes/peer-run.ts
@@ -1,4 +1,4 @@
-/** Runs daemons over real TCP in a few worker processes and measures what control costs each of them. */
+/** Runs daemons over TCP in several worker processes and measures the cost of control in each daemon. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {applyChange} from '../../protocol/configuration/apply-change.js';
 import {type ConfigurationState, emptyConfiguration} from '../../protocol/configuration/configuration-state.js';
@@ -12,7 +12,7 @@
 const lastChangeMilliseconds = 1500;
 const dataCentre = 'split';
 
-/** What is run. */
+/** Sizes and rates of one run. */
 export type PeerRunPlan = {
 	daemons: number;
 	serversPerDaemon: number;
@@ -21,7 +21,7 @@
 	measureMilliseconds: number;
 };
 
-/** What one daemon spends, averaged over all, and how fast a change was in force in all. */
+/** The cost of a daemon, averaged over all daemons, and the time until changes were in force everywhere. */
 export type PeerRunResult = {
 	processorPercent: number;
 	heldBytes: number;
@@ -39,10 +39,10 @@
 };
 
 /**
- * Runs one plan.
+ * Runs one plan in worker processes of its own.
  *
  * @param plan - Sizes and rates.
- * @returns What was measured.
+ * @returns The measured costs.
  */
 export async function runPeers(plan: PeerRunPlan): Promise<PeerRunResult> {
 	const workers = Array.from({length: Math.ceil(plan.daemons / daemonsPerWorker)}, () => new WorkerProcess());
--- a/src/bench/slopes/poll-run.ts
+++ b/src/bench/slopes/poll-run.ts
@@ -1,4 +1,4 @@
-/** Measures what one poll over HTTP costs: bytes both ways at the socket, and processor time of the asker. */
+/** Measures the cost of one poll over HTTP: bytes in both directions on the socket, and processor time of the polling process. */
 import {type Socket} from 'node:net';
 import {createInstanceListStandIn} from '../../stand-in/instance-list-stand-in.js';
 import {ModelEngineStandIn} from '../../stand-in/model-engine-stand-in.js';
@@ -11,10 +11,10 @@
 
 const listTimeoutMilliseconds = 10_000;
 
-/** What one poll costs. */
+/** The cost of one poll. */
 export type PollCost = {bytes: number; processorMicroseconds: number};
 
-/** Polls an engine's load. */
+/** Measures polls of an engine's load. */
 export async function runLoadPolls(polls: number): Promise<PollCost> {
 	const engine = new ModelEngineStandIn({
 		model: 'permit-model', weightVersion: '2026-11', prefillTokensPerSecond: 9000, millisecondsPerToken: 10, cachePieces: 10, batchLimit: 32,
@@ -22,12 +22,12 @@
 	return countPolls(engine, 'load', polls, async () => undefined);
 }
 
-/** Polls the table for changes when there are none. */
+/** Measures polls of the table for changes while there are none. */
 export async function runTablePolls(polls: number): Promise<PollCost> {
 	return countPolls(createTableServiceStandIn(), 'table', polls, async () => undefined);
 }
 
-/** Polls the platform's list with so many instances. */
+/** Measures polls of the platform's list with `count` instances. */
 export async function runListPolls(count: number, polls: number): Promise<PollCost> {
 	const instances: ListedInstance[] = Array.from({length: count}, (_, index) => ({
 		name: `split-engine-${index}`, role: 'model-engine', dataCentre: 'split-riva', service: 'permits', address: '10.12.14.16:8080', peerAddress: '', state: 'live',
--- a/src/bench/slopes/slopes-data.ts
+++ b/src/bench/slopes/slopes-data.ts
@@ -1,11 +1,11 @@
-/** The data file of the slopes bench. docs/CAPACITY.md is worked out from it. */
+/** The data file of the slopes benchmark. The tables of docs/CAPACITY.md are generated from it. */
 import {fitLine, type Line} from './fit-line.js';
 
-/** Where the data file and its plots stand. */
+/** Folder of the data file and its plots. */
 export const slopesFolder = 'docs/measurements/data';
 export const slopesFile = `${slopesFolder}/slopes.json`;
 
-/** One measured run: a series, the size that was varied, and what came out. */
+/** One measured run: its series, the size that the series varies, and the measured values. */
 export type SlopesRun = {
 	id: string;
 	series: string;
@@ -14,21 +14,21 @@
 	values: Record<string, number>;
 };
 
-/** The data file. */
+/** The content of the data file. */
 export type SlopesData = {
 	command: string;
 	conditions: string;
 	node: string;
 	runs: SlopesRun[];
-	/** Lines by `series.value`. */
+	/** Fitted lines by `series.value`. */
 	slopes: Record<string, Line>;
 };
 
 /**
- * Fits a line to each value of each series with more than one size.
+ * Fits a line to each value of each series that has more than one run.
  *
  * @param runs - All runs.
- * @returns Lines by `series.value`.
+ * @returns Fitted lines by `series.value`.
  */
 export function slopesOf(runs: readonly SlopesRun[]): Record<string, Line> {
 	const slopes: Record<string, Line> = {};
--- a/src/bench/slopes/svg-plot.ts
+++ b/src/bench/slopes/svg-plot.ts
@@ -1,11 +1,11 @@
-/** Draws measured points and their line as an SVG picture, for docs. */
+/** Draws measured points and their fitted line as an SVG image for the documentation. */
 import {type Line, type Point} from './fit-line.js';
 
 const width = 480;
 const height = 300;
 const margin = 60;
 
-/** What a plot shows. */
+/** The content of a plot. */
 export type Plot = {title: string; xLabel: string; yLabel: string; points: readonly Point[]; line: Line};
 
 /**
--- a/src/bench/slopes/worker-messages.ts
+++ b/src/bench/slopes/worker-messages.ts
@@ -1,7 +1,7 @@
-/** What the slopes bench and its worker processes say to each other. */
+/** Messages between the slopes benchmark and its worker processes. */
 import {type ConfigurationChange, type ListedInstance} from '../../shared/types.js';
 
-/** From the bench. */
+/** Commands from the benchmark to a worker. */
 export type WorkerOrder
 	= | {kind: 'start'; names: string[]; dataCentre: string; reportsPerSecond: number}
 		| {kind: 'list'; instances: ListedInstance[]}
@@ -12,13 +12,13 @@
 		| {kind: 'state'; size: StateSize}
 		| {kind: 'poll'; address: string; polls: number; path: PollPath};
 
-/** What is polled. */
+/** The resource that is polled. */
 export type PollPath = 'load' | 'list' | 'table';
 
-/** One measurement of memory and processor time for state of a given size. */
+/** Kind and size of a state whose memory and processor time are measured. */
 export type StateSize = {of: 'servers' | 'prompts' | 'workspaces'; count: number};
 
-/** What a worker counted since the last reset, over all of its daemons. */
+/** Measurements of a worker since the last reset, over all of its daemons. */
 export type WorkerMeasure = {
 	daemons: number;
 	wallMilliseconds: number;
@@ -33,11 +33,11 @@
 	ownedEndpoints: number;
 	knownEndpoints: number;
 	live: number[];
-	/** For each version, when the last daemon of this worker had it in force. */
+	/** For each version, when it came into force in the last daemon of this worker, and in how many daemons. */
 	inForceAt: Array<{version: number; at: number; daemons: number}>;
 };
 
-/** To the bench. */
+/** Responses from a worker to the benchmark. */
 export type WorkerAnswer
 	= | {kind: 'started'; instances: ListedInstance[]}
 		| {kind: 'done'}
--- a/src/bench/slopes/worker-process.ts
+++ b/src/bench/slopes/worker-process.ts
@@ -1,4 +1,4 @@
-/** One worker of the slopes bench as the bench sees it: it answers one order at a time. */
+/** A worker process of the slopes benchmark, seen from the benchmark. It handles one command at a time. */
 import {type ChildProcess, fork} from 'node:child_process';
 import {once} from 'node:events';
 import {fileURLToPath} from 'node:url';
@@ -10,7 +10,7 @@
 	readonly #child: ChildProcess = fork(workerPath, {execArgv: ['--expose-gc'], serialization: 'advanced'});
 	#last: Promise<unknown> = Promise.resolve();
 
-	/** Gives an order and its answer; orders are answered in turn. */
+	/** Sends a command and resolves with its response. Commands are queued and sent one after the other. */
 	async ask<Kind extends WorkerAnswer['kind']>(order: WorkerOrder, _expected: Kind): Promise<Extract<WorkerAnswer, {kind: Kind}>> {
 		const answer = this.#last.then(async () => {
 			const next = once(this.#child, 'message');
@@ -22,7 +22,7 @@
 		return await answer as Extract<WorkerAnswer, {kind: Kind}>;
 	}
 
-	/** Ends the process. */
+	/** Kills the process and waits for its end. */
 	async stop(): Promise<void> {
 		const ended = once(this.#child, 'exit');
 		this.#child.kill('SIGKILL');
--- a/src/bench/slopes/worker.ts
+++ b/src/bench/slopes/worker.ts
@@ -1,4 +1,4 @@
-/** One worker process of the slopes bench: several daemons, or one measurement of state or of polls. */
+/** A worker process of the slopes benchmark. It runs several daemons, or one measurement of state or polls. */
 import process from 'node:process';
 import {HttpInstanceList} from '../../adapters/http-instance-list.js';
 import {HttpTableService} from '../../adapters/http-table-service.js';
--- a/src/bench/virtual-peers.ts
+++ b/src/bench/virtual-peers.ts
@@ -1,6 +1,6 @@
 /**
- * Peers in virtual time: `PeerNode`s whose messages travel in memory, with instances that can be killed, paused and cut
- * off. It stands in for the links alone; each node is the code that the entry runs. Messages are encoded to count bytes.
+ * Peers in virtual time: `PeerNode`s whose messages are passed in memory, with instances that can be killed, paused and
+ * partitioned. Only the links are simulated; each node runs the code of the entry. Messages are encoded to count bytes.
  */
 import {type ReceivedLoad} from '../peer/load/load-gossip.js';
 import {stateOfSnapshot} from '../peer/configuration/configuration-snapshot.js';
@@ -16,7 +16,7 @@
 
 const tickMilliseconds = 100;
 
-/** One peer with what was seen at it. */
+/** One peer, with its links, the loads that it received, its membership events and its traffic. */
 export type VirtualPeer = {
 	listed: ListedInstance;
 	node: PeerNode;
@@ -32,7 +32,7 @@
 	nextTickAt: number;
 };
 
-/** A configuration in memory that remembers when each version came into force. */
+/** A configuration in memory that records when each version came into force. */
 export class VirtualKeeper implements ReplicatedConfiguration {
 	state: ConfigurationState = emptyConfiguration;
 	readonly inForceAt = new Map<number, number>();
@@ -63,12 +63,12 @@
 export class VirtualPeers {
 	now = 1_000_000;
 	readonly peers = new Map<string, VirtualPeer>();
-	/** Share of messages that are lost on their way. */
+	/** Share of messages that are lost, from 0 to 1. */
 	loss = 0;
 	latencyMilliseconds = 1;
-	/** Called for each running peer in each step, for what its watchers would do. */
+	/** Called for each running peer in each step, in place of the instance's own polling of the platform. */
 	onStep: ((peer: VirtualPeer) => void) | undefined;
-	/** Length of a step; longer ones make long runs cheap. */
+	/** Length of a step; longer steps make long runs faster. */
 	stepMilliseconds = 5;
 	readonly #random: () => number;
 	readonly #mode: FanoutMode;
@@ -76,9 +76,9 @@
 	#inFlight: InFlight[] = [];
 
 	/**
-	 * @param seed - Of all randomness.
-	 * @param mode - How configuration spreads.
-	 * @param backoffMilliseconds - The longest random wait before an ask.
+	 * @param seed - Seed of all random choices.
+	 * @param mode - How configuration changes are distributed.
+	 * @param backoffMilliseconds - Maximum random delay before a query.
 	 */
 	constructor(seed: number, mode: FanoutMode = 'announce', backoffMilliseconds = queryBackoffMilliseconds) {
 		this.#backoffMilliseconds = backoffMilliseconds;
@@ -86,7 +86,7 @@
 		this.#mode = mode;
 	}
 
-	/** Starts a peer; it knows nobody until it gets the list. */
+	/** Starts a peer; it has no other members until it receives the list. */
 	start(name: string, dataCentre: string): VirtualPeer {
 		const listed: ListedInstance = {
 			name, role: 'entry', dataCentre, service: '', address: name, peerAddress: name, state: 'live',
@@ -136,14 +136,14 @@
 		return peer;
 	}
 
-	/** Starts peers and gives all of them the same list. */
+	/** Starts peers and passes the same list to all of them. */
 	startAll(names: ReadonlyArray<{name: string; dataCentre: string}>, endpoints: readonly ListedInstance[] = []): VirtualPeer[] {
 		const started = names.map(({name, dataCentre}) => this.start(name, dataCentre));
 		this.announce(endpoints);
 		return started;
 	}
 
-	/** Gives the list of running peers, and endpoints, to all running peers. */
+	/** Passes the list of the peers that were not killed, and of endpoints, to all running peers. */
 	announce(endpoints: readonly ListedInstance[] = []): void {
 		const list = [...[...this.peers.values()].filter(({state}) => state !== 'dead').map(({listed}) => listed), ...endpoints];
 		for (const {node, state} of this.peers.values()) {
@@ -157,13 +157,13 @@
 		return [...this.peers.values()].filter(({state}) => state === 'running');
 	}
 
-	/** Ends a peer without a word; its links break. */
+	/** Kills a peer: it sends no further message, and its links break. */
 	kill(name: string): void {
 		this.peers.get(name)!.state = 'dead';
 		this.#dropLinks(name);
 	}
 
-	/** Cuts peers off from all others: links between sides with different marks end, and none comes up. */
+	/** Partitions peers: links between peers with different marks end, and no new ones are established. */
 	cut(names: readonly string[], mark: string): void {
 		for (const name of names) {
 			this.peers.get(name)!.cut = mark;
@@ -179,7 +179,7 @@
 		}
 	}
 
-	/** Has a peer act at once, outside its tick. */
+	/** Sends messages of a peer immediately, outside its tick; those without a link are dropped. */
 	carry(peer: VirtualPeer, outgoing: readonly OutgoingMessage[]): void {
 		for (const {to, message} of outgoing) {
 			if (peer.links.has(to)) {
@@ -194,7 +194,7 @@
 		}
 	}
 
-	/** Lets time pass. */
+	/** Advances the virtual time step by step. */
 	run(milliseconds: number): void {
 		const end = this.now + milliseconds;
 		while (this.now < end) {
@@ -212,7 +212,7 @@
 		}
 	}
 
-	/** Runs until something holds; gives the milliseconds it took, or `undefined` after the limit. */
+	/** Runs until a condition holds; returns the milliseconds that it took, or `undefined` after the limit. */
 	runUntil(holds: () => boolean, limitMilliseconds: number): number | undefined {
 		const startedAt = this.now;
 		while (this.now - startedAt < limitMilliseconds) {
--- a/src/bench/virtual-platform.ts
+++ b/src/bench/virtual-platform.ts
@@ -1,4 +1,4 @@
-/** The platform's table and list for peers in virtual time: they can be down, and out of reach for some peers. */
+/** The platform's table and list for peers in virtual time. They can be down, or unreachable for partitioned peers. */
 import {PollSchedule} from '../peer/configuration/poll-schedule.js';
 import {seededRandom} from '../peer/random/seeded-random.js';
 import {hashOfText} from '../peer/ownership/rendezvous.js';
@@ -13,7 +13,7 @@
 
 export class VirtualPlatform {
 	isDown = false;
-	/** When each read of the table came, whether it was answered or not. */
+	/** Time of each read of the table, answered or not. */
 	readonly reads: number[] = [];
 	readonly listReads: number[] = [];
 	readonly #network: VirtualPeers;
@@ -23,8 +23,8 @@
 	readonly #watchers = new Map<string, Watcher>();
 
 	/**
-	 * @param network - The peers that read it.
-	 * @param endpoints - The endpoints on its list.
+	 * @param network - The peers that read the table and the list.
+	 * @param endpoints - The endpoints on the list.
 	 */
 	constructor(network: VirtualPeers, endpoints: readonly ListedInstance[]) {
 		this.#network = network;
@@ -34,19 +34,19 @@
 		};
 	}
 
-	/** The newest version in the table. */
+	/** The latest version in the table. */
 	get version(): number {
 		return this.#newest.state.version;
 	}
 
-	/** Accepts a change. */
+	/** Adds a change to the table. */
 	accept(): void {
 		const change = changeOf(this.#newest.state, this.version);
 		this.#newest.offerChange(change);
 		this.#changes.push(change);
 	}
 
-	/** The most reads within any second from a time on. */
+	/** Returns the maximum number of reads within any second after a time. */
 	mostReadsPerSecond(reads: readonly number[], from: number): number {
 		const later = reads.filter(at => at >= from);
 		return Math.max(0, ...later.map(at => later.filter(other => other >= at && other < at + 1000).length));
--- a/src/bench/weigh/entry-kill-run.ts
+++ b/src/bench/weigh/entry-kill-run.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:weigh -- entries`: 24 real entries in two data centres under prompts, a third of which is killed at
- * once: what callers lose, what the table sees, and the time line of the survivors.
+ * `npm run bench:weigh -- entries`: runs 24 entry processes in two data centres under load and kills a third of them at
+ * once. Measures the requests that callers lose, the reads of the table, and the recovery of the surviving entries.
  */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -19,7 +19,7 @@
 const pauseMilliseconds = 150;
 const lookMilliseconds = 100;
 
-/** What was seen; times in milliseconds from the kill on. */
+/** The measurements; times are in milliseconds since the kill. */
 export type EntryKillResult = {
 	survivors: number;
 	promptsAtSurvivors: number;
@@ -33,7 +33,7 @@
 
 type PeersOverview = {ownedEndpoints: string[]; members: Array<{status: string}>};
 
-/** Runs it once. */
+/** Starts a deployment, kills a third of its entries and returns the measurements. */
 export async function runEntryKill(): Promise<EntryKillResult> {
 	const deployment = new Deployment({
 		dataCentres: ['split-riva', 'split-luka'],
--- a/src/bench/weigh/failures.ts
+++ b/src/bench/weigh/failures.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:weigh -- failures`: a third of a data centre dies, a data centre is cut off, the platform is away for
- * an hour, in virtual time with the code that the entry runs.
+ * `npm run bench:weigh -- failures`: simulates the death of a third of a data centre, the isolation of a data centre, and an
+ * outage of the platform for an hour, in virtual time with the peer code of the entry.
  */
 import {type ListedInstance} from '../../shared/types.js';
 import {type VirtualPeer, VirtualPeers} from '../virtual-peers.js';
@@ -19,7 +19,7 @@
 	return Array.from({length: count}, (_, index) => ({name: `${dataCentre}-entry-${index}`, dataCentre}));
 }
 
-/** What came of a third of 48 dying. Times in milliseconds from the death on. */
+/** The effects of killing a third of 48 instances; times are in milliseconds since the kill. */
 export type ThirdKilled = {
 	ownedAgain: number | undefined;
 	firstGone: number;
@@ -30,7 +30,7 @@
 	timeLine: Array<{at: number; gone: number; taken: number}>;
 };
 
-/** Kills each third of 48 instances at once. */
+/** Kills every third of 48 instances at once. */
 export function playThirdKilled(seed: number): ThirdKilled {
 	const endpoints = endpointsOf(96, 'split');
 	const network = new VirtualPeers(seed);
@@ -74,7 +74,7 @@
 	return [...slots].toSorted(([left], [right]) => left - right).map(([at, counts]) => ({at, ...counts}));
 }
 
-/** What came of a cut. Times in milliseconds from its end on. */
+/** The effects of an isolation; times are in milliseconds since its end. */
 export type CutOff = {
 	versionInside: number;
 	versionOutside: number;
@@ -84,7 +84,7 @@
 	membersAgain: number | undefined;
 };
 
-/** Cuts one of three data centres from the others and from the platform for two minutes; changes go on outside. */
+/** Isolates one of three data centres from the others and from the platform for two minutes; changes continue outside. */
 export function playCut(seed: number): CutOff {
 	const inside = namesOf(4, 'trogir');
 	const endpoints = [...endpointsOf(6, 'split'), ...endpointsOf(6, 'trogir'), ...endpointsOf(5, 'makarska')];
@@ -115,7 +115,7 @@
 	return {...outcome, newestAgain, membersAgain: membersAgain === undefined ? undefined : network.now - endedAt};
 }
 
-/** What came of the platform being away. */
+/** The effects of an outage of the platform. */
 export type Outage = {
 	readsPerSecondBefore: number;
 	readsPerSecondDuring: number;
@@ -125,7 +125,7 @@
 	liveDuring: number;
 };
 
-/** Takes the platform away from 30 instances, and brings it back with a change. */
+/** Simulates an outage of the platform for 30 instances; when it ends, a change is accepted. */
 export function playOutage(seed: number, minutes: number): Outage {
 	const network = new VirtualPeers(seed);
 	network.stepMilliseconds = 25;
--- a/src/bench/weigh/fanout.ts
+++ b/src/bench/weigh/fanout.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench:weigh -- fanout`: ways to spread configuration among the 95 instances of a data centre, in virtual
- * time: push to all neighbours, and announce and ask with and without the random wait, with and without lost messages.
+ * `npm run bench:weigh -- fanout`: compares strategies to distribute configuration changes among the 95 instances of a data
+ * centre, in virtual time: pushing to all neighbours, and announcing and querying with and without a random delay before
+ * the query. Each is run with and without lost messages.
  */
 import {type FanoutMode} from '../../peer/configuration/configuration-fanout.js';
 import {changeOf} from '../bench-changes.js';
@@ -12,10 +13,10 @@
 const settleMilliseconds = 12_000;
 const limitMilliseconds = 20_000;
 
-/** One way to spread changes. */
+/** One strategy to distribute changes, and the network that it is tested on. */
 export type FanoutWay = {mode: FanoutMode; backoffMilliseconds: number; loss: number; latencyMilliseconds: number};
 
-/** What it cost each daemon for each change, and how long a change took. */
+/** The cost of a strategy per daemon and change, and the times until a change is in force everywhere. */
 export type FanoutCost = {
 	bytesPerChange: number;
 	messagesPerChange: number;
@@ -26,11 +27,11 @@
 };
 
 /**
- * Plays one way.
+ * Simulates one strategy.
  *
- * @param way - How changes spread.
- * @param seed - Of all randomness.
- * @returns Its cost, the heartbeats that go on anyway taken off.
+ * @param way - The strategy and the network.
+ * @param seed - Seed of all random choices.
+ * @returns Its cost, without the heartbeats, which are measured in an idle run and subtracted.
  */
 export function playFanout(way: FanoutWay, seed: number): FanoutCost {
 	const idle = play(way, seed, 0);
--- a/src/bench/weigh/kill-run.ts
+++ b/src/bench/weigh/kill-run.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench:weigh -- kill`: 48 daemons over real TCP in three processes, one of which is killed. Control alone: the
- * daemons have no data path.
+ * `npm run bench:weigh -- kill`: runs 48 daemons over TCP in three processes and kills one of the processes. The daemons
+ * have the control part only, without a data path.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type ListedInstance} from '../../shared/types.js';
@@ -14,16 +14,16 @@
 const lookMilliseconds = 50;
 const limitMilliseconds = 20_000;
 
-/** What was seen, in milliseconds from the kill on. */
+/** The measurements; times are in milliseconds since the kill. */
 export type KillResult = {
 	ownedAgain: number | undefined;
 	oneView: number | undefined;
 	readers: number;
-	/** Endpoints owned among the survivors, and the least and most live members in a view, at each change. */
+	/** At each change: endpoints that the survivors own, and the minimum and maximum number of live members in a view. */
 	timeLine: Array<{at: number; owned: number; leastLive: number; mostLive: number}>;
 };
 
-/** Runs it once. */
+/** Starts the daemons, kills a third of them and returns the measurements of the survivors. */
 export async function runKill(): Promise<KillResult> {
 	const processes = Array.from({length: workers}, () => new WorkerProcess());
 	const [killed, ...survivors] = processes as [WorkerProcess, ...WorkerProcess[]];
--- a/src/bench/weigh/knowledge.ts
+++ b/src/bench/weigh/knowledge.ts
@@ -1,15 +1,16 @@
 /**
- * `npm run bench:weigh -- knowledge`: ways to know the endpoints' load, in virtual time: a data centre of daemons in
- * front of endpoints that batch up to a limit and then queue. Reported is what a way costs callers in waiting, against
- * perfect knowledge, and what it costs a daemon in bytes.
+ * `npm run bench:weigh -- knowledge`: compares strategies to share the endpoints' load, in virtual time, for a data centre of
+ * daemons in front of endpoints that batch requests up to a limit and queue the rest. Reports the time that requests
+ * wait, also with perfect knowledge of the load, and the bytes that a daemon sends.
  */
 import {encodeMessage} from '../../peer/message/message-codec.js';
 import {packedUpdateBytes} from '../../peer/message/packed-updates.js';
 import {seededRandom} from '../../peer/random/seeded-random.js';
 
 /**
- * A way to know and choose: perfect knowledge; all told to all; only the own cell; owners of two endpoints asked for
- * each request; none. `all` and `cell` take the least loaded; `all-two` and `cell-two` the better of two at random.
+ * A strategy to share load and choose an endpoint: perfect knowledge; reports from all daemons to all; reports within the
+ * cell only; a query to the owners of two endpoints for each request; none. `all` and `cell` choose the least loaded
+ * endpoint, `all-two` and `cell-two` the less loaded of two random ones.
  */
 export type KnowledgeWay = 'perfect' | 'all' | 'all-two' | 'cell' | 'cell-two' | 'ask-two' | 'none';
 
@@ -24,14 +25,14 @@
 const lengthMilliseconds = 60_000;
 const stepMilliseconds = 10;
 
-/** How many daemons and endpoints are played, and how often load is told in each way. */
+/** Number of daemons and endpoints, and the interval of load reports in each strategy (0: no reports). */
 export type KnowledgeSize = {
 	daemons: number;
 	endpoints: number;
 	tellMilliseconds: Record<KnowledgeWay, number>;
 };
 
-/** Half of a data centre of the target. */
+/** Half of a data centre of the target size. */
 export const targetSize: KnowledgeSize = {
 	daemons: 48,
 	endpoints: 768,
@@ -40,7 +41,7 @@
 	},
 };
 
-/** The larger of today's two users; everybody is in one cell. */
+/** The larger of the two present deployments; all its daemons are in one cell. */
 export const todaySize: KnowledgeSize = {
 	daemons: 18,
 	endpoints: 17,
@@ -49,23 +50,23 @@
 	},
 };
 
-/** What a way cost. */
+/** The waiting times with one strategy. */
 export type KnowledgeCost = {
 	meanWaitMilliseconds: number;
 	lateWaitMilliseconds: number;
-	/** Share of requests that waited for a slot at all. */
+	/** Share of requests that waited for a slot. */
 	waitedShare: number;
 };
 
 type Endpoint = {ends: number[]; queue: Array<{arrivedAt: number; length: number}>};
 
 /**
- * Plays one way.
+ * Simulates one strategy.
  *
- * @param way - How load is known.
- * @param size - How many there are.
- * @param seed - Of all randomness.
- * @returns Mean wait, the wait that 95 in 100 stay under, and the share that waited.
+ * @param way - The strategy.
+ * @param size - The deployment.
+ * @param seed - Seed of all random choices.
+ * @returns Mean and 95th percentile of the wait, and the share of requests that waited.
  */
 export function playKnowledge(way: KnowledgeWay, size: KnowledgeSize, seed: number): KnowledgeCost {
 	const random = seededRandom(seed);
@@ -107,7 +108,7 @@
 	};
 }
 
-/** Bytes a second, one way, that a daemon of the target's data centre sends for a way of knowing. */
+/** Returns the bytes a second that a daemon sends with a strategy, in a data centre of the target size. */
 export function bytesOf(way: KnowledgeWay): number {
 	const ask = encodeMessage({kind: 'ask-changes', after: 1}).length;
 	const told = encodeMessage({
@@ -159,7 +160,7 @@
 	return leastFrom(first, count, Math.floor(random() * count), believed);
 }
 
-/** The least loaded, looked for from a random place on, so that equals are shared out. */
+/** Returns the least loaded endpoint, searched from a random offset, so that equally loaded ones are chosen equally often. */
 function leastFrom(first: number, count: number, offset: number, believed: (index: number) => number): number {
 	let best = first + offset;
 	for (let step = 1; step < count; step++) {
--- a/src/bench/weigh/main.ts
+++ b/src/bench/weigh/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:weigh`: plays the ways that docs/MEMBERSHIP.md and docs/KNOWLEDGE.md weigh, and prints their figures. */
+/** `npm run bench:weigh`: runs the alternatives that docs/MEMBERSHIP.md and docs/KNOWLEDGE.md compare and prints their figures. */
 import process from 'node:process';
 import {runEntryKill} from './entry-kill-run.js';
 import {runKill} from './kill-run.js';
--- a/src/bench/weigh/outage-run.ts
+++ b/src/bench/weigh/outage-run.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench:weigh -- outage`: a small deployment of real processes whose table service is away for a while: what is
- * served and refused, whether a new entry gets its configuration from peers, and how fast all are on the next one.
+ * `npm run bench:weigh -- outage`: takes the table service of a small deployment of processes down for a while. Measures
+ * which requests are served and refused, whether a new entry gets its configuration from peers, and how fast the next
+ * configuration is in force everywhere.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {request} from 'undici';
@@ -16,7 +17,7 @@
 const limitMilliseconds = 20_000;
 const calls = 20;
 
-/** What was seen. */
+/** The measurements. */
 export type OutageRun = {
 	promptsAsked: number;
 	promptsServed: number;
@@ -28,7 +29,7 @@
 	tableReadsPerSecond: number;
 };
 
-/** Runs it once. */
+/** Starts a deployment, takes its table service down and returns the measurements. */
 export async function runOutage(): Promise<OutageRun> {
 	const deployment = new Deployment({
 		dataCentres: ['split-riva', 'split-luka'],
