--- a/src/stand-in/cache-store-stand-in.ts
+++ b/src/stand-in/cache-store-stand-in.ts
@@ -1,7 +1,8 @@
 /**
- * Stands in for a cache store instance. `PUT /pieces/{key}/{generation}` writes, `POST …/seal` seals with length and
- * digest, `GET` reads only what is sealed, `DELETE` frees, `POST /find` names the sealed pieces that lead a prompt, and
- * `GET /oldest` those unused for longest. Its room is bounded; a full store refuses with 507.
+ * Stands in for a cache store instance. `PUT /pieces/{key}/{generation}` writes a block, `POST …/seal` seals it with its
+ * length and digest, `GET` reads sealed blocks only, `DELETE` frees one, `POST /find` returns the sealed blocks that a
+ * prompt starts with, and `GET /oldest` returns the least recently used ones. Its capacity is limited; a full store
+ * answers 507.
  */
 import {Buffer} from 'node:buffer';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -21,7 +22,7 @@
 	#uses = 0;
 	#reads = 0;
 
-	/** @param capacityBytes - Its room. */
+	/** @param capacityBytes - Bytes of block content that it can hold. */
 	constructor(capacityBytes: number) {
 		this.#capacityBytes = capacityBytes;
 		this.app.put('/pieces/:key/:generation', async event => {
@@ -44,7 +45,7 @@
 		this.app.get('/pieces/:key/:generation', async event => {
 			const {content, seal} = this.#heldOf(pieceOf(event));
 			if (seal === undefined) {
-				throw new HTTPError({status: 404, message: 'the piece is not sealed'});
+				throw new HTTPError({status: 404, message: 'the block is not sealed'});
 			}
 
 			this.#reads++;
@@ -90,7 +91,7 @@
 		return [...this.#held.values()].reduce((sum, {content}) => sum + content.length, 0);
 	}
 
-	/** The time that the limited link takes. */
+	/** Waits for the time that a link with the limited bandwidth takes to transfer the content. */
 	async #pass(content: Buffer): Promise<void> {
 		if (this.faults.bytesPerSecond > 0) {
 			await delay(1000 * content.length / this.faults.bytesPerSecond);
@@ -100,7 +101,7 @@
 	#heldOf(piece: BlockGeneration): Held {
 		const held = this.#held.get(nameOf(piece));
 		if (held === undefined) {
-			throw new HTTPError({status: 404, message: 'no such piece'});
+			throw new HTTPError({status: 404, message: 'no such block'});
 		}
 
 		return held;
--- a/src/stand-in/engine-token-at.ts
+++ b/src/stand-in/engine-token-at.ts
@@ -3,14 +3,14 @@
 const syllables = ['ka', 'lo', 'mi', 'ra', 'su', 'te', 'vo', 'ze', 'bi', 'du', 'fe', 'go', 'hi', 'jo', 'ne', 'pa'];
 
 /**
- * Gives the token that the stand-in engine answers at a place.
+ * Returns the token that the stand-in engine generates at an index of its answer.
  *
- * The token depends on the whole prompt, so that an answer handed to the wrong caller, a token left out or one sent
- * twice is seen by whoever knows the prompt.
+ * The token depends on the whole prompt, so that a check that knows the prompt detects an answer sent to the wrong
+ * caller, a missing token and a duplicated one.
  *
  * @param prompt - The whole prompt, as one text.
- * @param index - The place of the token in the answer, from 0.
- * @returns One word with a space behind it.
+ * @param index - The index of the token in the answer, from 0.
+ * @returns One word followed by a space.
  */
 export function engineTokenAt(prompt: string, index: number): string {
 	const digest = digestOf(`${index}:${prompt}`);
@@ -18,10 +18,10 @@
 }
 
 /**
- * Gives the whole text that the stand-in engine answers to a prompt.
+ * Returns the complete answer of the stand-in engine to a prompt.
  *
  * @param prompt - The whole prompt, as one text.
- * @param tokens - How many tokens the answer has.
+ * @param tokens - The number of tokens of the answer.
  * @returns The text of all tokens.
  */
 export function engineAnswerTo(prompt: string, tokens: number): string {
--- a/src/stand-in/instance-list-stand-in.ts
+++ b/src/stand-in/instance-list-stand-in.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for the platform's list of live and leaving instances. Whoever starts instances announces them by
- * `PUT /instances`; a reader sees an announcement only after the `lagMilliseconds` that were in force when it was made.
+ * Stands in for the platform's list of live and leaving instances. A test announces the instances that it starts by
+ * `PUT /instances`. An announcement becomes visible to readers after the `lagMilliseconds` in force when it was made.
  */
 import {H3, readBody} from 'h3';
 import {type ListedInstance} from '../shared/types.js';
--- a/src/stand-in/main.ts
+++ b/src/stand-in/main.ts
@@ -1,4 +1,4 @@
-/** Starts one stand-in as a process of its own and prints its address as one JSON line. Not part of what ships. */
+/** Starts one stand-in as a separate process and prints its address as one JSON line. It is not part of the product. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {CacheStoreStandIn} from './cache-store-stand-in.js';
@@ -22,7 +22,7 @@
 
 const program = new Command('savorygauge-stand-in')
 	.option('--host <ip>', 'address to listen on', '127.0.0.1')
-	.option('--port <number>', 'port to listen on; 0 takes a free one', '0');
+	.option('--port <number>', 'port to listen on; 0 selects a free one', '0');
 const common = (): {host: string; port: string} => program.opts();
 
 program.command('table').action(async () => serve(createTableServiceStandIn(), common()));
@@ -31,15 +31,15 @@
 program.command('list').action(async () => serve(createInstanceListStandIn(), common()));
 program.command('plain').action(async () => serve(createPlainServiceStandIn(), common()));
 program.command('cache')
-	.option('--capacity-bytes <number>', 'room of the store', defaultCapacityBytes)
+	.option('--capacity-bytes <number>', 'capacity of the store, in bytes', defaultCapacityBytes)
 	.action(async (options: {capacityBytes: string}) => serve(new CacheStoreStandIn(Number(options.capacityBytes)), common()));
 program.command('engine')
 	.requiredOption('--model <name>', 'model that it serves')
 	.option('--weight-version <name>', 'weight version that it serves', 'w1')
-	.option('--prefill-tokens-per-second <number>', 'speed of prefill', '20000')
-	.option('--milliseconds-per-token <number>', 'time between tokens', '2')
-	.option('--cache-pieces <number>', 'room of the prefix cache, in pieces', '64')
-	.option('--batch-limit <number>', 'requests in one batch', '16')
+	.option('--prefill-tokens-per-second <number>', 'prefill speed', '20000')
+	.option('--milliseconds-per-token <number>', 'time between two generated tokens', '2')
+	.option('--cache-pieces <number>', 'capacity of the prefix cache, in engine blocks of 512 tokens', '64')
+	.option('--batch-limit <number>', 'maximum number of requests in a batch', '16')
 	.action(async (options: Record<string, string>) => serve(new ModelEngineStandIn({
 		model: options.model!,
 		weightVersion: options.weightVersion!,
--- a/src/stand-in/model-engine-stand-in.ts
+++ b/src/stand-in/model-engine-stand-in.ts
@@ -1,7 +1,7 @@
 /**
- * Stands in for a model engine: it batches without limit, prefills at a fixed speed, keeps prompt prefixes in a small
- * cache that evicts the least recently used, and answers tokens that depend on the prompt. It can be made to die in the
- * middle of a stream, to hang, to refuse, to swap weights, to leave, to ignore fencing numbers, and to lose cache events.
+ * Stands in for a model engine. It runs any number of requests at the same time, prefills at a fixed speed, caches prompt
+ * prefixes in a small LRU cache, and generates tokens that depend on the prompt. Tests can make it cut a stream, hang,
+ * reject requests, change its weights, leave, ignore fencing numbers and lose cache events.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -20,14 +20,14 @@
 import {readJson} from './read-json.js';
 import {noFaults, type StandInKind} from './stand-in-server.js';
 
-/** Tokens of one block: reuse is counted in blocks, and events tell of whole pieces. */
+/** Tokens of one engine block. The engine reuses prefixes by these; its events and exports name whole prompt blocks. */
 const blockTokens = 512;
 const pieceBytes = 16_384;
 const blocksInPiece = blockCharacters / charactersPerToken / blockTokens;
 const defaultCompletionTokens = 16;
 const recentCacheEvents = 1000;
 
-/** How a stand-in engine behaves when it is well. */
+/** How a stand-in engine behaves without faults. */
 export type EngineBehaviour = {
 	model: string;
 	weightVersion: string;
@@ -56,7 +56,7 @@
 	};
 
 	readonly #behaviour: EngineBehaviour;
-	/** Keys of cached blocks, least recently used first; the last block of a piece names the piece. */
+	/** Cached engine blocks, least recently used first. The last one of a prompt block has that block's key as its value. */
 	readonly #cached = new Map<string, string | undefined>();
 	readonly #cacheEvents: CacheEvent[] = [];
 	readonly #blocksOfPiece = new Map<string, string[]>();
@@ -143,7 +143,7 @@
 			}
 
 			if (this.faults.cutAfterTokens > 0 && index >= this.faults.cutAfterTokens) {
-				// A clean end of the HTTP body, without the end mark of the stream, is what a proxy in between makes of a cut.
+				// A proxy in between can turn a cut into a regular end of the HTTP body, without the stream's end mark.
 				if (this.faults.cutCleanly) {
 					response.end();
 				} else {
@@ -188,8 +188,8 @@
 			this.#blocksOfPiece.set(piece, keys.slice(index * blocksInPiece, (index + 1) * blocksInPiece));
 		}
 
-		// The last block is touched first, so that a prefix loses its end before its start, as engines that keep prefixes in
-		// a tree do. The other way round what is left of a prefix is of no use.
+		// The last block is marked as used first, so that a prefix is evicted from its end, as in engines that store prefixes
+		// in a tree. If the first block were evicted first, the remaining blocks could not be reused.
 		for (const [index, key] of [...keys.entries()].toReversed()) {
 			this.#keep(key, (index + 1) % blocksInPiece === 0 ? pieces[Math.floor(index / blocksInPiece)] : undefined);
 		}
@@ -197,11 +197,11 @@
 		return {promptTokens, cachedTokens};
 	}
 
-	/** A piece's content names its blocks, and is padded to a size that a link can feel. */
+	/** The content lists the engine blocks of the prompt block, and is padded so that its transfer takes a realistic time. */
 	#export(pieceKey: string): Response {
 		const blocks = this.#blocksOfPiece.get(pieceKey);
 		if (!blocks?.every(block => this.#cached.has(block))) {
-			throw new HTTPError({status: 404, message: 'the piece is not in the cache'});
+			throw new HTTPError({status: 404, message: 'the block is not in the cache'});
 		}
 
 		return new Response(JSON.stringify({blocks}).padEnd(pieceBytes, ' '));
--- a/src/stand-in/plain-service-stand-in.ts
+++ b/src/stand-in/plain-service-stand-in.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for a plain service that takes bookings. It runs whatever it is told as often as it is told, and counts the
- * runs per booking, so that a duplicate run is seen here and not by savorygauge's own word.
+ * Stands in for a plain service that takes bookings. It runs a booking each time that it receives it and counts the runs
+ * of each booking, so that a check for duplicate runs does not depend on what savorygauge itself reports.
  */
 import {H3, readBody} from 'h3';
 import {type LoadReport} from '../ports/model-engine.js';
@@ -35,7 +35,7 @@
 	};
 }
 
-/** A plain service reports in the shape that engines do; it has no model, prompt or cache. */
+/** A plain service reports its load in the engines' format; the fields about models, prompts and caches are empty. */
 function loadReport(isLeaving: boolean, now: number): LoadReport {
 	return {
 		model: '',
--- a/src/stand-in/read-json.ts
+++ b/src/stand-in/read-json.ts
@@ -7,7 +7,7 @@
  *
  * @param request - The request.
  * @returns The parsed object.
- * @throws A `SyntaxError` if the body is no JSON.
+ * @throws A `SyntaxError` if the body is not valid JSON.
  */
 export async function readJson(request: IncomingMessage): Promise<Record<string, JsonValue>> {
 	const chunks: Buffer[] = [];
--- a/src/stand-in/stand-in-server.ts
+++ b/src/stand-in/stand-in-server.ts
@@ -1,6 +1,6 @@
 /**
- * What all stand-ins share: an HTTP server on a free port, and a control path by which a test makes the stand-in fail.
- * `POST /control` merges its JSON body into the faults; `GET /control` gives the faults and the stand-in's own counts.
+ * The HTTP server that all stand-ins share, with a control path by which tests inject faults. `POST /control` merges its
+ * JSON body into the faults; `GET /control` returns the faults and the stand-in's counters.
  */
 import {once} from 'node:events';
 import {
@@ -11,13 +11,13 @@
 import {type H3, readBody, toNodeHandler} from 'h3';
 import {type JsonValue} from '../shared/types.js';
 
-/** The faults that every stand-in knows. Those of one kind of stand-in stand beside it. */
+/** The faults that every stand-in supports. Each kind of stand-in adds its own. */
 export type Faults = {
-	/** Refuses every request with 503 before it has any effect. */
+	/** Answers every request with 503 before it has any effect. */
 	down: boolean;
-	/** Waits this long before it does anything. */
+	/** Delay before each request is handled. */
 	slowMilliseconds: number;
-	/** How many coming writes take effect and then lose their answer: the connection is cut. */
+	/** The number of following writes that take effect but whose connection is cut before the answer. */
 	loseAnswers: number;
 } & Record<string, JsonValue>;
 
@@ -30,13 +30,13 @@
 	close(): Promise<void>;
 };
 
-/** Where a stand-in listens; port 0 takes a free one. */
+/** Where a stand-in listens; port 0 selects a free one. */
 export type ListenAt = {
 	host: string;
 	port: number;
 };
 
-/** What a kind of stand-in brings: its routes, its faults, and counts for `GET /control`. */
+/** The routes and faults of one kind of stand-in, and its counters for `GET /control`. */
 export type StandInKind = {
 	app: H3;
 	faults: Faults;
@@ -46,7 +46,7 @@
 /**
  * Starts a stand-in.
  *
- * @param kind - Its routes and faults; the faults object is changed in place by the control path.
+ * @param kind - Its routes and faults; the control path changes the faults object in place.
  * @param at - Where to listen.
  * @returns The running stand-in with its `IP:port`.
  */
@@ -94,7 +94,7 @@
 	const isWrite = request.method !== 'GET';
 	if (isWrite && faults.loseAnswers > 0) {
 		faults.loseAnswers--;
-		// The work is done as usual, but what it answers goes nowhere: the socket is cut at the first byte.
+		// The write is done as usual, but the socket is destroyed before the first byte of the answer.
 		response.writeHead = () => {
 			request.socket.destroy();
 			return response;
--- a/src/stand-in/table-service-stand-in.ts
+++ b/src/stand-in/table-service-stand-in.ts
@@ -1,4 +1,4 @@
-/** Stands in for the platform's transactional table service; the paths are those of `HttpTableService`. */
+/** Stands in for the platform's transactional table service, with the paths that `HttpTableService` uses. */
 import {
 	getQuery, getRouterParam, H3, HTTPError, readBody,
 } from 'h3';
--- a/src/stand-in/weight-store-stand-in.ts
+++ b/src/stand-in/weight-store-stand-in.ts
@@ -1,7 +1,8 @@
 /**
- * Stands in for the weight store. `PUT /weights/{model}/{version}` publishes a size, `GET /weights/{model}` lists,
- * `POST /weights/{model}/{version}/loads` takes as long as the bytes take at the present rate, and `GET /load` tells how
- * busy it is. `refuseSeconds` makes it refuse with 429, as its limit on calls does.
+ * Stands in for the weight store. `PUT /weights/{model}/{version}` publishes a version with its size,
+ * `GET /weights/{model}` lists the versions, `POST /weights/{model}/{version}/loads` takes as long as loading takes at
+ * the current transfer rate, and `GET /load` returns how busy the store is. `refuseSeconds` makes it answer 429, as the
+ * real store's rate limit does.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {
