--- a/src/demo/demo-client.ts
+++ b/src/demo/demo-client.ts
@@ -1,21 +1,21 @@
-/** A caller of the demo: sends prompts and bookings as any HTTP client would, and times the first token. */
+/** A caller of the demo: sends prompts and bookings over plain HTTP and measures the time to the first token. */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
 
-/** What a caller got for one prompt. */
+/** The result of one prompt. */
 export type PromptResult = {
 	text: string;
 	/** Absent for an answer that was not streamed. */
 	timeToFirstTokenMilliseconds?: number;
 	promptTokens: number;
 	cachedTokens: number;
-	/** The status, and the reason and word of a refusal. */
+	/** The HTTP status; 0 for a stream without its end mark. A refusal also has its reason, and whether the request ran. */
 	status: number;
 	reason?: string;
 	ran?: string;
 };
 
-/** What a caller got for one booking. */
+/** The result of one booking. */
 export type BookingResult = {
 	status: number;
 	body: string;
@@ -43,8 +43,8 @@
  * Sends a prompt.
  *
  * @param prompt - The prompt.
- * @param now - Gives the present time in milliseconds.
- * @returns The text and figures; `status` is 0 for an answer without its end mark.
+ * @param now - Returns the current time in milliseconds.
+ * @returns The text and figures; `status` is 0 for a stream without its end mark.
  */
 export async function sendPrompt(prompt: PromptToSend, now: () => number): Promise<PromptResult> {
 	const sentAt = now();
@@ -104,8 +104,8 @@
 /**
  * Sends a booking under an idempotency key.
  *
- * @param booking - Where to, whose, and which booking.
- * @returns The status and the body.
+ * @param booking - The entry's address and path, the caller's API key, the booking's name and its idempotency key.
+ * @returns The status, the body, and for a refusal whether the booking ran.
  */
 export async function sendBooking(booking: {entry: string; key: string; path: string; name: string; idempotencyKey: string}): Promise<BookingResult> {
 	const answer = await request(`http://${booking.entry}${booking.path}`, {
--- a/src/demo/demo-report.ts
+++ b/src/demo/demo-report.ts
@@ -1,4 +1,4 @@
-/** The figures that the demo ends with. */
+/** The figures that the demo prints at its end. */
 import {type BookingResult} from './demo-client.js';
 import {type SentPrompt} from './demo-traffic.js';
 
@@ -19,18 +19,18 @@
 };
 
 /**
- * Gives a quantile.
+ * Returns a quantile.
  *
  * @param values - The values, in any order.
- * @param share - From 0 to 1.
- * @returns The value at that place; 0 for no values.
+ * @param share - The quantile, from 0 to 1.
+ * @returns The value at that quantile; 0 if there are no values.
  */
 export function quantileOf(values: readonly number[], share: number): number {
 	const sorted = values.toSorted((left, right) => left - right);
 	return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 }
 
-/** What the figures are worked out from. */
+/** The observations that the figures are computed from. */
 export type DemoObservations = {
 	processes: number;
 	prompts: readonly SentPrompt[];
@@ -42,7 +42,7 @@
 	timelineEvents: number;
 };
 
-/** Works the figures out. */
+/** Computes the figures. */
 export function reportOf(observed: DemoObservations): DemoReport {
 	const {prompts, bookings, ...counts} = observed;
 	const firstTokens = prompts
--- a/src/demo/demo-traffic.ts
+++ b/src/demo/demo-traffic.ts
@@ -1,4 +1,4 @@
-/** What the demo sends, and what came back. Every answer is compared with the text that its own prompt must give. */
+/** The traffic of the demo. Every answer is compared with the text that the stand-in engine generates for its prompt. */
 import {engineAnswerTo} from '../stand-in/engine-token-at.js';
 import {
 	type BookingResult, type PromptResult, type PromptToSend, sendBooking, sendPrompt,
@@ -10,7 +10,7 @@
 export type DemoCaller = {
 	key: string;
 	model: string;
-	/** What the caller's long prompts are made of. */
+	/** The text that the caller's long prompts repeat. */
 	subject: string;
 };
 
@@ -20,13 +20,13 @@
 	{key: 'parish-demo-key', model: 'lesson-1', subject: 'curriculum of the parish'},
 ];
 
-/** A prompt with the text that a whole answer has. */
+/** A prompt and the text of its complete answer. */
 export type ExpectedPrompt = {
 	prompt: PromptToSend;
 	expected: string;
 };
 
-/** One prompt that was sent. */
+/** A prompt that was sent, and its result. */
 export type SentPrompt = {
 	prompt: PromptToSend;
 	result: PromptResult;
@@ -34,11 +34,11 @@
 };
 
 /**
- * Makes the prompts of one round: each caller asks one short question and sends one long prompt that comes back every
- * round with another question behind it.
+ * Creates the prompts of one round. Each caller sends a short question, and a long prompt that is the same in every round
+ * but for the question at its end.
  *
- * @param round - Counts from 0.
- * @param entries - Addresses of the entries; they are used in turn.
+ * @param round - The number of the round, from 0.
+ * @param entries - Addresses of the entries, which are used in turn.
  * @returns The prompts.
  */
 export function promptsOfRound(round: number, entries: readonly string[]): ExpectedPrompt[] {
@@ -55,7 +55,7 @@
 	});
 }
 
-/** Sends prompts at the same time. */
+/** Sends all prompts concurrently. */
 export async function sendAll(prompts: readonly ExpectedPrompt[]): Promise<SentPrompt[]> {
 	return Promise.all(prompts.map(async ({prompt, expected}) => {
 		const result = await sendPrompt(prompt, () => performance.now());
@@ -63,7 +63,7 @@
 	}));
 }
 
-/** Sends each booking three times under one key: twice at the same time at two entries, and once more later. */
+/** Sends each booking three times with one idempotency key: twice concurrently to two entries, and once more afterwards. */
 export async function sendBookings(names: readonly string[], entries: readonly string[]): Promise<BookingResult[]> {
 	const results = await Promise.all(names.map(async (name, index) => {
 		const at = (offset: number) => ({
--- a/src/demo/deployment.ts
+++ b/src/demo/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * A whole small deployment on this machine: data centres with entries, model engines, a cache store and a plain service
- * each, and the platform's stand-ins for all of them. The demo and the tests over real processes use it.
+ * A small deployment of processes on this machine: data centres with entries, model engines, cache stores and plain
+ * services, and one set of stand-ins for the platform. The demo and the tests over real processes use it.
  */
 import {once} from 'node:events';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -15,27 +15,27 @@
 const requestTimeoutMilliseconds = 5000;
 const readyWaitMilliseconds = 50;
 
-/** What to start. */
+/** The processes to start and their arguments. */
 export type DeploymentPlan = {
 	dataCentres: readonly string[];
 	entriesPerDataCentre: number;
 	enginesPerDataCentre: number;
-	/** The model services, dealt out over the engines of each data centre in turn. */
+	/** The model services; the engines of each data centre serve them in turn. */
 	modelServices: ReadonlyArray<{service: string; model: string; weightVersion: string}>;
 	plainService: string;
-	/** 1 when it is left out. */
+	/** Default: 1. */
 	cacheStoresPerDataCentre?: number;
-	/** 1 when it is left out. */
+	/** Default: 1. */
 	plainServicesPerDataCentre?: number;
-	/** Further arguments of each engine, for example its speed. */
+	/** Additional arguments of each engine, for example its speed. */
 	engineArguments?: readonly string[];
-	/** Further arguments of each entry. */
+	/** Additional arguments of each entry. */
 	entryArguments?: readonly string[];
-	/** Gives the address by which an entry reaches the table; the table's own when it is left out. */
+	/** Returns the address by which an entry reaches the table service. Default: the service's own address. */
 	tableAddressFor?(instance: string, table: string): Promise<string>;
 };
 
-/** A process with its place in the platform's list. */
+/** A process and its item in the platform's instance list. */
 export type DeployedProcess = {
 	listed: ListedInstance;
 	process: StartedProcess;
@@ -64,7 +64,7 @@
 		return this.#timeline!;
 	}
 
-	/** Starts everything, and announces it in the platform's list. */
+	/** Starts all processes and announces them in the platform's instance list. */
 	async start(): Promise<void> {
 		const [table, objects, list, timeline] = await Promise.all([
 			this.#startStandIn('table'),
@@ -80,7 +80,7 @@
 		await this.announce();
 	}
 
-	/** Tells the platform's list what is there. */
+	/** Writes the present instances into the platform's instance list. */
 	async announce(): Promise<void> {
 		const instances = this.instances.map(({listed}) => listed);
 		await exchangeJson({
@@ -88,13 +88,13 @@
 		});
 	}
 
-	/** A client to the operators' HTTP of the first entry. */
+	/** Creates a client of the first entry's operator API. */
 	operatorClient(): OperatorClient {
 		const [entry] = this.withRole('entry');
 		return new OperatorClient(String(entry!.process.ready.operators), demoOperatorKey);
 	}
 
-	/** Applies a declaration file and waits until it is in force on every entry. Gives the version. */
+	/** Applies a declaration file and waits until it is in force on every entry. Returns the configuration version. */
 	async apply(path: string, reason: string, say: (text: string) => void): Promise<number> {
 		const client = this.operatorClient();
 		await runApply([path], {author: 'demo', reason}, client, {line: say, problem: say});
@@ -103,7 +103,7 @@
 		return version;
 	}
 
-	/** Waits until every entry has a version in force and knows live endpoints. */
+	/** Waits until every entry is ready and has at least this configuration version in force. */
 	async waitUntilReady(version: number): Promise<void> {
 		for (const {listed} of this.withRole('entry')) {
 			for (;;) {
@@ -118,7 +118,7 @@
 		}
 	}
 
-	/** The processes with one role. */
+	/** Returns the processes with a role. */
 	withRole(role: ListedInstance['role']): DeployedProcess[] {
 		return this.instances.filter(({listed}) => listed.role === role);
 	}
@@ -130,13 +130,13 @@
 		});
 	}
 
-	/** Gives the own counts of a stand-in. */
+	/** Returns the counters of a stand-in. */
 	async countsOf(address: string): Promise<Record<string, JsonValue>> {
 		const {body} = await exchangeJson({method: 'GET', url: `http://${address}/control`, timeoutMilliseconds: requestTimeoutMilliseconds});
 		return (body as {counts: Record<string, JsonValue>}).counts;
 	}
 
-	/** Starts one more entry; it is not announced. */
+	/** Starts another entry without announcing it. */
 	async startEntry(name: string, dataCentre: string): Promise<DeployedProcess> {
 		const table = await this.#plan.tableAddressFor?.(name, this.#table) ?? this.#table;
 		const started = await this.group.start('entry/main.js', {
@@ -173,7 +173,7 @@
 		return entry;
 	}
 
-	/** Kills an entry and starts one of the same name in its place; the list hears of it. */
+	/** Kills an entry, starts another one with the same name, and announces it. */
 	async replaceEntry(entry: DeployedProcess): Promise<void> {
 		const exited = once(entry.process.child, 'exit');
 		entry.process.child.kill('SIGKILL');
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -1,4 +1,4 @@
-/** The demo: starts a small deployment of processes, drives both users' traffic through it, and prints the figures. */
+/** The demo: starts a small deployment of processes, sends prompts and bookings through it, and prints the figures. */
 import {once} from 'node:events';
 import process from 'node:process';
 import {Command} from 'commander';
@@ -14,7 +14,7 @@
 
 const command = new Command('demo')
 	.option('--json', 'print one JSON object as the last line')
-	.option('--hold', 'keep the deployment up until SIGINT or SIGTERM');
+	.option('--hold', 'keep the deployment running until SIGINT or SIGTERM');
 const options: {json?: boolean; hold?: boolean} = command.parse().opts();
 const say = (text: string): void => {
 	if (!options.json && !options.hold) {
@@ -66,12 +66,12 @@
 
 function printReport(report: DemoReport): void {
 	say(`${report.processes} processes; configuration version ${report.configurationVersion} in force on every entry`);
-	say(`prompts: ${report.requests} sent, ${report.wholeAnswers} whole answers`);
+	say(`prompts: ${report.requests} sent, ${report.wholeAnswers} answered completely`);
 	say(`time to first token: median ${report.timeToFirstTokenMedianMilliseconds} ms, p95 ${report.timeToFirstTokenP95Milliseconds} ms`);
 	say(`share of prompt tokens recomputed: ${report.shareRecomputed}`);
-	say(`bookings: ${report.bookingsAsked} asked three times each, ${report.bookingsRun} run, ${report.duplicateRuns} run twice`);
-	say(`refused not-run: ${report.refusedNotRun}; unknown: ${report.unknown}; events on the time line: ${report.timelineEvents}`);
-	say('the last events of the time line:');
+	say(`bookings: ${report.bookingsAsked} sent three times each, ${report.bookingsRun} run, ${report.duplicateRuns} run more than once`);
+	say(`refused without running: ${report.refusedNotRun}; outcome unknown: ${report.unknown}; timeline events: ${report.timelineEvents}`);
+	say('the last timeline events:');
 	for (const line of deployment.timeline.lines.slice(-8)) {
 		say(`  ${line}`);
 	}
--- a/src/demo/process-group.ts
+++ b/src/demo/process-group.ts
@@ -1,6 +1,6 @@
 /**
- * Starts the processes of a demo or a test, each a child of the script, and ends exactly those it started. A process is
- * ready when it has printed its one JSON line.
+ * Starts the processes of a demo or a test as child processes, and stops exactly those that it started. A process is ready
+ * when it has printed its first line, which is JSON.
  */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {once} from 'node:events';
@@ -11,18 +11,18 @@
 const readyTimeoutMilliseconds = 20_000;
 const stopTimeoutMilliseconds = 5000;
 
-/** What a process printed when it was ready. */
+/** The JSON line that a process prints when it is ready. */
 export type ReadyLine = Record<string, string | boolean>;
 
 /** One started process. */
 export type StartedProcess = {
 	child: ChildProcess;
 	ready: ReadyLine;
-	/** Lines on standard output behind the ready line. */
+	/** Lines on standard output after the ready line. */
 	lines: string[];
 };
 
-/** Thrown when a process ended, or was silent, before it was ready. */
+/** Thrown when a process ends before it is ready, or is not ready in time. */
 export class ProcessStartError extends Error {
 	override readonly name = 'ProcessStartError';
 }
@@ -30,7 +30,7 @@
 export class ProcessGroup {
 	readonly #started: StartedProcess[] = [];
 
-	/** How many processes were started. */
+	/** The number of started processes. */
 	get size(): number {
 		return this.#started.length;
 	}
@@ -39,7 +39,7 @@
 	 * Starts a program of the build and waits until it is ready.
 	 *
 	 * @param program - Its path below the build folder, for example `entry/main.js`.
-	 * @param options - Its arguments, and variables beside the inherited ones.
+	 * @param options - Its arguments, and environment variables in addition to the inherited ones.
 	 * @returns The process.
 	 */
 	async start(program: string, options: {arguments: readonly string[]; environment?: Record<string, string>}): Promise<StartedProcess> {
@@ -68,7 +68,7 @@
 		}
 	}
 
-	/** Ends all processes; those that do not end in time are killed. */
+	/** Stops all processes, and kills those that do not exit in time. */
 	async stop(): Promise<void> {
 		await Promise.all(this.#started.map(async ({child}) => stopChild(child)));
 	}
