--- a/src/check/bookings-over-processes.ts
+++ b/src/check/bookings-over-processes.ts
@@ -1,7 +1,7 @@
 /**
- * Bookings over real processes, while entries are killed (SIGKILL) and replaced, stand still for longer than the lease
- * (SIGSTOP, then SIGCONT), and the table and the plain service lose answers behind their effect. The plain services
- * count their own runs. The order of faults comes from a seed; the processes' own timing does not.
+ * Sends bookings to real processes under faults: entries are killed (SIGKILL) and replaced, or paused for longer than the
+ * lease (SIGSTOP, then SIGCONT), and the table and the plain services apply writes whose answers are lost. The plain
+ * services count the runs. A seed decides the order of the faults, but not the timing of the processes.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {request} from 'undici';
@@ -15,7 +15,7 @@
 const tryLimit = 60;
 const callersAtOnce = 8;
 
-/** What the bookings came to. Every member but the first five must be 0. */
+/** The counts of a run. Every member but the first five must be 0. */
 export type BookingsReport = {
 	bookings: number;
 	answered: number;
@@ -33,10 +33,10 @@
 type Booked = {name: string; words: Word[]; bodies: string[]};
 
 /**
- * Runs the bookings.
+ * Sends bookings under faults.
  *
- * @param plan - How many, and the seed of the faults.
- * @returns The report.
+ * @param plan - The number of bookings, and the seed of the faults.
+ * @returns The counts of the run.
  */
 export async function runBookings({bookings, seed}: {bookings: number; seed: number}): Promise<BookingsReport> {
 	const deployment = new Deployment({
@@ -128,17 +128,17 @@
 		}
 	}
 
-	/** Repeats one booking under one key at changing entries until there is a final word. */
+	/** Sends one booking with one idempotency key to changing entries until its outcome is final. */
 	async #book(name: string): Promise<void> {
 		const booked: Booked = {name, words: [], bodies: []};
 		this.#booked.push(booked);
 		let unknownWords = 0;
 		for (let count = 0; count < tryLimit; count++) {
 			const entries = this.#entries;
-			// Seed 424242 killed all four entries before the first of them was replaced; callers then find nobody for a while.
+			// Seed 424242 killed all four entries before the first replacement had started, so the list can be empty for a while.
 			const entry = entries[this.#choices.between(0, Math.max(0, entries.length - 1))];
 			const word = entry === undefined ? 'again' : await ask(entry.listed.address, booked);
-			// A caller who is told that the outcome is unknown asks once more: that must not run the booking again.
+			// A caller that gets "outcome unknown" sends the booking once more, which must not run it again.
 			unknownWords += word === 'unknown' ? 1 : 0;
 			if (word === 'answered' || unknownWords > 1) {
 				return;
@@ -177,7 +177,7 @@
 
 type BookingAnswer = {confirmation?: string; error?: {code: string; ran: string}};
 
-/** Asks once. `in-progress` and a broken connection say nothing final. */
+/** Sends a booking once. Neither `in-progress` nor a broken connection is a final outcome. */
 async function ask(address: string, booked: Booked): Promise<'answered' | 'unknown' | 'again'> {
 	try {
 		const answer = await request(`http://${address}/services/bookings/bookings`, {
--- a/src/check/claim-scenario.ts
+++ b/src/check/claim-scenario.ts
@@ -1,7 +1,7 @@
 /**
- * Calls under one key at three instances, while answers get lost, writes arrive late, instances stand still for longer
- * than the lease or die, the platform goes away, and operators pause and resume the service. The plain service of the
- * run counts its own runs.
+ * Calls with one idempotency key at three instances, while answers are lost, writes are applied late, instances pause for
+ * longer than the lease or are killed, the platform is down, and operators pause and resume the service. The simulated
+ * plain service counts the runs.
  */
 import {Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts/Either';
@@ -19,7 +19,7 @@
 import {virtualProcess, type VirtualProcess, type VirtualWorld} from './virtual-world.js';
 
 const claimKey = 'quay/bookings/one';
-/** The longest that a call may take beside the pauses of its instance. */
+/** The longest time that a call may take, not counting pauses of its instance. */
 const longestOutcomeMilliseconds = 60_000;
 
 type Instance = {process: VirtualProcess; runner: NeverTwiceRunner; configuration: ConfigurationHolder};
@@ -71,13 +71,13 @@
 		outcome.caseOf({
 			Left: refusal => {
 				if (refusal.ran === 'not-run' && this.#runs.includes(caller)) {
-					world.violate(`${caller.name} was told not-run (${refusal.reason}), but its call ran`);
+					world.violate(`${caller.name} got "not-run" (${refusal.reason}), but its call ran`);
 				}
 			},
 			Right: answer => {
 				const [run] = this.#runs;
 				if (run === undefined || answer.body.toString() !== answerTo(run) || run.body !== caller.body) {
-					world.violate(`${caller.name} got an answer that is not that of the first run of its own call`);
+					world.violate(`${caller.name} got an answer that does not belong to the first run of its call`);
 				}
 			},
 		});
@@ -103,7 +103,7 @@
 			name: `caller-${index}`, body, instance, arrivedAt: world.now,
 		};
 		this.#callers.push(caller);
-		world.note(`${caller.name} asks ${instance.process.name} for ${body}`);
+		world.note(`${caller.name} calls ${instance.process.name} with ${body}`);
 		void this.#run(world, caller);
 	}
 
@@ -185,7 +185,7 @@
 		}
 	}
 
-	/** An operator's change is accepted by the table; instances learn of it when a claim meets it. */
+	/** Accepts an operator's change at the table; instances learn of it when they write a claim under an older version. */
 	#accept(world: VirtualWorld, paused: boolean): void {
 		const last = this.#changes.at(-1);
 		const draft = {
@@ -212,7 +212,7 @@
 		});
 	}
 
-	/** The right to send is given only under the newest configuration, and never again behind `sending`. */
+	/** Checks that a claim enters the stage `sending` only under the newest configuration version. */
 	#check(world: VirtualWorld, row: Row): void {
 		if (row.table !== claimTable) {
 			return;
--- a/src/check/configuration-over-processes.ts
+++ b/src/check/configuration-over-processes.ts
@@ -1,7 +1,8 @@
 /**
- * Configuration over real processes, while entries are killed and started anew and are cut from the table. After each
- * fault a change is accepted (one entry at least reaches the table); every entry that runs must have it in force within the bound, by the table or by its
- * peers, and no entry that calls itself ready may ever name a lower version than one of that name did before.
+ * Changes the configuration of real processes under faults: entries are killed and restarted, or cut off from the table,
+ * with at least one entry connected to it. After each fault a change is accepted. Every running entry must have it in
+ * force within the bound, from the table or from its peers, and a ready entry must never report a lower version than an
+ * entry of the same name did before.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {request} from 'undici';
@@ -16,24 +17,24 @@
 const giveUpMilliseconds = 15_000;
 const boundMilliseconds = 3000;
 
-/** What the run came to. `late` and `wentBack` must be 0. */
+/** The counts of a run. `late` and `wentBack` must be 0. */
 export type ConfigurationReport = {
 	restarts: number;
 	cuts: number;
 	mends: number;
 	changes: number;
-	/** Changes that took longer than 3 s to be in force on every entry that runs. */
+	/** Changes that took longer than 3 s until they were in force on every running entry. */
 	late: number;
-	/** Times that a ready entry named a lower version than one of its name did before. */
+	/** How often a ready entry reported a lower version than an entry of the same name did before. */
 	wentBack: number;
 	slowestMilliseconds: number;
 };
 
 /**
- * Plays faults and changes.
+ * Injects faults and accepts a change after each.
  *
- * @param plan - How many faults, and their seed.
- * @returns The report.
+ * @param plan - The number of faults, and their seed.
+ * @returns The counts of the run.
  */
 export async function runConfigurationChanges({faults, seed}: {faults: number; seed: number}): Promise<ConfigurationReport> {
 	const links = new Map<string, CuttableLink>();
@@ -47,7 +48,7 @@
 			const before = links.get(instance);
 			before?.close();
 			const link = new CuttableLink(table);
-			// An entry that starts anew while it is cut learns the configuration from its peers alone.
+			// An entry that restarts while it is cut off from the table gets the configuration from its peers only.
 			if (before?.isCut) {
 				link.cut();
 			}
@@ -110,7 +111,7 @@
 		}
 	}
 
-	/** Has a change accepted and waits until every entry has it. */
+	/** Accepts a change and waits until it is in force on every entry. */
 	async #change(): Promise<void> {
 		const head = await readHead(this.#table);
 		const accepted = await acceptProposal(this.#table, {
@@ -140,7 +141,7 @@
 		return seen.every(found => found >= version);
 	}
 
-	/** Gives the version that an entry names, and notes when it went back. */
+	/** Returns the version that an entry reports, and counts it if it is lower than before. */
 	async #look(name: string, address: string): Promise<number> {
 		const answer = await request(`http://${address}/readyz`);
 		const {ready, configurationVersion} = await answer.body.json() as {ready: boolean; configurationVersion: number};
--- a/src/check/configuration-scenario.ts
+++ b/src/check/configuration-scenario.ts
@@ -1,7 +1,8 @@
 /**
- * Three instances follow the configuration while two operators race each other. Instances are restarted, cut off from
- * the platform and from each other; answers of the table get lost; changes from peers come late, twice, out of order and
- * damaged. Each instance is looked at again and again: what it serves by may never go back, and is what was accepted.
+ * Three instances follow the configuration while two operators make concurrent changes. Instances are restarted and cut
+ * off from the platform and from each other, answers of the table are lost, and changes from peers arrive late, twice, out
+ * of order and damaged. Each instance is checked at an interval: the version in force must never decrease, and its content
+ * must be what was accepted.
  */
 import {ConfigurationHolder} from '../entry/configuration-holder.js';
 import {ConfigurationWatcher} from '../entry/watchers/configuration-watcher.js';
@@ -25,7 +26,7 @@
 export class ConfigurationScenario implements Scenario {
 	readonly name = 'configuration';
 	readonly #instances: Instance[] = [];
-	/** What the table accepted, by version; the state at version 0 comes first. */
+	/** The accepted states by version, starting with version 0. */
 	readonly #accepted: ConfigurationState[] = [emptyConfiguration];
 	readonly #changes: ConfigurationChange[] = [];
 	readonly #answered: Answered[] = [];
@@ -58,12 +59,12 @@
 		for (const {change, isAccepted} of this.#answered) {
 			const stands = this.#changes.some(({author, reason}) => author === change.author && reason === change.reason);
 			if (stands !== isAccepted) {
-				world.violate(`${change.author} was told that ${change.reason} was ${isAccepted ? '' : 'not '}accepted, which is not so`);
+				world.violate(`${change.author} got the answer that ${change.reason} was ${isAccepted ? '' : 'not '}accepted, which is wrong`);
 			}
 		}
 	}
 
-	/** Follows what the table accepts: one chain, each version once. */
+	/** Records each change that the table accepts, and checks that the versions are consecutive. */
 	#follow(world: VirtualWorld, row: Row): void {
 		if (row.table !== configurationTable || row.key === headKey) {
 			return;
@@ -71,7 +72,7 @@
 
 		const change = row.value as unknown as ConfigurationChange;
 		if (change.version !== this.#accepted.length) {
-			world.violate(`version ${change.version} was accepted where ${this.#accepted.length} was due`);
+			world.violate(`version ${change.version} was accepted in place of version ${this.#accepted.length}`);
 			return;
 		}
 
@@ -91,7 +92,7 @@
 			settings: {configurationPollMilliseconds: pollMilliseconds},
 			logger: {
 				warn() {
-					// What does not follow is dropped; nothing is checked by the log.
+					// The watcher warns of changes that it drops; the check does not read its log.
 				},
 			},
 		}, {isReader: true, random: () => 0});
@@ -106,7 +107,7 @@
 		}
 	}
 
-	/** Sends what a peer lacks; at times late, twice, or damaged. */
+	/** Sends each peer the changes that it lacks, at times late, twice or damaged. */
 	#gossip(world: VirtualWorld, instance: Instance): void {
 		const {choices} = world;
 		for (const peer of this.#instances) {
@@ -141,11 +142,11 @@
 
 			const {name} = instance.process;
 			if (state.version < instance.served && this.#couldKnow(instance)) {
-				world.violate(`${name} went back from version ${instance.served} to ${state.version}`);
+				world.violate(`${name} reverted from version ${instance.served} to ${state.version}`);
 			}
 
 			if (JSON.stringify([...state.limits]) !== JSON.stringify([...this.#accepted[state.version]!.limits])) {
-				world.violate(`${name} serves something else as version ${state.version} than was accepted`);
+				world.violate(`${name} serves other content as version ${state.version} than was accepted`);
 			}
 
 			instance.served = state.version;
@@ -158,7 +159,7 @@
 		}
 	}
 
-	/** False only if neither the platform nor any peer within reach knows what the instance served before. */
+	/** Returns false only if neither the platform nor any reachable peer has the version that the instance served before. */
 	#couldKnow(instance: Instance): boolean {
 		const peerKnows = !instance.isCutFromPeers && this.#instances.some(peer => peer !== instance && !peer.isCutFromPeers && peer.holder.state.version >= instance.served);
 		return peerKnows || !(instance.process.isCutOff || this.#rows.isDown);
@@ -178,7 +179,7 @@
 			}, world.now);
 			result.caseOf({
 				Left: failure => {
-					world.note(`${process.name} is told ${failure.kind} for ${change.reason}`);
+					world.note(`${process.name} gets ${failure.kind} for ${change.reason}`);
 					if (failure.kind !== 'outcome-unknown') {
 						this.#answered.push({change, isAccepted: false});
 					}
--- a/src/check/cuttable-link.ts
+++ b/src/check/cuttable-link.ts
@@ -1,6 +1,6 @@
 /**
- * A TCP relay between one instance and one outside system, in the process of the check. Cutting it ends its connections
- * and refuses new ones until it is mended.
+ * A TCP relay between one instance and one outside system, in the process of the check. Cutting it closes its connections,
+ * and it closes new ones at once until it is restored.
  */
 import {once} from 'node:events';
 import {
@@ -26,7 +26,7 @@
 		return this.#isCut;
 	}
 
-	/** Starts to listen on a free port. Resolves with `IP:port`. */
+	/** Starts to listen on a free port. Returns `IP:port`. */
 	async listen(): Promise<string> {
 		this.#server.listen(0, '127.0.0.1');
 		await once(this.#server, 'listening');
--- a/src/check/faults-main.ts
+++ b/src/check/faults-main.ts
@@ -1,13 +1,13 @@
-/** `npm run check:faults -- --seed N --runs M`: plays M runs of every scenario from seed N on and prints what broke. */
+/** `npm run check:faults -- --seed N --runs M`: runs every scenario with M seeds, from seed N on, and prints violations. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {playSeed} from './scenario.js';
 import {scenarios} from './scenarios.js';
 
 const command = new Command('check:faults')
-	.option('--seed <number>', 'first seed; run k takes seed + k', '1')
-	.option('--runs <number>', 'runs of each scenario', '1000')
-	.option('--scenario <name>', 'only this scenario')
+	.option('--seed <number>', 'first seed; run k uses seed + k', '1')
+	.option('--runs <number>', 'number of runs of each scenario', '1000')
+	.option('--scenario <name>', 'run only this scenario')
 	.parse();
 const options: {seed: string; runs: string; scenario?: string} = command.opts();
 const firstSeed = Number(options.seed);
@@ -26,7 +26,7 @@
 		if (failing !== undefined) {
 			violations++;
 			if (violations === 1) {
-				console.log(`${name}: seed ${failing.seed} broke: ${failing.violations.join('; ')}`);
+				console.log(`${name}: seed ${failing.seed} failed: ${failing.violations.join('; ')}`);
 				console.log(failing.trace.join('\n'));
 			}
 		}
--- a/src/check/faulty-table.ts
+++ b/src/check/faulty-table.ts
@@ -1,7 +1,7 @@
 /**
- * A table service for fault runs. `TableRows` applies transactions at one point of time; `FaultyTable` is one process's
- * way to it, on which answers get lost before or after the write, writes arrive long after their answer was given up, and
- * the platform is down or cut off.
+ * A table service for fault runs. `TableRows` applies each transaction atomically. `FaultyTable` is the connection of one
+ * process to it: requests or answers are lost, writes are applied long after their caller's timeout, and the platform is
+ * down or not reachable.
  */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {
@@ -17,7 +17,7 @@
 	readonly #rows = new Map<string, Row>();
 	readonly #onWrite: (row: Row) => void;
 
-	/** @param onWrite - Sees each row as it is written. */
+	/** @param onWrite - Called with each row after it is written. */
 	constructor(onWrite: (row: Row) => void) {
 		this.#onWrite = onWrite;
 	}
--- a/src/check/models-main.ts
+++ b/src/check/models-main.ts
@@ -1,11 +1,11 @@
-/** `npm run check:models`: checks all specifications and their broken twins. `--keep` writes the counter-examples anew. */
+/** `npm run check:models`: checks all specifications and their mutants. `--keep` rewrites the counter-example files. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {
 	checkModel, counterExampleFolder, isAsExpected, modelCases,
 } from './models.js';
 
-const command = new Command('check:models').option('--keep', 'write the twins\' counter-examples into model/counter-examples').parse();
+const command = new Command('check:models').option('--keep', 'write the mutants\' counter-examples into model/counter-examples').parse();
 const {keep}: {keep?: boolean} = command.opts();
 const startedAt = performance.now();
 let wrong = 0;
--- a/src/check/models.ts
+++ b/src/check/models.ts
@@ -1,6 +1,7 @@
 /**
- * Checks the specifications in model/ exhaustively by spin. Each has broken twins, made of the same file with a
- * safeguard taken out; a check that accepts a twin proves nothing, so an accepted twin is a failure as well.
+ * Checks the specifications in model/ exhaustively with the model checker spin. Each specification has mutants: the same
+ * file with one safeguard removed by a define. A check that accepts a mutant proves nothing, so an accepted mutant counts
+ * as a failure too.
  */
 import {execFileSync} from 'node:child_process';
 import {
@@ -11,25 +12,25 @@
 import {fileURLToPath} from 'node:url';
 
 const modelFolder = fileURLToPath(new URL('../../model', import.meta.url));
-/** The largest search takes half a minute on an idle processor; beside other work it may take many times that. */
+/** The largest search takes half a minute on an idle processor and can take many times that on a busy one. */
 const timeoutMilliseconds = 300_000;
 const depthLimit = 1_000_000;
 const memoryLimitMegabytes = 3000;
 
-/** A specification or a broken twin of it. */
+/** A specification or one of its mutants. */
 export type ModelCase = {
 	model: string;
-	/** The name that takes a safeguard out; empty for the specification itself. */
+	/** The define that removes a safeguard; empty for the specification itself. */
 	broken: string;
 };
 
-/** What spin found. A search that did not come to its end is no proof, whatever it found. */
+/** The result of a search by spin. A search that is not complete proves nothing, even if it found no error. */
 export type ModelResult = ModelCase & {
 	errors: number;
 	states: number;
 	isComplete: boolean;
 	milliseconds: number;
-	/** The assertion that broke; empty for none. */
+	/** The assertion that was violated; empty if there is none. */
 	violation: string;
 };
 
@@ -54,10 +55,10 @@
 /**
  * Checks one case.
  *
- * @param modelCase - What to check.
- * @param now - Gives the present time in milliseconds.
- * @param keepAt - A folder for the counter-example of a twin; none is kept without it.
- * @returns What spin found.
+ * @param modelCase - The specification or mutant.
+ * @param now - Returns the current time in milliseconds.
+ * @param keepAt - The folder that the counter-example of a mutant is written to; not written by default.
+ * @returns The result of the search.
  */
 export async function checkModel(modelCase: ModelCase, now: () => number, keepAt?: string): Promise<ModelResult> {
 	const folder = await mkdtemp(path.join(tmpdir(), 'savorygauge-model-'));
@@ -83,7 +84,7 @@
 	}
 }
 
-/** True if the specification holds over all states, or if the twin was rejected. */
+/** Returns true if the specification holds in all states, or if the mutant was rejected. */
 export function isAsExpected({broken, errors, isComplete}: ModelResult): boolean {
 	return broken === '' ? errors === 0 && isComplete : errors > 0;
 }
@@ -104,5 +105,5 @@
 	await writeFile(path.join(folder, `${model}-${broken.toLowerCase()}.txt`), trail);
 }
 
-/** Where counter-examples are kept. */
+/** The folder of the committed counter-examples. */
 export const counterExampleFolder = path.join(modelFolder, 'counter-examples');
--- a/src/check/order-scenario.ts
+++ b/src/check/order-scenario.ts
@@ -1,7 +1,7 @@
 /**
- * Four holders take fencing numbers for one endpoint through a table that loses answers, and order weight versions, while
- * they stand still or their orders come late. The endpoint that checks numbers never goes back to an older holder's
- * order, and no two holders have one number.
+ * Four holders allocate fencing numbers for one endpoint through a table that loses answers. They send orders to the
+ * endpoint, with pauses and late orders. The endpoint, which checks fencing numbers, must never follow an order of an
+ * older holder after one of a newer holder, and no two holders may get the same number.
  */
 import {allocateFencingNumber} from '../protocol/order/fencing-number.js';
 import {FaultyTable, TableRows} from './faulty-table.js';
@@ -24,7 +24,7 @@
 
 	judge(world: VirtualWorld): void {
 		if (this.#seen > 0 && !this.#holders.has(this.#seen)) {
-			world.violate(`the endpoint follows number ${this.#seen}, which nobody holds`);
+			world.violate(`the endpoint follows number ${this.#seen}, which no holder was given`);
 		}
 	}
 
@@ -46,6 +46,6 @@
 		await world.delay(world.choices.between(1, 30_000));
 		const isStale = fencingNumber < this.#seen;
 		this.#seen = Math.max(this.#seen, fencingNumber);
-		world.note(`${name} orders with number ${fencingNumber}: ${isStale ? 'stale' : 'obeyed'}`);
+		world.note(`${name} orders with number ${fencingNumber}: ${isStale ? 'stale' : 'followed'}`);
 	}
 }
--- a/src/check/processes-main.ts
+++ b/src/check/processes-main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run check:processes -- --seed N --bookings M --changes K`: bookings over real processes under kills, pauses and
- * lost answers, then configuration changes under restarts and cuts.
+ * `npm run check:processes -- --seed N --bookings M --changes K`: checks bookings over real processes under kills, pauses
+ * and lost answers, and configuration changes under restarts and cut connections to the table.
  */
 import process from 'node:process';
 import {Command} from 'commander';
@@ -9,8 +9,8 @@
 
 const command = new Command('check:processes')
 	.option('--seed <number>', 'seed of the faults', '1')
-	.option('--bookings <number>', 'how many bookings', '200')
-	.option('--changes <number>', 'how many restarts and cuts under configuration changes', '50')
+	.option('--bookings <number>', 'number of bookings', '200')
+	.option('--changes <number>', 'number of restarts and cut connections, each followed by a configuration change', '50')
 	.parse();
 const options: {seed: string; bookings: string; changes: string} = command.opts();
 const report = await runBookings({bookings: Number(options.bookings), seed: Number(options.seed)});
--- a/src/check/returning-main.ts
+++ b/src/check/returning-main.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:returning`: returning prompts over real processes with no store, two stores, and two that die. */
+/** `npm run measure:returning`: measures returning prompts over real processes without stores, with two, and with two that die. */
 import {runReturningPrompts} from './returning-over-processes.js';
 
 const rounds = 5;
--- a/src/check/returning-over-processes.ts
+++ b/src/check/returning-over-processes.ts
@@ -1,7 +1,6 @@
 /**
- * Long prompts that come back over real processes after their prefix was evicted from every engine: each round asks
- * every prompt once more with another question behind it, at another entry, and the engines' caches hold less than half
- * of the prompts.
+ * Sends long prompts to real processes again after their prefixes were evicted from every engine. Each round sends every
+ * prompt to another entry with another question at its end; the engines' caches hold less than half of the prompts.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {blockCharacters} from '../cache/block-keys.js';
@@ -14,14 +13,14 @@
 const prompts = 8;
 const promptCharacters = 40_000;
 const answerTokens = 6;
-/** Blocks of 512 tokens that an engine holds: 40,000 characters are 19. */
+/** Engine blocks of 512 tokens that an engine's cache holds; a prompt of 40,000 characters has 19. */
 const cacheBlocks = '40';
 const wholePiecesOfPrompt = Math.floor(promptCharacters / blockCharacters);
 const settleMilliseconds = 20;
-/** Ten seconds: saves are tried for 1.4 s, one prompt behind the other. */
+/** Ten seconds in all: blocks are saved one prompt after the other, and each save is attempted for up to 1.4 s. */
 const settleTries = 500;
 
-/** What the rounds came to, the first one left out: nothing was kept before it. */
+/** The figures of all rounds but the first, before which nothing was cached. */
 export type ReturningReport = {
 	stores: number;
 	requests: number;
@@ -33,10 +32,11 @@
 };
 
 /**
- * Plays the rounds.
+ * Runs the rounds.
  *
- * @param plan - How many rounds, how many stores there are (none is the baseline), and whether they die behind the first.
- * @returns The report.
+ * @param plan - The number of rounds and of stores (0 is the baseline), and whether the stores are killed after the first
+ * round.
+ * @returns The figures.
  */
 export async function runReturningPrompts(plan: {rounds: number; stores: number; storesDie?: boolean}): Promise<ReturningReport> {
 	const deployment = new Deployment({
@@ -112,8 +112,8 @@
 	}
 
 	/**
-	 * Waits until the stores hold every whole piece of every prompt. One that is never saved is not waited for without end:
-	 * its prompt is computed again, and the share of the report tells.
+	 * Waits until the stores hold every whole block of every prompt. The wait is limited: a prompt whose blocks are never
+	 * saved is recomputed, which shows in `shareRecomputed`.
 	 */
 	async #settle(stores: number): Promise<void> {
 		if (stores === 0) {
--- a/src/check/scenario.ts
+++ b/src/check/scenario.ts
@@ -1,16 +1,16 @@
-/** What the fault runs have in common: a scenario, its many runs, and how a failing run is made small. */
+/** Runs scenarios with random choices from seeds, and shrinks a failing run to one with as few faults as possible. */
 import {Choices} from './choices.js';
 import {VirtualWorld} from './virtual-world.js';
 
-/** One kind of run. `play` starts the processes; what they break is noted in the world. */
+/** One kind of run. `start` starts the processes; violations are reported to the simulation. */
 export type Scenario = {
 	name: string;
 	play(world: VirtualWorld): void;
-	/** Looks at what is left when everything has happened. */
+	/** Checks the final state, after the last scheduled event. */
 	judge(world: VirtualWorld): void;
 };
 
-/** A run that broke a promise, as small as it could be made. */
+/** A run with violations, after it was shrunk. */
 export type FailingRun = {
 	scenario: string;
 	seed: number;
@@ -23,11 +23,11 @@
 const shrinkRounds = 400;
 
 /**
- * Plays one run.
+ * Runs a scenario once.
  *
- * @param make - Makes a fresh scenario.
+ * @param make - Creates a new scenario.
  * @param choices - The choices of the run.
- * @returns The world when everything has happened.
+ * @returns The simulation after its last event.
  */
 export async function playRun(make: MakeScenario, choices: Choices): Promise<VirtualWorld> {
 	const world = new VirtualWorld(choices);
@@ -39,11 +39,11 @@
 }
 
 /**
- * Plays one seed; a failing run is made smaller.
+ * Runs a scenario with one seed, and shrinks the run if it fails.
  *
- * @param make - Makes a fresh scenario.
- * @param seed - Any whole number.
- * @returns The failing run, or nothing.
+ * @param make - Creates a new scenario.
+ * @param seed - Any integer.
+ * @returns The shrunk failing run, or `undefined` if there was no violation.
  */
 export async function playSeed(make: MakeScenario, seed: number): Promise<FailingRun | undefined> {
 	const choices = Choices.fromSeed(seed);
@@ -58,7 +58,7 @@
 	};
 }
 
-/** Replaces ever smaller stretches of choices by 0 while the run still fails. */
+/** Replaces shorter and shorter ranges of choices by 0 as long as the run still fails. */
 async function shrink(make: MakeScenario, taken: readonly number[]): Promise<VirtualWorld> {
 	let choices = taken;
 	let world = await playRun(make, Choices.replay(choices));
--- a/src/check/scenarios.ts
+++ b/src/check/scenarios.ts
@@ -1,4 +1,4 @@
-/** All scenarios of the fault runs. */
+/** The scenarios of the fault runs. */
 import {ClaimScenario} from './claim-scenario.js';
 import {ConfigurationScenario} from './configuration-scenario.js';
 import {OrderScenario} from './order-scenario.js';
--- a/src/check/stream-scenario.ts
+++ b/src/check/stream-scenario.ts
@@ -1,6 +1,7 @@
 /**
- * One prompt whose endpoints break off, fall silent, skip tokens or wake up late, while a newer attempt is under way. The
- * caller's text is compared with the answer: it is always its beginning, and called whole only when it is all of it.
+ * One prompt whose endpoints cut the stream, become unresponsive, skip tokens, or send events while a newer attempt is in
+ * flight. The text that the caller received must always be a prefix of the answer, and may be reported as complete only
+ * if it is the complete answer.
  */
 import {type EngineEvent} from '../ports/model-engine.js';
 import {
@@ -27,11 +28,11 @@
 	judge(world: VirtualWorld): void {
 		const whole = textOf(0, this.#tokens);
 		if (!whole.startsWith(this.#text)) {
-			world.violate('the caller got text that is not the beginning of its answer');
+			world.violate('the caller got text that is not a prefix of its answer');
 		}
 
 		if (this.#isCalledWhole && this.#text !== whole) {
-			world.violate('an answer was called whole that is not');
+			world.violate('an incomplete answer was reported as complete');
 		}
 	}
 
@@ -45,7 +46,7 @@
 		const {attempt, tokensPassedOn} = this.#relay;
 		const endsAt = choices.chance(50) ? choices.between(tokensPassedOn, this.#tokens) : this.#tokens;
 		const isBroken = choices.chance(40);
-		// An endpoint that does not know how to resume begins at token 0 again.
+		// An endpoint that does not support resuming starts again at token 0.
 		const from = choices.chance(10) ? 0 : tokensPassedOn;
 		let at = 0;
 		for (let index = from; index < endsAt; index++) {
@@ -66,7 +67,7 @@
 		const givenUpAfter = isBroken || choices.chance(30) ? choices.between(1, at + 2) : at + silenceMilliseconds;
 		world.after(givenUpAfter, () => {
 			if (attempt === this.#relay.attempt) {
-				world.note(`attempt ${attempt} is given up`);
+				world.note(`attempt ${attempt} is cancelled`);
 				this.#attempt(world);
 			}
 		});
--- a/src/check/virtual-world.ts
+++ b/src/check/virtual-world.ts
@@ -1,6 +1,7 @@
 /**
- * Virtual time for fault runs: things happen in order of their time, and code that waits for a promise goes on before the
- * next thing happens. Processes of the run can stand still or be killed; what a killed one waits for never comes.
+ * A deterministic simulation in virtual time for fault runs. Events run in the order of their time, and code that waits
+ * for a promise continues before the next event. Simulated processes can pause or be killed; promises that a killed
+ * process waits for are never resolved.
  */
 import {setImmediate as afterPromises} from 'node:timers/promises';
 import {type Clock} from '../ports/clock.js';
@@ -16,11 +17,11 @@
 	killed: boolean;
 	/** Cut off from the platform. */
 	isCutOff: boolean;
-	/** Milliseconds that it stood still, in all. */
+	/** The total time of its pauses, in milliseconds. */
 	pausedMilliseconds: number;
 };
 
-/** Makes a process that is well. */
+/** Creates a process without faults. */
 export function virtualProcess(name: string): VirtualProcess {
 	return {
 		name, killed: false, isCutOff: false, pausedMilliseconds: 0,
@@ -43,7 +44,7 @@
 		this.trace.push(`${String(this.now - 1_000_000).padStart(7)} ms  ${text}`);
 	}
 
-	/** Notes that a promise of the system was broken. */
+	/** Reports that the system violated one of its guarantees. */
 	violate(text: string): void {
 		this.violations.push(text);
 		this.note(`VIOLATION: ${text}`);
@@ -59,18 +60,18 @@
 		});
 	}
 
-	/** Where a process may be caught by a pause or its death: never resolves for a killed one. */
+	/** A point at which a process can pause or stop: at random it pauses, and it never resolves for a killed process. */
 	async step(process: VirtualProcess): Promise<void> {
 		if (this.choices.chance(3)) {
 			const milliseconds = this.choices.between(10, 60_000);
 			process.pausedMilliseconds += milliseconds;
-			this.note(`${process.name} stands still for ${milliseconds} ms`);
+			this.note(`${process.name} pauses for ${milliseconds} ms`);
 			await this.delay(milliseconds);
 		}
 
 		if (process.killed) {
 			await new Promise<never>(() => {
-				// A killed process never goes on.
+				// A killed process never continues.
 			});
 		}
 	}
@@ -85,12 +86,12 @@
 		};
 	}
 
-	/** Lets everything happen. */
+	/** Runs all scheduled events, including those scheduled meanwhile. */
 	async run(): Promise<void> {
 		await afterPromises();
 		for (let count = 0; this.#queue.length > 0; count++) {
 			if (count > eventLimit) {
-				this.violate('the run does not come to its end');
+				this.violate('the run does not end: too many events');
 				return;
 			}
 
