--- a/src/test/bundle-gateway.test.ts
+++ b/src/test/bundle-gateway.test.ts
@@ -5,7 +5,7 @@
 import {test} from 'node:test';
 import vm from 'node:vm';
 
-/** Where the tests' own build lies. */
+/** The folder of the build that the tests run. */
 const folder = 'dist';
 
 function startWithoutSettings(program: string): {status: number | null; output: string} {
@@ -15,8 +15,8 @@
 }
 
 test('the gateway in one file starts as the compiled one does, and holds all of its libraries', () => {
-	// An instance is restarted and must be back within a second. Loaded from hundreds of files a start takes longer, and a
-	// library that is missing from the one file would only show when its first call is made.
+	// A restarted instance must serve again within a second. Loading hundreds of files takes longer, hence the bundle. A
+	// library that is missing from the bundle would otherwise be noticed only at its first call.
 	execFileSync(process.execPath, ['scripts/bundle-gateway.mjs', folder]);
 	assert.ok(statSync(`${folder}/gateway-bundle.cjs`).size > 100_000);
 	const compiled = startWithoutSettings(`${folder}/gateway/main.js`);
@@ -26,17 +26,17 @@
 	assert.notEqual(bundled.status, 0);
 });
 
-test('a start compiles nothing that was compiled before', () => {
-	// Guards against starts that take twice as long because the cache is not that of the code, or of another Node.
+test('a start uses the code cache and compiles nothing again', () => {
+	// Guards against starts that take twice as long because the cache belongs to other code or to another version of Node.
 	execFileSync(process.execPath, ['scripts/bundle-gateway.mjs', folder]);
 	const source = `(function (exports, require, module) {${readFileSync(`${folder}/gateway-bundle.cjs`, 'utf8')}})`;
 	const {cachedDataRejected} = new vm.Script(source, {cachedData: readFileSync(`${folder}/gateway-bundle.cache`)});
 	assert.equal(cachedDataRejected, false);
 	const launcher = readFileSync(`${folder}/gateway.mjs`, 'utf8');
-	assert.ok(launcher.includes('\'(function (exports, require, module) {\' + readFileSync(file, \'utf8\') + \'})\''), 'the launcher wraps the code in another way');
+	assert.ok(launcher.includes('\'(function (exports, require, module) {\' + readFileSync(file, \'utf8\') + \'})\''), 'the launcher wraps the code differently');
 });
 
-test('a cache that is not of this code is passed over', () => {
+test('a code cache of other code is ignored', () => {
 	execFileSync(process.execPath, ['scripts/bundle-gateway.mjs', folder]);
 	writeFileSync(`${folder}/gateway-bundle.cache`, 'of another version');
 	assert.match(startWithoutSettings(`${folder}/gateway.mjs`).output, /SAVORYGAUGE_BOOT.* is missing/v);
--- a/src/test/caller-limits.test.ts
+++ b/src/test/caller-limits.test.ts
@@ -1,4 +1,4 @@
-/** What a slow, greedy or broken client gets: a clear answer, and never somebody else's trouble. */
+/** Callers that are slow, exceed limits or send malformed requests get a clear answer and do not affect other callers. */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
 import {after, before, test} from 'node:test';
@@ -37,7 +37,7 @@
 
 const close = {connection: 'close'};
 
-test('a body that is declared too long is refused before it is sent', async () => {
+test('a body whose declared length is over the limit is refused before it is sent', async () => {
 	const head = completion('x'.repeat(5000)).split('\r\n\r\n')[0]!;
 	const socket = await openSocket(entry.callersAddress);
 	socket.write(`${head}\r\n\r\n`);
@@ -47,9 +47,9 @@
 	socket.destroy();
 });
 
-test('a body of unknown length is refused at the first byte too many, and the caller can read why', async () => {
-	// The caller sends on without looking. Closing at once would reset the connection under its feet, and it would see a
-	// broken connection in place of the refusal; so the rest is read and thrown away.
+test('a body of unknown length is refused at the first byte over the limit, and the caller can read the refusal', async () => {
+	// The caller continues to send its body. Closing at once would reset the connection, and the caller would see a broken
+	// connection in place of the refusal; therefore the rest of the body is read and discarded.
 	const socket = await openSocket(entry.callersAddress);
 	const head = rawRequest({method: 'POST', path: '/v1/chat/completions', headers: {authorization, 'transfer-encoding': 'chunked'}});
 	socket.write(head);
@@ -73,7 +73,7 @@
 	assert.match(refused, /connection: close/v);
 });
 
-test('headers or a request line that are too long get a typed 431', async () => {
+test('headers or a request line over the limit get a typed 431', async () => {
 	for (const bytes of [
 		rawRequest({method: 'GET', path: '/healthz', headers: {long: 'x'.repeat(40_000)}}),
 		rawRequest({method: 'GET', path: `/${'x'.repeat(40_000)}`}),
@@ -84,15 +84,15 @@
 	}
 });
 
-test('a header behind thousands of others still counts', async () => {
-	// Node drops headers behind the 2,000th by default. The caller would see a booking under a key run twice, since the
-	// key was among the dropped ones; here the bearer key is, and the caller would see 401.
+test('a header that follows thousands of others is still read', async () => {
+	// By default Node drops all headers after the 2,000th. If the idempotency key were dropped, a booking could run twice.
+	// In this test the API key follows 3,000 other headers; if it were dropped, the caller would get 401.
 	const filler = Array.from({length: 3000}, (_, index): [string, string] => [`h${index.toString(36)}`, '']);
 	const answer = await exchangeRaw(entry.callersAddress, rawRequest({method: 'GET', path: '/v1/models', headers: {...Object.fromEntries(filler), authorization, ...close}}));
 	assert.equal(statusOf(answer), 200);
 });
 
-test('a client that sends its headers or its body too slowly gets 408', async t => {
+test('a caller that sends its headers or its body too slowly gets 408', async t => {
 	const strict = new TestEntry(shortBounds);
 	await strict.start();
 	t.after(async () => strict.stop());
@@ -104,7 +104,7 @@
 	}
 });
 
-test('open requests are bounded per workspace, and a place is free again when its answer ended', async () => {
+test('open requests are limited per workspace, and a request stops counting when its answer has ended', async () => {
 	entry.engine.failNext('riva-engine-1', {kind: 'pause', afterTokens: 1});
 	entry.engine.failNext('riva-engine-2', {kind: 'pause', afterTokens: 1});
 	const first = exchangeRaw(entry.callersAddress, completion(prompt('one', {stream: true}), close));
@@ -121,7 +121,7 @@
 	assert.equal(statusOf(await exchangeRaw(entry.callersAddress, completion(prompt('four'), close))), 200);
 });
 
-test('a caller who hangs up cancels the work at the engine at once', async () => {
+test('when a caller disconnects, its request is cancelled at the engine at once', async () => {
 	entry.engine.failNext('riva-engine-1', {kind: 'stall', afterTokens: 1});
 	entry.engine.failNext('riva-engine-2', {kind: 'stall', afterTokens: 1});
 	const cancelledBefore = entry.engine.cancelled;
@@ -139,7 +139,7 @@
 	assert.equal(entry.engine.cancelled, cancelledBefore + 1);
 });
 
-test('a caller who hangs up on an idempotent call to a plain service cancels it', async () => {
+test('when a caller disconnects, its idempotent call to a plain service is cancelled', async () => {
 	entry.plain.isHeld = true;
 	const socket = await openSocket(entry.callersAddress);
 	socket.write(rawRequest({method: 'GET', path: '/services/bookings/bookings/pitch-4', headers: {authorization}}));
@@ -149,7 +149,7 @@
 	entry.plain.isHeld = false;
 });
 
-test('HEAD, OPTIONS, wrong and unknown methods get what HTTP has for them', async () => {
+test('HEAD, OPTIONS, wrong and unknown methods are answered as HTTP specifies', async () => {
 	const ask = async (method: string, path: string): Promise<string> => exchangeRaw(entry.callersAddress, rawRequest({method, path, headers: {authorization, ...close}}));
 	const head = await ask('HEAD', '/v1/models');
 	assert.equal(statusOf(head), 200);
@@ -179,9 +179,9 @@
 	assert.deepEqual(places, places.toSorted((left, right) => left - right));
 });
 
-test('bytes that are no request, behind a good one, do not cut its answer', async () => {
-	// The caller reads a stream; behind its request came rubbish on the same connection. Node answers a parse error by
-	// writing to the socket at once, which would land in the middle of the stream.
+test('invalid bytes after a valid request do not cut the answer to that request', async () => {
+	// The caller reads a stream, and has sent invalid bytes after its request on the same connection. Node answers a parse
+	// error by writing to the socket at once, which would corrupt the stream.
 	entry.engine.failNext('riva-engine-1', {kind: 'pause', afterTokens: 1});
 	entry.engine.failNext('riva-engine-2', {kind: 'pause', afterTokens: 1});
 	const socket = await openSocket(entry.callersAddress);
--- a/src/test/drain.test.ts
+++ b/src/test/drain.test.ts
@@ -1,4 +1,4 @@
-/** A graceful stop of one entry: what its callers see, and that the stop ends. */
+/** A graceful stop of one entry: callers get their answers or a refusal, and the stop completes. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {defaultListenerBounds} from '../serving/http-listener.js';
@@ -31,10 +31,10 @@
 	return answers.map(async ({answer}) => answer);
 }
 
-test('a graceful stop finishes every open answer, on keep-alive connections too, and then ends', async () => {
-	// Ten callers are in the middle of their answers when the entry is told to stop. Readiness goes off first; the ten
-	// get their answers whole, and their connections are closed behind them. A drain that waited for the callers to close
-	// keep-alive connections by themselves would never end.
+test('a graceful stop completes every open answer, also on keep-alive connections, and ends', async () => {
+	// Ten callers are receiving answers when the entry starts to drain. It reports "not ready" first, completes the ten
+	// answers and closes their connections. A drain that waited until the callers close keep-alive connections would never
+	// end.
 	const entry = new TestEntry();
 	await entry.start();
 	const answers = await openStreams(entry, 10);
@@ -57,9 +57,9 @@
 	await entry.operators.drain();
 });
 
-test('a stop does not wait for connections that are idle, silent or half-sent', async () => {
-	// One connection has had its answer, one never sent a byte, one stopped in the middle of its headers, one in the
-	// middle of its body. None of them has a request that a stop could cut off.
+test('a stop does not wait for connections without a complete request', async () => {
+	// One connection is idle after its answer, one never sent a byte, one stopped within its headers, and one within its
+	// body. None of them has a complete request that the stop could interrupt.
 	const entry = new TestEntry(shortBounds);
 	await entry.start();
 	const [idle, silent, halfHeaders, halfBody] = await Promise.all([1, 2, 3, 4].map(async () => openSocket(entry.callersAddress)));
@@ -69,7 +69,7 @@
 	halfBody!.write(streamRequest('half').slice(0, -10));
 	const halves = Promise.all([readToEnd(halfHeaders!), readToEnd(halfBody!)]);
 	const silentEnd = readToEnd(silent!);
-	// The answer to a later request says that the entry has read what was written before.
+	// The answer to a later request shows that the entry has read the bytes that were written before it.
 	await exchangeRaw(entry.callersAddress, rawRequest({method: 'GET', path: '/healthz', headers: {connection: 'close'}}));
 	entry.context.draining = true;
 	await Promise.all([entry.callers.drain(), entry.operators.drain(), silentEnd]);
@@ -78,7 +78,7 @@
 	}
 });
 
-test('a request that arrives on an open connection during a stop is refused as not run, and told to go elsewhere', async () => {
+test('a request that arrives on an open connection during a stop is refused as not run, and its connection is closed', async () => {
 	const entry = new TestEntry();
 	await entry.start();
 	const socket = await openSocket(entry.callersAddress);
--- a/src/test/ending-server.ts
+++ b/src/test/ending-server.ts
@@ -1,4 +1,4 @@
-/** A server that writes the bytes of one answer by hand on each connection and then ends it in a chosen way. */
+/** A test server that writes the given bytes as the answer on each connection and ends the connection in a given way. */
 import {once} from 'node:events';
 import {type AddressInfo, createServer, type Socket} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -7,9 +7,9 @@
 /**
  * How a connection ends.
  *
- * - `reset-with-bytes`: reset right behind its last bytes; Node reports an ordinary end, not an error.
- * - `reset-later`: reset when the bytes have been read; Node reports the error.
- * - `closed`: closed in order.
+ * - `reset-with-bytes`: reset right after the last bytes; the caller's Node reports a normal end, not an error.
+ * - `reset-later`: reset after the bytes were read; the caller's Node reports an error.
+ * - `closed`: closed normally.
  */
 export type ConnectionEnding = 'reset-with-bytes' | 'reset-later' | 'closed';
 
@@ -18,11 +18,11 @@
 const laterMilliseconds = 3;
 
 /**
- * Starts the server, and stops it with the test.
+ * Starts the server, and stops it at the end of the test.
  *
  * @param context - The test.
- * @param answer - The bytes of the answer, head included.
- * @param ending - How each connection ends behind them.
+ * @param answer - The bytes of the answer, including its head.
+ * @param ending - How each connection ends after the answer.
  * @returns `IP:port`.
  */
 export async function startEndingServer(context: TestContext, answer: string | Uint8Array, ending: ConnectionEnding): Promise<string> {
--- a/src/test/golden/caller-sessions.ts
+++ b/src/test/golden/caller-sessions.ts
@@ -1,9 +1,9 @@
-/** Sessions of callers: prompts and bookings, when all is well and when it is not. */
+/** Golden sessions of callers: prompts and bookings, with and without faults. */
 import {
 	ask, booking, type GoldenSession, prompt,
 } from './golden-session.js';
 
-/** What happens in a session. */
+/** The steps of a session. */
 export type SessionScript = (session: GoldenSession) => Promise<void>;
 
 const [firstEngine, secondEngine] = ['riva-engine-1', 'riva-engine-2'] as const;
@@ -171,7 +171,7 @@
 	].join('\r\n'));
 }
 
-/** All sessions of callers, by the name of their file. */
+/** All sessions of callers, by the names of their files. */
 export const callerSessions: ReadonlyMap<string, {title: string; script: SessionScript}> = new Map([
 	['plain-prompt', {title: 'A plain prompt, whole and streamed', script: plainPrompt}],
 	['returning-prompt', {title: 'A prompt that returns after hours', script: returningPrompt}],
--- a/src/test/golden/golden-session.ts
+++ b/src/test/golden/golden-session.ts
@@ -1,7 +1,7 @@
 /**
- * Plays one session of callers and operators against an entry over ports in memory, under a clock that stands still and
- * with counted request ids, and writes down what is sent and got, byte for byte. Only the `Date` header, which Node
- * takes from the machine's clock, is replaced; a carriage return is shown as ␍.
+ * Runs one session of callers and operators against an entry with in-memory ports, a manual clock and numbered request
+ * ids, and records the bytes of all requests and answers. Only the `Date` header, which Node takes from the machine's
+ * clock, is replaced. A carriage return is shown as ␍.
  */
 import {type Socket} from 'node:net';
 import {
@@ -9,7 +9,7 @@
 } from '../raw-http.js';
 import {TestEntry, testKey, testOperatorKey} from '../test-entry.js';
 
-/** An exchange whose answer has not ended. */
+/** A sent request whose answer may be incomplete. */
 export type OpenExchange = {
 	name: string;
 	socket: Socket;
@@ -26,39 +26,39 @@
 		await this.entry.startWithTable();
 	}
 
-	/** Ends the entry; gives the whole text. */
+	/** Stops the entry and returns the recorded text. */
 	async end(): Promise<string> {
 		await Promise.all([this.entry.callers.drain(), this.entry.operators.drain()]);
 		return this.#text;
 	}
 
-	/** Writes down what happens. */
+	/** Adds a comment for the reader to the recorded text. */
 	tell(text: string): void {
 		this.#text += `\n# ${text}\n`;
 	}
 
-	/** A caller sends a request and reads the whole answer. */
+	/** Sends a caller's request and reads the complete answer. */
 	async call(name: string, request: RawRequest): Promise<string> {
 		return this.finish(await this.open(name, request));
 	}
 
-	/** An operator sends a request and reads the whole answer. */
+	/** Sends an operator's request and reads the complete answer. */
 	async operate(name: string, request: RawRequest): Promise<string> {
 		const bytes = rawRequest({...request, headers: {authorization: `Bearer ${testOperatorKey}`, connection: 'close', ...request.headers}});
 		return this.finish(await this.#send(name, this.entry.operatorsAddress, bytes));
 	}
 
-	/** A caller sends a request and does not wait for the answer. */
+	/** Sends a caller's request without waiting for the answer. */
 	async open(name: string, request: RawRequest): Promise<OpenExchange> {
 		return this.#send(name, this.entry.callersAddress, rawRequest({...request, headers: {connection: 'close', ...request.headers}}));
 	}
 
-	/** Bytes that are no well-formed request. */
+	/** Sends bytes that need not be a valid request, and reads the complete answer. */
 	async sendBytes(name: string, bytes: string): Promise<string> {
 		return this.finish(await this.#send(name, this.entry.callersAddress, bytes));
 	}
 
-	/** Reads an answer to its end and writes it down. */
+	/** Reads an answer to its end and records it. */
 	async finish({name, answer}: OpenExchange): Promise<string> {
 		const text = await answer;
 		this.#write(name, '<', text.replace(/^Date: .*(?=\r$)/mv, 'Date: (now)'));
@@ -81,7 +81,7 @@
 
 const authorization = `Bearer ${testKey}`;
 
-/** A chat prompt of the workspace `quay`. */
+/** Creates a chat prompt of the workspace `quay`. */
 export function prompt(content: string, further: Record<string, unknown> = {}): RawRequest {
 	return {
 		method: 'POST', path: '/v1/chat/completions', headers: {authorization}, body: JSON.stringify({
@@ -90,14 +90,14 @@
 	};
 }
 
-/** A booking of the workspace `quay` under a key. */
+/** Creates a booking of the workspace `quay` with an idempotency key. */
 export function booking(name: string, key: string): RawRequest {
 	return {
 		method: 'POST', path: '/services/bookings/bookings', headers: {authorization, 'idempotency-key': key}, body: JSON.stringify({booking: name}),
 	};
 }
 
-/** Any other request of the workspace `quay`. */
+/** Creates a GET request of the workspace `quay`. */
 export function ask(path: string): RawRequest {
 	return {method: 'GET', path, headers: {authorization}};
 }
--- a/src/test/golden/golden.test.ts
+++ b/src/test/golden/golden.test.ts
@@ -1,4 +1,4 @@
-/** Whole sessions of callers and operators say today what their golden files say. */
+/** The recorded bytes of whole sessions of callers and operators equal their golden files. */
 import assert from 'node:assert/strict';
 import {readdirSync, readFileSync} from 'node:fs';
 import {test} from 'node:test';
@@ -6,7 +6,7 @@
 
 for (const name of goldenSessions.keys()) {
 	test(`golden session ${name}`, async () => {
-		assert.equal(await playSession(name), readFileSync(`golden/${name}.txt`, 'utf8'), 'read the difference; if it is meant, run npm run golden');
+		assert.equal(await playSession(name), readFileSync(`golden/${name}.txt`, 'utf8'), 'review the difference; if it is intended, run npm run golden');
 	});
 }
 
--- a/src/test/golden/operator-sessions.ts
+++ b/src/test/golden/operator-sessions.ts
@@ -1,4 +1,4 @@
-/** Sessions of operators. */
+/** Golden sessions of operators: concurrent changes of the configuration, and failures of the platform. */
 import {type RawRequest} from '../raw-http.js';
 import {type SessionScript} from './caller-sessions.js';
 import {type GoldenSession, prompt} from './golden-session.js';
@@ -46,7 +46,7 @@
 	await session.operate('stranger', {...read('/operator/configuration/head'), headers: {authorization: 'Bearer guessed'}});
 }
 
-/** All sessions of operators, by the name of their file. */
+/** All sessions of operators, by the names of their files. */
 export const operatorSessions: ReadonlyMap<string, {title: string; script: SessionScript}> = new Map([
 	['racing-operators', {title: 'Racing operators', script: racingOperators}],
 	['operators-and-the-platform', {title: 'Operators while the platform fails', script: operatorsAndThePlatform}],
--- a/src/test/golden/play-session.ts
+++ b/src/test/golden/play-session.ts
@@ -2,14 +2,14 @@
 import {GoldenSession} from './golden-session.js';
 import {operatorSessions} from './operator-sessions.js';
 
-/** All sessions, by the name of their file under `golden/`. */
+/** All sessions, by the names of their files in `golden/`. */
 export const goldenSessions = new Map([...callerSessions, ...operatorSessions]);
 
 /**
- * Plays a session.
+ * Runs a session.
  *
- * @param name - Its name.
- * @returns What its golden file has to say.
+ * @param name - The name of the session.
+ * @returns The recorded text, which must equal the golden file.
  */
 export async function playSession(name: string): Promise<string> {
 	const {title, script} = goldenSessions.get(name)!;
--- a/src/test/golden/write-golden.ts
+++ b/src/test/golden/write-golden.ts
@@ -1,4 +1,4 @@
-/** `npm run golden`: writes all golden files anew. The difference is read before it is committed. */
+/** `npm run golden`: rewrites all golden files. Review the differences before committing them. */
 import {writeFileSync} from 'node:fs';
 import {goldenSessions, playSession} from './play-session.js';
 
--- a/src/test/import-circles.test.ts
+++ b/src/test/import-circles.test.ts
@@ -1,6 +1,7 @@
 /**
- * Modules that import each other cannot be read, tested or moved one at a time, and what one of them finds at its top
- * level depends on which was loaded first. Imports of types count: they are gone at run time, but not for a reader.
+ * Checks that there are no import cycles. Modules in a cycle cannot be read, tested or moved one at a time, and the values
+ * that they see at their top level depend on the loading order. Type imports count too: they do not exist at run time, but
+ * a reader has to follow them.
  */
 import assert from 'node:assert/strict';
 import {readdirSync, readFileSync} from 'node:fs';
@@ -9,10 +10,10 @@
 
 type ImportGraph = ReadonlyMap<string, readonly string[]>;
 
-/** The module name of every import and export from another file: static, for its effect alone, or by a call. */
+/** Matches the module name in imports and re-exports of other files: static, for side effects only, or dynamic. */
 const importedName = /\b(?:from|import)\s*\(?\s*'(?<name>\.{1,2}\/[^']+)\.js'/gv;
 
-/** Reads which source file imports which, by their paths below `src`. */
+/** Reads the imports of all source files, as paths relative to `src`. */
 function readImportGraph(): ImportGraph {
 	const files = readdirSync('src', {recursive: true, encoding: 'utf8'}).filter(file => file.endsWith('.ts'));
 	return new Map(files.map(file => [file, importsOf(file, readFileSync(`src/${file}`, 'utf8'))]));
@@ -23,7 +24,7 @@
 	return names.map(name => path.join(path.dirname(file), `${name}.ts`));
 }
 
-/** Finds circles: each as its files in the order of their imports, the first one repeated at the end. */
+/** Finds cycles. Each is a list of its files in the order of their imports, with the first one repeated at the end. */
 function findCircles(graph: ImportGraph): string[][] {
 	const circles: string[][] = [];
 	const finished = new Set<string>();
@@ -51,19 +52,19 @@
 	return circles;
 }
 
-test('no source file imports itself by way of others, not even for a type', () => {
+test('there are no import cycles, not even of types', () => {
 	const graph = readImportGraph();
 	assert.deepEqual(findCircles(graph).map(circle => circle.join(' > ')), []);
 });
 
-test('every import is read: each names a file that exists', () => {
-	// A way of writing imports that the reader mistakes would leave circles unseen.
+test('every import that was found names an existing file', () => {
+	// An import that the pattern misreads would hide cycles.
 	const graph = readImportGraph();
 	const missing = [...graph].flatMap(([file, imported]) => imported.filter(name => !graph.has(name)).map(name => `${file} > ${name}`));
 	assert.deepEqual(missing, []);
 });
 
-test('a circle of three files is found, with its way', () => {
+test('a cycle of three files is found, with its path', () => {
 	const graph = new Map([['main.ts', ['a.ts']], ['a.ts', ['b.ts', 'c.ts']], ['b.ts', ['c.ts']], ['c.ts', ['a.ts']]]);
 	assert.deepEqual(findCircles(graph), [['a.ts', 'b.ts', 'c.ts', 'a.ts']]);
 });
--- a/src/test/malformed-input.test.ts
+++ b/src/test/malformed-input.test.ts
@@ -18,10 +18,10 @@
 
 const seed = 20_261_202;
 const longestMilliseconds = 2000;
-/** So many malformed inputs of each kind are refused; what was sound by chance does not count. */
+/** At least this many inputs of each kind must be refused; inputs that happen to be valid do not count. */
 const leastRefused = 400;
 
-/** Generates inputs until enough were refused. Every refusal is checked, and every input must be judged in time. */
+/** Generates inputs and counts the refused ones. Every refusal is checked, and every input must be validated in time. */
 function refuseAll<Input, Refusal>(inputs: fastCheck.Arbitrary<Input>, judge: (input: Input) => Either<Refusal, unknown>, checkRefusal: (refusal: Refusal) => void): number {
 	let refused = 0;
 	fastCheck.assert(fastCheck.property(inputs, input => {
@@ -31,13 +31,13 @@
 			checkRefusal(refusal);
 		});
 		const took = performance.now() - startedAt;
-		assert.ok(took < longestMilliseconds, `judged in ${took} ms`);
+		assert.ok(took < longestMilliseconds, `validated in ${took} ms`);
 	}), {seed, numRuns: leastRefused * 2});
 	assert.ok(refused >= leastRefused, `${refused} refused`);
 	return refused;
 }
 
-/** Cuts a piece out of a text and puts another in its place. */
+/** Replaces a part of a text by another text. */
 function mutationsOf(texts: readonly string[], inserts: fastCheck.Arbitrary<string>): fastCheck.Arbitrary<string> {
 	return fastCheck.tuple(fastCheck.constantFrom(...texts), fastCheck.double({min: 0, max: 1, noNaN: true}), fastCheck.nat({max: 40}), inserts)
 		.map(([text, share, cut, insert]) => {
@@ -85,7 +85,7 @@
 	t.diagnostic(`${refused} refused`);
 });
 
-test('malformed lines of the language are refused with a column and what was expected', t => {
+test('malformed statements are refused with a column and what was expected', t => {
 	const sound = [
 		'endpoints where state != live and (running > 3 or name contains "riva") order by running desc, name limit 5',
 		'move permit-1 to w2 because "new weights"',
@@ -122,7 +122,7 @@
 	t.diagnostic(`${refused} refused`);
 });
 
-test('bytes and values that are no messages never break the reader of the time line', () => {
+test('invalid bytes and values never make the parser of timeline messages throw', () => {
 	const bytes = fastCheck.oneof(
 		fastCheck.uint8Array({maxLength: 200}).map(array => Buffer.from(array)),
 		fastCheck.jsonValue().map(value => encodeFrame(value)),
--- a/src/test/malformed-requests.test.ts
+++ b/src/test/malformed-requests.test.ts
@@ -1,4 +1,4 @@
-/** A thousand generated requests that are wrong in every way we could think of: no crash, no hang, a typed error each. */
+/** Generated malformed requests of many kinds: the entry neither crashes nor hangs, and each gets a typed error. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
@@ -104,7 +104,7 @@
 const noise = fc.uint8Array({minLength: 1, maxLength: 300}).map(bytes => Buffer.from(bytes));
 const request = fc.oneof(shaped, nearlyRight, noise);
 
-/** Checks that an answer is an ordinary one or a typed refusal, and no fault of ours. */
+/** Checks that an answer is a success or a typed refusal, and not a server error. */
 function assertClear(answer: string, bytes: Buffer): void {
 	const status = statusOf(answer);
 	const isHead = bytes.toString('latin1').startsWith('HEAD');
@@ -112,9 +112,9 @@
 	assert.ok(status < 400 || isHead || errorCodeOf(answer) !== '', `no typed error: ${answer}`);
 }
 
-test('1,000 malformed requests get a typed error each, and the entry goes on', async t => {
-	// The caller sees 4xx and why. Some of these requests end half-way, some ask for things that do not exist, some are
-	// no HTTP at all; a crash would take every other caller's answer with it, and a hang would hold a place for ever.
+test('1,000 malformed requests get a typed error each, and the entry continues to serve', async t => {
+	// The caller gets 4xx and a reason. Some of these requests are incomplete, some name things that do not exist, and some
+	// are not HTTP. A crash would cut the answers of all other callers, and a hang would use up the limit of open requests.
 	const entry = new TestEntry(bounds);
 	await entry.start();
 	t.after(async () => entry.stop());
@@ -135,7 +135,7 @@
 	assert.equal(sent, 1000);
 });
 
-test('a malformed request whose sender waits for ever is given up by the listener', async t => {
+test('the listener ends a malformed request whose sender waits without end', async t => {
 	const entry = new TestEntry(bounds);
 	await entry.start();
 	t.after(async () => entry.stop());
--- a/src/test/manual-clock.ts
+++ b/src/test/manual-clock.ts
@@ -1,4 +1,4 @@
-/** A clock that stands still until a test moves it. */
+/** A clock that changes only when a test advances it. */
 import {type Clock} from '../ports/clock.js';
 
 type Sleeper = {until: number; wake: () => void};
@@ -7,7 +7,7 @@
 	#now: number;
 	#sleepers: Sleeper[] = [];
 
-	/** @param now - Where it starts, in milliseconds since the epoch. */
+	/** @param now - Its first time, in milliseconds since the epoch. */
 	constructor(now: number) {
 		this.#now = now;
 	}
@@ -33,7 +33,7 @@
 		});
 	}
 
-	/** Moves time on and wakes whoever is due. */
+	/** Advances the time and ends all sleeps that are due. */
 	advance(milliseconds: number): void {
 		this.#now += milliseconds;
 		const due = this.#sleepers.filter(({until}) => until <= this.#now);
--- a/src/test/memory-model-engine.ts
+++ b/src/test/memory-model-engine.ts
@@ -1,6 +1,6 @@
 /**
- * Model engines in memory, by address. They answer the stand-in engine's tokens, which depend on the prompt, and can be
- * told to cut, stall, pause, refuse or swap weights; a fault is used up by the call that meets it.
+ * In-memory model engines, by address. They generate the stand-in engine's tokens, which depend on the prompt. Tests can
+ * make them cut, stall, pause or reject a call, or change weights; each fault applies to one call.
  */
 import {type Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -15,7 +15,7 @@
 const charactersPerToken = 4;
 const defaultTokens = 4;
 
-/** What goes wrong with the next call. `pause` goes on at `resume()`, `stall` is silent until the call is given up. */
+/** The fault of a call. `pause` lasts until `resume()`; `stall` sends nothing until the call is cancelled. */
 export type EngineFault
 	= | {kind: 'cut' | 'stall' | 'pause'; afterTokens: number}
 		| {kind: 'fail'; failure: EngineFailure};
@@ -31,12 +31,12 @@
 	readonly #awaitHalt: Array<() => void> = [];
 	readonly #halts = new Set<AbortController>();
 
-	/** Makes the next call at an address fail. */
+	/** Adds faults for the next calls at an address, one for each call. */
 	failNext(address: string, ...faults: EngineFault[]): void {
 		this.#faults.set(address, [...this.#faults.get(address) ?? [], ...faults]);
 	}
 
-	/** Resolves when this many calls are stalled or paused. */
+	/** Resolves when at least this many calls are stalled or paused. */
 	async halted(count = 1): Promise<void> {
 		while (this.#halts.size < count) {
 			await new Promise<void>(resolve => {
@@ -45,14 +45,14 @@
 		}
 	}
 
-	/** Lets paused calls go on. */
+	/** Lets paused calls continue. */
 	resume(): void {
 		for (const wake of this.#halted.splice(0)) {
 			wake();
 		}
 	}
 
-	/** Cuts paused calls off. */
+	/** Resumes paused calls, and cuts the connection of the first. */
 	breakHalted(): void {
 		this.#isBroken = true;
 		this.resume();
@@ -77,7 +77,7 @@
 	}
 
 	async loadReport(): Promise<Either<EngineFailure, LoadReport>> {
-		return Left({kind: 'broken', detail: 'tests give load reports to the directory themselves'});
+		return Left({kind: 'broken', detail: 'tests pass load reports to the directory directly'});
 	}
 
 	async cacheEvents(): Promise<Either<EngineFailure, CacheEvent[]>> {
--- a/src/test/memory-plain-service.ts
+++ b/src/test/memory-plain-service.ts
@@ -1,4 +1,4 @@
-/** A booking service in memory. It counts what it ran, so that a second run is seen here and not by our own word. */
+/** An in-memory booking service. It records its calls, so that tests for duplicate runs do not rely on the entry's reports. */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
 import {type Either, Left, Right} from 'purify-ts/Either';
@@ -8,10 +8,10 @@
 
 export class MemoryPlainService implements PlainService {
 	readonly calls: PlainCall[] = [];
-	/** How many coming calls run and then lose their answer. */
+	/** The number of following calls that run but whose answers are lost. */
 	loseAnswers = 0;
 
-	/** While true, calls get no answer until they are given up. */
+	/** While true, calls get no answer until they are cancelled. */
 	isHeld = false;
 	readonly #events = new EventTarget();
 
@@ -39,7 +39,7 @@
 		await once(this.#events, 'called');
 	}
 
-	/** Resolves when the next held call is given up. */
+	/** Resolves when a held call is cancelled. */
 	async cancelled(): Promise<void> {
 		await once(this.#events, 'cancelled');
 	}
--- a/src/test/memory-table.ts
+++ b/src/test/memory-table.ts
@@ -1,4 +1,4 @@
-/** The table service in memory, with the faults that the platform has. */
+/** An in-memory table service with the faults of the platform's one: outages, lost answers, and restores from a copy. */
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type ClockedRow, type ClockedTable} from '../ports/clocked-table.js';
 import {
@@ -6,23 +6,23 @@
 } from '../ports/table-service.js';
 
 export class MemoryTable implements TableService, ClockedTable {
-	/** The table's own clock, in milliseconds. */
+	/** The time of the table's own clock, in milliseconds. */
 	now = 0;
-	/** Every call fails, and nothing is applied. */
+	/** While true, every call fails and no write is applied. */
 	down = false;
-	/** How many coming commits are applied and then lose their answer. */
+	/** The number of following commits that are applied but whose answers are lost. */
 	loseAnswers = 0;
 	era = 0;
-	/** Calls that read, answered or not. */
+	/** The number of reads with a clock, whether they succeeded or failed. */
 	reads = 0;
 	#rows = new Map<string, Row>();
 
-	/** Gives a copy, to which the table can be restored. */
+	/** Returns a copy that the table can be restored from. */
 	copy(): ReadonlyMap<string, Row> {
 		return structuredClone(this.#rows);
 	}
 
-	/** Comes back from a copy, in a new era: what was written since is lost, and its revisions are given out again. */
+	/** Restores a copy and starts a new era: later writes are lost, and their revision numbers are used again. */
 	restore(copy: ReadonlyMap<string, Row>): void {
 		this.#rows = new Map(structuredClone(copy));
 		this.era++;
--- a/src/test/openai-client.test.ts
+++ b/src/test/openai-client.test.ts
@@ -1,4 +1,4 @@
-/** An unchanged client library of the published protocol, pointed at an entry of a small deployment of processes. */
+/** The unmodified client library of the published protocol, used with an entry of a small deployment of processes. */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
 import OpenAI from 'openai';
@@ -27,7 +27,7 @@
 before(async () => {
 	await deployment.start();
 	await deployment.apply(demoDeclarationPath, 'for the client library', () => {
-		// The edits are of no interest here.
+		// The printed edits do not matter to these tests.
 	});
 });
 
@@ -38,7 +38,7 @@
 	assert.deepEqual(models.data.map(({id}) => id), ['permit-1']);
 });
 
-test('a chat answer is the same text whole and streamed', async () => {
+test('a chat answer has the same text with and without streaming', async () => {
 	const client = clientOf('quay-demo-key');
 	const whole = await client.chat.completions.create(chat);
 	assert.equal(whole.choices[0]!.message.content, chatText);
@@ -56,7 +56,7 @@
 	assert.equal(completionTokens, tokens);
 });
 
-test('a text answer is the same whole and streamed', async () => {
+test('a text answer is the same with and without streaming', async () => {
 	const client = clientOf('quay-demo-key');
 	const prompt = {model: 'permit-1', prompt: content, max_tokens: tokens};
 	const whole = await client.completions.create(prompt);
@@ -69,7 +69,7 @@
 	assert.equal(text, whole.choices[0]!.text);
 });
 
-test('the client library parses refusals as its own typed errors', async () => {
+test('the client library maps refusals to its own typed errors', async () => {
 	await assert.rejects(clientOf('no-such-key').models.list(), (error: unknown) => {
 		assert.ok(error instanceof OpenAI.AuthenticationError);
 		assert.equal(error.code, 'unauthorized');
@@ -87,9 +87,9 @@
 	});
 });
 
-test('a refusal that passes carries when to come back, where the client library looks for it', async () => {
-	// The caller sees 503 with Retry-After. The declared service of this model has no live endpoint here, so nothing can
-	// have run: "not-run" is true, and a client that retries by itself waits as long as it is told.
+test('a temporary refusal carries the retry delay where the client library expects it', async () => {
+	// The caller gets 503 with Retry-After. The declared service of this model has no live endpoint here, so "not-run" is
+	// true. A client that retries automatically waits for the given time.
 	await assert.rejects(clientOf('parish-demo-key').chat.completions.create({...chat, model: 'lesson-1'}), (error: unknown) => {
 		assert.ok(error instanceof OpenAI.InternalServerError);
 		assert.equal(error.status, 503);
--- a/src/test/platform-boundary.test.ts
+++ b/src/test/platform-boundary.test.ts
@@ -2,9 +2,9 @@
 import {readdirSync, readFileSync} from 'node:fs';
 import {test} from 'node:test';
 
-/** The place that puts the programs together: the only one that may import from the platform's folder. */
+/** The modules that assemble the programs: only they may import from the platform's folder. */
 const composers = new Set(['gateway/run-gateway.ts']);
-/** Words that only the platform's pages use: paths of its calls, names of its headers, rows and settings. */
+/** Names of the platform's protocol: paths of its calls, and names of its headers, rows and settings. */
 const platformWords = new RegExp([
 	'rows-(?:tx|get|feed|parts)',
 	'blob-(?:put|get|drop|list)',
@@ -24,17 +24,17 @@
 	.filter(file => file.endsWith('.ts') && !file.endsWith('.test.ts') && !file.startsWith('language/generated'))
 	.map(file => ({file, text: readFileSync(`src/${file}`, 'utf8')}));
 
-test('nothing outside the platform\'s folder knows its names', () => {
+test('no module outside the platform\'s folder contains the platform\'s names', () => {
 	const found = sources.filter(({file, text}) => !file.startsWith('platform/') && platformWords.test(text));
 	assert.deepEqual(found.map(({file}) => file), []);
 });
 
-test('only the place that puts the programs together imports from the platform\'s folder', () => {
+test('only the modules that assemble the programs import from the platform\'s folder', () => {
 	const found = sources.filter(({file, text}) => !file.startsWith('platform/') && !composers.has(file) && /from '(?:\.\.\/)+platform\//v.test(text));
 	assert.deepEqual(found.map(({file}) => file), []);
 });
 
-test('the platform\'s folder is a tenth of the code at most, and keeps no state of decisions', () => {
+test('the platform\'s folder is at most a tenth of the code, and makes no decisions', () => {
 	const linesOf = (chosen: typeof sources): number => chosen.reduce((sum, {text}) => sum + text.split('\n').length, 0);
 	const inside = sources.filter(({file}) => file.startsWith('platform/'));
 	assert.ok(linesOf(inside) * 10 <= linesOf(sources), `${linesOf(inside)} of ${linesOf(sources)} lines`);
--- a/src/test/process-bookings.test.ts
+++ b/src/test/process-bookings.test.ts
@@ -3,9 +3,9 @@
 import {runBookings} from '../check/bookings-over-processes.js';
 
 test('bookings over real processes run once under kills, pauses and lost answers', async () => {
-	// Callers repeat each booking under its key until they hear its answer, or that the outcome is unknown. Meanwhile
-	// entries die between claim and answer, stand still past their lease and wake up, and answers of the table and the
-	// service get lost behind their effect. The service itself counts the runs.
+	// Callers retry each booking with its key until they get its answer, or "outcome unknown". Meanwhile entries crash
+	// between claim and answer or pause for longer than their lease, and the table and the service apply writes whose answers
+	// are lost. The service counts the runs.
 	const report = await runBookings({bookings: 48, seed: 4});
 	const {duplicateRuns, falseNotRun, crossedAnswers, answeredButNotRun, withoutFinalWord} = report;
 	assert.deepEqual({
--- a/src/test/process-configuration.test.ts
+++ b/src/test/process-configuration.test.ts
@@ -2,10 +2,10 @@
 import {test} from 'node:test';
 import {runConfigurationChanges} from '../check/configuration-over-processes.js';
 
-test('over real processes: changes are in force within 3 s and never go back under restarts and cuts', async () => {
-	// Operators change the configuration again and again. In between, entries are killed and started anew, or are cut from
-	// the table and mended. Each change is in force on every entry within 3 s, by the table or by the peers, and no entry
-	// ever serves by a version below one that it had.
+test('over real processes: changes are in force within 3 s and never revert under restarts and cut connections', async () => {
+	// Between configuration changes, entries are killed and restarted, or cut off from the table and reconnected. Each change
+	// must be in force on every entry within 3 s, from the table or from peers, and no entry may serve under a lower version
+	// than before.
 	const {late, wentBack, changes} = await runConfigurationChanges({faults: 8, seed: 3});
 	assert.deepEqual({late, wentBack, changes}, {late: 0, wentBack: 0, changes: 9});
 });
--- a/src/test/process-operations.test.ts
+++ b/src/test/process-operations.test.ts
@@ -1,4 +1,4 @@
-/** What callers and operators see of a graceful stop, a leaving endpoint and a configuration change, over real processes. */
+/** A graceful stop, a leaving endpoint and a configuration change over real processes, as callers and operators see them. */
 import assert from 'node:assert/strict';
 import {once} from 'node:events';
 import {test} from 'node:test';
@@ -47,16 +47,16 @@
 	const plainServices = deployment.withRole('plain-service');
 
 	await context.test('an accepted change is in force on every instance within 3 s', async () => {
-		// An operator applies a change at one entry; each of the three entries says which version it has in force.
+		// An operator applies a change at one entry; each of the three entries reports the version that it has in force.
 		const acceptedAt = performance.now();
 		await deployment.apply(changedDemoDeclarationPath, 'test', () => undefined);
 		const took = performance.now() - acceptedAt;
 		assert.ok(took <= configurationBoundMilliseconds, `${took} ms`);
 	});
 
-	await context.test('a graceful stop under 50 open streams gives 50 whole answers', async () => {
-		// Fifty callers are in the middle of their streams when the entry is told to stop. Each gets its whole answer, and
-		// the process ends by itself behind the last one.
+	await context.test('a graceful stop with 50 open streams completes all 50 answers', async () => {
+		// Fifty callers are receiving streams when the entry gets SIGTERM. Each gets its complete answer, and the process exits
+		// after the last one.
 		const exited = once(leaver!.process.child, 'exit');
 		const answers = Array.from({length: 50}, async (_, index) => ask(leaver!, `stream ${index}`, 100));
 		for (;;) {
@@ -74,10 +74,10 @@
 		assert.deepEqual(await exited, [0, null]);
 	});
 
-	await context.test('leaving endpoints get no new work behind 3 s while the list lags by 30 s', async () => {
-		// One of two engines and one of two plain services say in their load reports that they leave. The list learns of it
-		// at once too, but shows it to nobody for 30 s and goes on calling both live. Behind the bound of 3 s twenty prompts
-		// and twenty bookings come, and none goes to them.
+	await context.test('leaving endpoints get no new requests after 3 s while the list lags by 30 s', async () => {
+		// One of two engines and one of two plain services report in their load reports that they are leaving. The list is
+		// updated at once too, but shows both as live for another 30 s. After the bound of 3 s, twenty prompts and twenty
+		// bookings arrive, and none may go to them.
 		await deployment.setFaults(deployment.platform.list, {lagMilliseconds: 30_000});
 		const leaving = [engines[0]!, plainServices[0]!];
 		for (const {listed} of leaving) {
--- a/src/test/process-stop-bookings.test.ts
+++ b/src/test/process-stop-bookings.test.ts
@@ -21,7 +21,7 @@
 }
 
 test('over real processes: a graceful stop leaves no booking without an answer', async context => {
-	// Guards against callers who cannot know whether they have booked, because the instance that claimed their call was stopped.
+	// Guards against callers that cannot find out whether a booking ran because the instance that claimed the call was stopped.
 	const deployment = new Deployment({
 		dataCentres: ['split-riva'], entriesPerDataCentre: 2, enginesPerDataCentre: 1, modelServices: [permitsModelService], plainService: 'bookings', plainServicesPerDataCentre: 1,
 	});
@@ -56,7 +56,7 @@
 	}
 
 	context.diagnostic(JSON.stringify([...counts]));
-	// A call that crosses the close of its connection ends without an answer; that none of them ran shows in the count.
+	// A call sent while its connection is being closed gets no answer. The equal counts show that none of these calls ran.
 	const {runs} = await deployment.countsOf(service!.listed.address);
 	assert.equal(counts.get('booked'), Number(runs));
 	assert.deepEqual([...counts.keys()].filter(outcome => outcome !== 'booked' && !outcome.endsWith(' not-run') && !connectionEnds.has(outcome)), []);
--- a/src/test/raw-http.ts
+++ b/src/test/raw-http.ts
@@ -1,4 +1,4 @@
-/** HTTP by hand, for tests that care about every byte. */
+/** Helpers that write and read raw HTTP bytes over TCP, for tests that need exact bytes. */
 import {once} from 'node:events';
 import {connect, type Socket} from 'node:net';
 
@@ -7,14 +7,14 @@
 	const separator = address.lastIndexOf(':');
 	const socket = connect({host: address.slice(0, separator), port: Number(address.slice(separator + 1)), noDelay: true});
 	await once(socket, 'connect');
-	// A reset is one of the ends that tests look at; what was read before it counts.
+	// Tests also check connections that are reset; the bytes that were read before the reset count.
 	socket.on('error', () => {
 		socket.destroy();
 	});
 	return socket;
 }
 
-/** Collects what comes until the other side ends the connection. */
+/** Reads until the connection is closed, and returns all received text. */
 export async function readToEnd(socket: Socket): Promise<string> {
 	let text = '';
 	socket.setEncoding('utf8');
@@ -30,7 +30,7 @@
 	return text;
 }
 
-/** Waits until what came satisfies a condition; gives all that came. */
+/** Reads until the received text satisfies a condition, and returns that text. */
 export async function readUntil(socket: Socket, isEnough: (text: string) => boolean): Promise<string> {
 	let text = '';
 	for (;;) {
@@ -42,7 +42,7 @@
 	}
 }
 
-/** Sends bytes on a fresh connection and collects the answer until the other side ends it. */
+/** Sends bytes on a new connection and reads the answer until the connection is closed. */
 export async function exchangeRaw(address: string, bytes: string | Uint8Array): Promise<string> {
 	const socket = await openSocket(address);
 	const answer = readToEnd(socket);
@@ -50,7 +50,7 @@
 	return answer;
 }
 
-/** One request to write by hand. */
+/** A request to write as raw bytes. */
 export type RawRequest = {
 	method: string;
 	path: string;
@@ -58,19 +58,19 @@
 	body?: string;
 };
 
-/** Writes a request as bytes, with the length of its body. */
+/** Formats a request as HTTP/1.1, with the length of its body. */
 export function rawRequest({method, path, headers = {}, body = ''}: RawRequest): string {
 	const all = {host: 'savorygauge', ...headers, ...(body === '' ? {} : {'content-type': 'application/json', 'content-length': String(new TextEncoder().encode(body).length)})};
 	const lines = Object.entries(all).map(([name, value]) => `${name}: ${value}`);
 	return [`${method} ${path} HTTP/1.1`, ...lines, '', body].join('\r\n');
 }
 
-/** The status of an answer, behind interim ones; 0 if there is none. */
+/** Returns the status of an answer, skipping interim ones; 0 if there is none. */
 export function statusOf(answer: string): number {
 	return Number(/^(?:HTTP\/1\.1 100 Continue\r\n\r\n)*HTTP\/1\.1 (?<status>\d{3})/v.exec(answer)?.groups?.status ?? 0);
 }
 
-/** The code of the typed error in an answer. */
+/** Returns the code of the typed error in an answer; empty if there is none. */
 export function errorCodeOf(answer: string): string {
 	return /"code":"(?<code>[a-z\-]+)"/v.exec(answer)?.groups?.code ?? '';
 }
--- a/src/test/scripted-server.ts
+++ b/src/test/scripted-server.ts
@@ -1,4 +1,4 @@
-/** A server whose answers a test writes byte by byte, and which shows how long its connections are held open. */
+/** A test server whose answers the test writes byte by byte, and which reports when its connections are closed. */
 import {once} from 'node:events';
 import {type AddressInfo, createServer, type Socket} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -10,15 +10,15 @@
 export type ScriptedServer = {
 	/** `IP:port`. */
 	address: string;
-	/** Resolves with whether every connection so far was closed by the other side within the given milliseconds. */
+	/** Returns whether the other side closes every connection within the given milliseconds. */
 	isReleasedWithin(milliseconds: number): Promise<boolean>;
 };
 
 /**
- * Starts the server, and stops it with the test.
+ * Starts the server, and stops it at the end of the test.
  *
  * @param context - The test.
- * @param answer - Writes the answer to the first bytes of each connection; the server itself never closes one.
+ * @param answer - Called at the first bytes of each connection, to write the answer; the server never closes a connection.
  */
 export async function startScriptedServer(context: TestContext, answer: (socket: Socket) => void): Promise<ScriptedServer> {
 	const open = new Set<Socket>();
@@ -57,7 +57,7 @@
 	};
 }
 
-/** Writes the same bytes again and again until the connection is closed. */
+/** Writes the same bytes at an interval until the connection is closed. */
 export function drip(socket: Socket, bytes: string, everyMilliseconds: number): void {
 	const timer = setInterval(() => {
 		socket.write(bytes);
@@ -67,7 +67,7 @@
 	});
 }
 
-/** Writes bytes as fast as they are taken, until the connection is closed. */
+/** Writes bytes as fast as the other side reads them, until the connection is closed. */
 export function flood(socket: Socket, bytes: string): void {
 	const write = (): void => {
 		while (!socket.destroyed && socket.write(bytes)) {
--- a/src/test/separate-callers.ts
+++ b/src/test/separate-callers.ts
@@ -1,13 +1,13 @@
-/** Callers in a thread of their own, which go on while the event loop of a test stands still. */
+/** Callers in a separate thread, which continue while the event loop of the test is blocked. */
 import {once} from 'node:events';
 import {Worker} from 'node:worker_threads';
 
-/** One request on a connection of its own; a caller that leaves closes the connection right after it. */
+/** One request on its own connection; a caller that leaves closes the connection right after sending. */
 export type SeparateCall = {bytes: string; leaves: boolean};
 
-/** The callers, all connected. */
+/** Connected callers. */
 export type SeparateCallers = {
-	/** Lets all of them send. */
+	/** Makes all callers send their requests. */
 	send(): void;
 	stop(): Promise<unknown>;
 };
@@ -49,7 +49,7 @@
 	};
 }
 
-/** Keeps the event loop of this thread from doing anything, as in a process that is paused. */
+/** Blocks the event loop of this thread, as in a paused process. */
 export function standStill(milliseconds: number): void {
 	Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, milliseconds);
 }
--- a/src/test/test-entry.ts
+++ b/src/test/test-entry.ts
@@ -1,4 +1,4 @@
-/** One entry in this process, over ports in memory, under a clock that tests move, listening on free local ports. */
+/** An entry in the test's process, with in-memory ports and a manual clock, listening on free local ports. */
 import {Right} from 'purify-ts/Either';
 import {CallerRoutes} from '../entry/callers/caller-routes.js';
 import {AdmissionGate} from '../entry/callers/admission-gate.js';
@@ -31,7 +31,7 @@
 export const testOperatorKey = 'operator-key-in-tests';
 const startOfTime = Date.UTC(2026, 5, 1, 8);
 
-/** The engines that every test entry knows. */
+/** The model engines of every test entry. */
 export const testEngines: readonly ListedInstance[] = ['riva-engine-1', 'riva-engine-2'].map(name => ({
 	name, role: 'model-engine', dataCentre: 'riva', service: 'permits', address: name, peerAddress: '', state: 'live',
 }));
@@ -58,7 +58,7 @@
 	},
 ];
 
-/** An entry that knows no peer. */
+/** The peer overview of an entry without peers. */
 const alone = {
 	overview: () => ({
 		isReader: true, ownedEndpoints: [], linked: [], counts: {}, members: [],
@@ -77,7 +77,7 @@
 	callersAddress = '';
 	operatorsAddress = '';
 	readonly #eventLoopLag = new EventLoopLag(() => performance.now(), () => {
-		// Nothing is reported in tests.
+		// Tests ignore event loop delays.
 	});
 
 	#requests = 0;
@@ -129,13 +129,13 @@
 		this.operators = new HttpListener('operators', createOperatorRoutes(this.context, alone), '127.0.0.1:0', bounds);
 	}
 
-	/** Starts to listen, with a configuration in force and both engines live. */
+	/** Starts to listen with a configuration in force and both engines live. */
 	async start(): Promise<void> {
 		this.know();
 		await this.#listen();
 	}
 
-	/** Brings the configuration into force and makes both engines live, without listening. */
+	/** Sets the configuration in force and makes both engines live, without listening. */
 	know(): void {
 		this.configure(edits);
 		this.#knowEndpoints();
@@ -146,7 +146,7 @@
 		await Promise.all([this.callers.drain(), this.operators.drain()]);
 	}
 
-	/** Has the first configuration accepted at the table too, as an operator would, and starts to listen. */
+	/** Like `start`, but the first configuration is also accepted at the table, as an operator's proposal would be. */
 	async startWithTable(): Promise<void> {
 		const accepted = await acceptProposal(this.table, {
 			plannedAgainst: 0, author: 'vesna', reason: 'the first declaration', edits,
@@ -157,7 +157,7 @@
 		await this.#listen();
 	}
 
-	/** Brings edits into force as the next version. */
+	/** Puts edits into force as the next configuration version. */
 	configure(changes: ConfigurationEdit[]): void {
 		const {version, digest} = this.context.configuration.state;
 		const change = {
@@ -167,14 +167,14 @@
 		this.context.configuration.startGate.tableRead();
 	}
 
-	/** Lets every engine report for itself, as live and idle. */
+	/** Delivers a load report of every engine, as live and idle. */
 	reportEngines(): void {
 		for (const {name} of testEngines) {
 			this.reportEngine(name);
 		}
 	}
 
-	/** Lets one engine report for itself, by default with the weight version that it runs. */
+	/** Delivers a load report of one engine as live and idle, by default with the weight version that it runs. */
 	reportEngine(name: string, weightVersion = this.engine.weightVersions.get(name) ?? 'w1'): void {
 		this.context.endpoints.takeReport(name, {
 			model: 'permit-1',
--- a/src/test/vary-site.test.ts
+++ b/src/test/vary-site.test.ts
@@ -41,7 +41,7 @@
 	return {status, text: stdout};
 }
 
-test('a variant of a deployment follows from its seed, and engines check fencing numbers in it', context => {
+test('the seed determines the variant of a deployment, and its engines check fencing numbers', context => {
 	const first = varied(context, '1');
 	assert.deepEqual(varied(context, '1'), first);
 	assert.notEqual(varied(context, '2').text, first.text);
@@ -49,7 +49,7 @@
 	assert.match(first.text, /^fenced = true$/mv);
 });
 
-test('a variant keeps at least two instances, whole bounds that fit together, and all else as it is', context => {
+test('a variant has at least two instances and consistent integer bounds, and leaves everything else unchanged', context => {
 	for (let seed = 0; seed < 20; seed++) {
 		const {text} = varied(context, String(seed));
 		const figure = (pattern: RegExp): number => Number(pattern.exec(text)?.[1]);
@@ -61,6 +61,6 @@
 	}
 });
 
-test('a seed that is no whole number is refused', context => {
+test('a seed that is not an integer is refused', context => {
 	assert.deepEqual(varied(context, 'x'), {status: 1, text: ''});
 });
--- a/src/test/whole-path.test.ts
+++ b/src/test/whole-path.test.ts
@@ -8,7 +8,7 @@
 
 const demoPath = fileURLToPath(new URL('../demo/main.js', import.meta.url));
 
-test('the demo serves every prompt whole and runs every booking once, over separate processes', async () => {
+test('the demo answers every prompt completely and runs every booking once, over separate processes', async () => {
 	const demo = spawn(process.execPath, [demoPath, '--json'], {stdio: ['ignore', 'pipe', 'inherit']});
 	const [output] = await Promise.all([text(demo.stdout), once(demo, 'exit')]);
 	const report = JSON.parse(output.trim().split('\n').at(-1)!) as Record<string, number>;
