--- a/scripts/bundle-gateway.mjs
+++ b/scripts/bundle-gateway.mjs
@@ -1,6 +1,7 @@
-// Puts the compiled gateway and its libraries into one file, and its compiled code beside it. Node keeps the text and the
-// links of each module that it loads; a single one takes less memory and starts sooner. With the code cache, V8 compiles
-// nothing at a start, which is a third of what a start takes; a cache of another version or other flags is passed over.
+// Bundles the compiled gateway and its libraries into one file, and writes V8's code cache of it beside it. Node keeps the
+// source and the links of each loaded module, so a single module takes less memory and starts faster. With the code cache
+// V8 compiles nothing at the start, which saves a third of the start time; a cache of another version of Node or of other
+// flags is ignored.
 import {readFileSync, writeFileSync} from 'node:fs';
 import {createRequire} from 'node:module';
 import process from 'node:process';
@@ -9,7 +10,7 @@
 
 const [folder] = process.argv.slice(2);
 if (folder === undefined) {
-	throw new Error('usage: node FLAGS-OF-THE-GATEWAY scripts/bundle-gateway.mjs FOLDER');
+	throw new Error('usage: node GATEWAY-FLAGS scripts/bundle-gateway.mjs FOLDER');
 }
 
 const bundle = `${folder}/gateway-bundle.cjs`;
@@ -25,7 +26,7 @@
 	logLevel: 'warning',
 });
 
-/** What a start does, as text: the wrapper is that of Node's own modules of the older format. */
+/** The source of the program that starts the bundle. Its wrapper function is the one that Node uses for CommonJS modules. */
 const launcher = `import {readFileSync} from 'node:fs';
 import {createRequire} from 'node:module';
 import vm from 'node:vm';
@@ -40,7 +41,7 @@
 
 const source = `(function (exports, require, module) {${readFileSync(bundle, 'utf8')}})`;
 const script = new vm.Script(source, {filename: bundle});
-// Functions that run while the modules are loaded are compiled by now, and come into the cache as well.
+// Loading the modules compiles the functions that run at that time, so that the cache includes them.
 script.runInThisContext()({}, createRequire(import.meta.url), {exports: {}});
 writeFileSync(`${folder}/gateway-bundle.cache`, script.createCachedData());
 writeFileSync(`${folder}/gateway.mjs`, launcher);
--- a/scripts/generate-language.mjs
+++ b/scripts/generate-language.mjs
@@ -1,5 +1,5 @@
-// Turns src/language/grammar.peggy into src/language/generated/parser.ts. With --check it writes nothing and ends with
-// status 1 when the committed file is not what the grammar gives.
+// Generates src/language/generated/parser.ts from src/language/grammar.peggy. With --check it writes nothing, and exits
+// with status 1 if the committed file is out of date.
 import {readFileSync, writeFileSync} from 'node:fs';
 import process from 'node:process';
 import peggy from 'peggy';
@@ -12,7 +12,7 @@
 const text = head + generated.replaceAll('\r\n', '\n');
 if (process.argv.includes('--check')) {
 	const isSame = readFileSync(parserPath, 'utf8') === text;
-	console.log(isSame ? `${parserPath} is what the grammar gives` : `${parserPath} is out of date: run npm run generate:language`);
+	console.log(isSame ? `${parserPath} is up to date` : `${parserPath} is out of date: run npm run generate:language`);
 	process.exitCode = isSame ? 0 : 1;
 } else {
 	writeFileSync(parserPath, text);
--- a/scripts/measure-timeline.mjs
+++ b/scripts/measure-timeline.mjs
@@ -1,5 +1,5 @@
-// Measures the time line: what recording one event costs the data path, how many events a second one collector takes
-// from several senders, and what it keeps. Run by `npm run measure:timeline`.
+// Measures the timeline: the time that recording an event takes on the data path, the events a second that one collector
+// receives from several senders, and the events that it retains. Run by `npm run measure:timeline`.
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {TimelineSender} from '../dist/observability/timeline-sender.js';
--- a/scripts/prepare-tree.mjs
+++ b/scripts/prepare-tree.mjs
@@ -1,5 +1,5 @@
-// Makes a fresh clone ready: installs the locked libraries when they are missing or older than the lock file, then
-// compiles. Every npm script that runs code calls it first, so that one command is enough on a fresh clone.
+// Prepares a clone: installs the locked libraries if they are missing or do not match the lock file, and compiles. Every
+// npm script that runs code calls it first, so that one command is enough on a fresh clone.
 import {execFileSync} from 'node:child_process';
 import {createHash} from 'node:crypto';
 import {existsSync, readFileSync, writeFileSync} from 'node:fs';
--- a/scripts/run-tests.mjs
+++ b/scripts/run-tests.mjs
@@ -1,6 +1,7 @@
-// Runs the compiled tests by node:test and closes with one line of counts. Test files that are left in dist/ from a
-// deleted source are not run: the list is taken from src/.
-// KNOWN-RED.txt names tests (text before the first ` | `) that may fail; they are printed, and nothing else passes over.
+// Runs the compiled tests with node:test and prints the counts as the last line. The list of test files is taken from
+// src/, so that compiled files in dist/ whose sources were deleted are not run.
+// KNOWN-RED.txt lists tests (by the text before the first ` | `) that may fail; they are printed. Any other failure sets
+// the exit status.
 import {spawn, spawnSync} from 'node:child_process';
 import {existsSync, readdirSync, readFileSync} from 'node:fs';
 import process from 'node:process';
@@ -12,8 +13,9 @@
 	.filter(file => wanted.length === 0 || wanted.some(part => file.includes(part)))
 	.map(file => `dist/${file.replace(/\.ts$/v, '.js')}`)
 	.toSorted();
-// The specifications are checked by spin, which compiles its search. A machine without it runs all other tests and says so;
-// where the specifications are demanded, that is an error, told before minutes of tests have passed.
+// The specifications are checked by spin, which generates and compiles a C program. On a machine without spin or gcc all
+// other tests run, and the end of the output names what was left out. With DEMAND_SPECIFICATIONS a missing tool is an
+// error, which is thrown before the tests start, since they take minutes.
 const missingTools = foundFiles.some(file => isSpecification(file))
 	? ['spin', 'gcc'].filter(tool => spawnSync(tool, ['--version'], {stdio: 'ignore'}).error !== undefined)
 	: [];
@@ -62,7 +64,7 @@
 
 	const broken = code !== 0 && failed.length === 0;
 	if (broken) {
-		console.log(`the test runner ended with ${code} though no test failed`);
+		console.log(`the test runner exited with ${code} although no test failed`);
 	}
 
 	if (leftOutSpecifications > 0) {
--- a/scripts/test-reporter.mjs
+++ b/scripts/test-reporter.mjs
@@ -1,5 +1,5 @@
-// A node:test reporter that writes one marked JSON line for each test that is no suite, for scripts/run-tests.mjs to
-// count, and passes on what the tests print.
+// A node:test reporter for scripts/run-tests.mjs. It writes one marked JSON line for each test that is not a suite, and
+// forwards the output of the tests.
 import path from 'node:path';
 import process from 'node:process';
 
--- a/scripts/vary-site.mjs
+++ b/scripts/vary-site.mjs
@@ -1,5 +1,6 @@
-// Makes a variant of a deployment's site file by a seed: other numbers of instances, engines and workspaces, other bounds,
-// and engines that check fencing numbers. What holds on the given deployments must hold on those that nobody has seen.
+// Creates a variant of a deployment's site file from a seed: other numbers of instances, engines and workspaces, other
+// bounds, and engines that check fencing numbers. Checks that pass on the given deployments must also pass on variants
+// that the system was not tuned for.
 //
 //     node scripts/vary-site.mjs SITE SEED > VARIANT
 import {readFileSync} from 'node:fs';
@@ -16,20 +17,20 @@
 const generator = xoroshiro128plus(seed);
 const draw = (least, most) => uniformInt(generator, least, most);
 
-/** Instances of a data centre: a few less or more, at least two. */
+/** Changes the number of instances of a data centre by -2 to 3, to at least two. */
 const varyInstances = line => line.replace(/count = (?<count>\d+)/v, (_, count) => `count = ${Math.max(2, Number(count) + draw(-2, 3))}`);
 
-/** Servers of the service in each data centre: one less or more, at least one. */
+/** Changes the number of the service's servers in each data centre by at most one, to at least one. */
 const varyServers = line => line.replaceAll(/(?<zone>zone = "[^"]+"), count = (?<count>\d+)/gv, (_, zone, count) => `${zone}, count = ${Math.max(1, Number(count) + draw(-1, 1))}`);
 
-/** Figures that are drawn for the whole file: a bound between four fifths and one and a half of the given one. */
+/** Percentages of the given bounds, from 80 to 150, drawn once for the whole file. */
 const percentOfBound = new Map(['drain_ms', 'config_ms', 'outer_ms', 'version_ms', 'version_all_ms'].map(name => [name, 0]));
 const versionPercent = draw(80, 150);
 for (const name of percentOfBound.keys()) {
 	percentOfBound.set(name, name.startsWith('version') ? versionPercent : draw(80, 150));
 }
 
-/** The bounds stand in sections of their own; the same words elsewhere mean other things. */
+/** Changes a bound. Only called for lines of the bounds' sections, since the same keys mean other things elsewhere. */
 function varyBound(line) {
 	const match = /^(?<name>\w+) = (?<value>[\d.]+)$/v.exec(line);
 	const percent = match === null ? undefined : percentOfBound.get(match.groups.name);
--- a/scripts/walk-operating.mjs
+++ b/scripts/walk-operating.mjs
@@ -1,6 +1,7 @@
 // Runs every command of docs/OPERATING.md, in the order of the page, against stand-ins on this machine. A block marked
-// `sh` is run to its end; `sh background NAME` is started and waited for until it prints its ready line; `sh table-down`
-// runs while the stand-in of the table service is down, with or without `background NAME`. Ends with 1 if any block ends otherwise than it should.
+// `sh` is run to its end. `sh background NAME` is started, and the next block follows when it has printed its ready line.
+// `sh table-down`, with or without `background NAME`, runs while the stand-in of the table service is down. The exit
+// status is 1 if a block does not end as expected.
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
 import {
@@ -70,7 +71,7 @@
 	});
 }
 
-/** Sends a prompt; gives its request id. */
+/** Sends a prompt and returns its request id. */
 async function askOnce() {
 	const answer = await fetch(`http://${variables.ENTRY_1}/v1/chat/completions`, {
 		method: 'POST',
@@ -78,7 +79,7 @@
 		body: JSON.stringify({model: 'permit-1', messages: [{role: 'user', content: 'a question'}]}),
 	});
 	const {id} = await answer.json();
-	// The collector gets events in batches; the drawing must have the last one.
+	// The collector receives events in batches; the drawing must include the last event.
 	await new Promise(resolve => {
 		setTimeout(resolve, eventsArriveMilliseconds);
 	});
@@ -97,7 +98,7 @@
 	variables[`${name.replaceAll('-', '_').toUpperCase()}_PROCESS`] = String(started.get(name).pid);
 }
 
-/** Runs a block to its end. A line that starts with "! " must fail. */
+/** Runs a block to its end. The command of a line that starts with "! " must fail. */
 async function runBlock(text) {
 	const script = text.replaceAll(/^! (?<command>.*)$/gmv, 'if $<command>; then exit 9; fi');
 	const child = spawn('/bin/bash', ['-c', `set -e\n${script}`], {
@@ -179,12 +180,12 @@
 		const status = await walk(block);
 		if (status !== 0) {
 			failed++;
-			console.log(`FAILED with status ${status}`);
+			console.log(`FAILED: exit status ${status}`);
 		}
 	}
 } finally {
 	await stopAll();
 }
 
-console.log(`${blocks.length} blocks walked, ${failed} failed`);
+console.log(`${blocks.length} blocks run, ${failed} failed`);
 process.exitCode = failed === 0 ? 0 : 1;
