--- a/src/check/claim-scenario.ts
+++ b/src/check/claim-scenario.ts
@@ -185,7 +185,7 @@
 		}
 	}
 
-	/** Accepts an operator's change at the table; instances learn of it when they write a claim under an older version. */
+	/** Accepts an operator's change at the table. Instances are not notified: they learn of it when they write a claim. */
 	#accept(world: VirtualWorld, paused: boolean): void {
 		const last = this.#changes.at(-1);
 		const draft = {
--- a/src/check/scenario.ts
+++ b/src/check/scenario.ts
@@ -1,4 +1,4 @@
-/** Runs scenarios with random choices from seeds, and shrinks a failing run to one with as few faults as possible. */
+/** Runs scenarios with random choices from seeds, and shrinks a failing run to a smaller one that still fails. */
 import {Choices} from './choices.js';
 import {VirtualWorld} from './virtual-world.js';
 
--- a/src/check/virtual-world.ts
+++ b/src/check/virtual-world.ts
@@ -50,6 +50,7 @@
 		this.note(`VIOLATION: ${text}`);
 	}
 
+	/** Schedules a callback after a delay in virtual milliseconds. */
 	after(milliseconds: number, happen: () => void): void {
 		this.#queue.push({at: this.now + milliseconds, order: this.#order++, happen});
 	}
@@ -86,7 +87,7 @@
 		};
 	}
 
-	/** Runs all scheduled events, including those scheduled meanwhile. */
+	/** Runs all scheduled events, including those that are scheduled during the run. */
 	async run(): Promise<void> {
 		await afterPromises();
 		for (let count = 0; this.#queue.length > 0; count++) {
--- a/src/demo/deployment.ts
+++ b/src/demo/deployment.ts
@@ -103,7 +103,7 @@
 		return version;
 	}
 
-	/** Waits until every entry is ready and has at least this configuration version in force. */
+	/** Waits until every entry has at least this configuration version in force, knows the endpoints, and is ready. */
 	async waitUntilReady(version: number): Promise<void> {
 		for (const {listed} of this.withRole('entry')) {
 			for (;;) {
--- a/src/test/process-stop-bookings.test.ts
+++ b/src/test/process-stop-bookings.test.ts
@@ -14,7 +14,7 @@
 		const {status, ran} = await sendBooking({
 			entry: entry.listed.address, key: 'quay-demo-key', path: '/services/bookings/bookings', name, idempotencyKey: name,
 		});
-		return status === 201 ? 'booked' : `${status} ${ran ?? 'without a word'}`;
+		return status === 201 ? 'booked' : `${status} ${ran ?? 'without "ran"'}`;
 	} catch (error) {
 		return (error as {code?: string}).code ?? String(error);
 	}
