--- a/src/check/claim-scenario.ts
+++ b/src/check/claim-scenario.ts
@@ -6,7 +6,7 @@
 import {Buffer} from 'node:buffer';
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {ConfigurationHolder} from '../entry/configuration-holder.js';
-import {NeverTwiceRunner} from '../entry/callers/never-twice-runner.js';
+import {AtMostOnceRunner} from '../entry/callers/at-most-once-runner.js';
 import {type PlainAnswer, type PlainFailure} from '../ports/plain-service.js';
 import {type Row} from '../ports/table-service.js';
 import {type ClaimRow, claimTable} from '../protocol/claim/claim-row.js';
@@ -22,7 +22,7 @@
 /** The longest time that a call may take, not counting pauses of its instance. */
 const longestOutcomeMilliseconds = 60_000;
 
-type Instance = {process: VirtualProcess; runner: NeverTwiceRunner; configuration: ConfigurationHolder};
+type Instance = {process: VirtualProcess; runner: AtMostOnceRunner; configuration: ConfigurationHolder};
 type Caller = {name: string; body: string; instance: Instance; arrivedAt: number; outcome?: Either<Refusal, PlainAnswer>};
 
 export class ClaimScenario implements Scenario {
@@ -87,7 +87,7 @@
 		const process = virtualProcess(name);
 		const configuration = new ConfigurationHolder();
 		configuration.offer(this.#changes[0]!);
-		const runner = new NeverTwiceRunner({
+		const runner = new AtMostOnceRunner({
 			clock: world.clockOf(process), table: new FaultyTable(world, this.#rows, process), configuration, settings: {instance: name}, endpoints: {entryCount: 3},
 		});
 		return {process, runner, configuration};
--- a/src/check/configuration-scenario.ts
+++ b/src/check/configuration-scenario.ts
@@ -102,7 +102,7 @@
 	async #watch(world: VirtualWorld, instance: Instance, watcher: ConfigurationWatcher): Promise<void> {
 		const {life} = instance;
 		while (world.now < this.#endsAt && instance.life === life) {
-			await watcher.lookOnce();
+			await watcher.pollOnce();
 			await world.delay(pollMilliseconds);
 		}
 	}
--- a/src/entry/kept/piece-saver.test.ts
+++ b/src/entry/cache/block-saver.test.ts
@@ -9,13 +9,13 @@
 import {type ManualClock} from '../../test/manual-clock.js';
 import {MemoryModelEngine} from '../../test/memory-model-engine.js';
 import {TestEntry} from '../../test/test-entry.js';
-import {PieceSaver} from './piece-saver.js';
+import {BlockSaver} from './block-saver.js';
 
 const pieceKeys = ['piece-1', 'piece-2', 'piece-3'];
 const late = Left<CacheStoreFailure>({kind: 'unavailable', detail: 'it did not answer in time'});
 
 /** An engine that has every block. */
-class KeepingEngine extends MemoryModelEngine {
+class FullCacheEngine extends MemoryModelEngine {
 	override async exportBlock(): Promise<Either<never, Buffer>> {
 		return Right(Buffer.from('content'));
 	}
@@ -24,11 +24,11 @@
 /** Stores by address, each of which times out for a given number of queries. */
 class LateStores implements CacheStore {
 	readonly lateAnswers = new Map<string, number>();
-	readonly questions = new Map<string, number>();
+	readonly queries = new Map<string, number>();
 	readonly sealed: string[] = [];
 
 	async findBlocks(address: string): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
-		this.questions.set(address, (this.questions.get(address) ?? 0) + 1);
+		this.queries.set(address, (this.queries.get(address) ?? 0) + 1);
 		const left = this.lateAnswers.get(address) ?? 0;
 		this.lateAnswers.set(address, left - 1);
 		return left > 0 ? late : Right([]);
@@ -59,19 +59,19 @@
 function createScene() {
 	const entry = new TestEntry();
 	const stores = new LateStores();
-	const saver = new PieceSaver({...entry.context, engine: new KeepingEngine()}, stores, new CachedPrefixes());
+	const saver = new BlockSaver({...entry.context, engine: new FullCacheEngine()}, stores, new CachedPrefixes());
 	const saveTo = async (store: string): Promise<number> => {
 		const order = {
 			store, storeAddress: store, endpointAddress: 'engine-1', pieceKeys,
 		};
-		return withTimeMoving(entry.clock, saver.save(order, new AbortController().signal));
+		return advanceUntilDone(entry.clock, saver.save(order, new AbortController().signal));
 	};
 
 	return {entry, stores, saveTo};
 }
 
 /** Advances the clock in steps until the work is done. */
-async function withTimeMoving<Value>(clock: ManualClock, work: Promise<Value>): Promise<Value> {
+async function advanceUntilDone<Value>(clock: ManualClock, work: Promise<Value>): Promise<Value> {
 	const over = new AbortController();
 	const finished = work.finally(() => {
 		over.abort();
@@ -100,7 +100,7 @@
 	stores.lateAnswers.set('store-1', 4);
 	assert.equal(await saveTo('store-1'), 0);
 	assert.equal(await saveTo('store-1'), 0);
-	assert.equal(stores.questions.get('store-1'), 4);
+	assert.equal(stores.queries.get('store-1'), 4);
 	assert.equal(await saveTo('store-2'), pieceKeys.length);
 	entry.clock.advance(2000);
 	assert.equal(await saveTo('store-1'), pieceKeys.length);
--- a/src/entry/kept/piece-saver.ts
+++ b/src/entry/cache/block-saver.ts
@@ -12,9 +12,9 @@
 import {type Child} from '../../supervisor/supervisor.js';
 import {type EntryContext} from '../entry-context.js';
 
-const queueLimitOrders = 64;
+const maxQueuedOrders = 64;
 /** Number of blocks that are freed to save one when a store is full. */
-const freedAtOnce = 4;
+const blocksFreedAtOnce = 4;
 /**
  * Pauses before the retries of a block for which a store or an engine did not answer in time. No caller waits for a save, so
  * it is retried for longer than a query of a prompt: on a busy machine a store that otherwise answers within milliseconds is
@@ -26,10 +26,10 @@
  * A store that timed out for all retries of a block is skipped for this long. Otherwise the orders for a hung store would
  * each wait for it, and the queue would fill and drop the orders for other stores.
  */
-const restMilliseconds = 2000;
+const storePauseMilliseconds = 2000;
 
 /** How saving one block ended. With all but the first two the block is not saved; the `late` outcomes are retried. */
-type PieceOutcome = 'written' | 'already-there' | 'store-late' | 'engine-late' | 'store-full' | 'evicted';
+type SaveOutcome = 'written' | 'already-there' | 'store-late' | 'engine-late' | 'store-full' | 'evicted';
 
 /** An order to save blocks from an endpoint to a store. */
 export type SaveOrder = {
@@ -39,15 +39,15 @@
 	pieceKeys: readonly string[];
 };
 
-export class PieceSaver implements Child {
+export class BlockSaver implements Child {
 	readonly name = 'piece-saver';
 	readonly #context: EntryContext;
 	readonly #stores: CacheStore;
 	readonly #prefixes: CachedPrefixes;
-	readonly #waiting: SaveOrder[] = [];
+	readonly #queue: SaveOrder[] = [];
 	readonly #arrived = new EventTarget();
 	/** By store, the time until which it is skipped, in milliseconds since the epoch. */
-	readonly #restUntil = new Map<string, number>();
+	readonly #pausedUntil = new Map<string, number>();
 
 	constructor(context: EntryContext, stores: CacheStore, prefixes: CachedPrefixes) {
 		this.#context = context;
@@ -57,18 +57,18 @@
 
 	/** Adds an order to the queue, or drops it if the queue is full. */
 	enqueue(order: SaveOrder): void {
-		if (this.#waiting.length >= queueLimitOrders) {
+		if (this.#queue.length >= maxQueuedOrders) {
 			this.#reportNotSaved(order.pieceKeys.length, 'queue');
 			return;
 		}
 
-		this.#waiting.push(order);
+		this.#queue.push(order);
 		this.#arrived.dispatchEvent(new Event('order'));
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			const order = this.#waiting.shift();
+			const order = this.#queue.shift();
 			await (order === undefined ? this.#nextArrival(signal) : this.save(order, signal));
 		}
 	}
@@ -82,14 +82,14 @@
 	 */
 	async save(order: SaveOrder, signal: AbortSignal): Promise<number> {
 		const {store, pieceKeys} = order;
-		if (this.#context.clock.now() < (this.#restUntil.get(store) ?? 0)) {
+		if (this.#context.clock.now() < (this.#pausedUntil.get(store) ?? 0)) {
 			this.#reportNotSaved(pieceKeys.length, 'store-late');
 			return 0;
 		}
 
 		let written = 0;
 		for (const [index, pieceKey] of pieceKeys.entries()) {
-			const outcome = await this.#savePatiently(pieceKey, order, signal);
+			const outcome = await this.#saveWithRetries(pieceKey, order, signal);
 			if (outcome !== 'written' && outcome !== 'already-there') {
 				this.#reportNotSaved(pieceKeys.length - index, outcome);
 				break;
@@ -107,7 +107,7 @@
 		return written;
 	}
 
-	async #savePatiently(pieceKey: string, order: SaveOrder, signal: AbortSignal): Promise<PieceOutcome> {
+	async #saveWithRetries(pieceKey: string, order: SaveOrder, signal: AbortSignal): Promise<SaveOutcome> {
 		const {clock} = this.#context;
 		let outcome = await this.#saveOne(pieceKey, order);
 		for (const pauseMilliseconds of retryPausesMilliseconds) {
@@ -120,13 +120,13 @@
 		}
 
 		if (outcome === 'store-late') {
-			this.#restUntil.set(order.store, clock.now() + restMilliseconds);
+			this.#pausedUntil.set(order.store, clock.now() + storePauseMilliseconds);
 		}
 
 		return outcome;
 	}
 
-	async #saveOne(pieceKey: string, {storeAddress, endpointAddress}: SaveOrder): Promise<PieceOutcome> {
+	async #saveOne(pieceKey: string, {storeAddress, endpointAddress}: SaveOrder): Promise<SaveOutcome> {
 		const found = await this.#stores.findBlocks(storeAddress, [pieceKey]);
 		if (found.isLeft()) {
 			return 'store-late';
@@ -142,13 +142,13 @@
 		}
 
 		const content = exported.orDefault(undefined);
-		return content === undefined ? 'evicted' : this.#writeWithRoom(storeAddress, pieceKey, content);
+		return content === undefined ? 'evicted' : this.#writeFreeingSpace(storeAddress, pieceKey, content);
 	}
 
-	async #writeWithRoom(storeAddress: string, pieceKey: string, content: Buffer): Promise<PieceOutcome> {
+	async #writeFreeingSpace(storeAddress: string, pieceKey: string, content: Buffer): Promise<SaveOutcome> {
 		let failure = await this.#write(storeAddress, pieceKey, content);
 		if (failure?.kind === 'full') {
-			await this.#makeRoom(storeAddress);
+			await this.#freeSpace(storeAddress);
 			failure = await this.#write(storeAddress, pieceKey, content);
 		}
 
@@ -178,14 +178,14 @@
 	 * Frees the least recently used blocks. An instance that reads one of them meanwhile receives an error or content that
 	 * does not match the seal, and the block is prefilled again.
 	 */
-	async #makeRoom(storeAddress: string): Promise<void> {
-		const oldest = await this.#stores.leastRecentlyUsed(storeAddress, freedAtOnce);
+	async #freeSpace(storeAddress: string): Promise<void> {
+		const oldest = await this.#stores.leastRecentlyUsed(storeAddress, blocksFreedAtOnce);
 		for (const {piece} of oldest.orDefault([])) {
 			await this.#stores.free(storeAddress, piece);
 		}
 	}
 
-	#reportNotSaved(pieces: number, reason: PieceOutcome | 'queue'): void {
+	#reportNotSaved(pieces: number, reason: SaveOutcome | 'queue'): void {
 		this.#context.metrics.report('kept.pieces_not_saved', pieces, {reason});
 	}
 
--- a/src/entry/kept/cache-event-reader.ts
+++ b/src/entry/cache/cache-event-reader.ts
@@ -9,26 +9,26 @@
 import {type EntryContext} from '../entry-context.js';
 
 /** Tokens of one cache block, as block keys are calculated. */
-export const pieceTokens = blockCharacters / charactersPerToken;
+export const blockTokens = blockCharacters / charactersPerToken;
 /** Events read this recently are not read again for the next prompt. This bounds the reads that popular prefixes cause. */
-const freshMilliseconds = 100;
+const minReadIntervalMilliseconds = 100;
 /** The longest wait of a prompt for an engine's events. After it, the prompt relies on the events read before. */
-const confirmMilliseconds = 100;
+const confirmTimeoutMilliseconds = 100;
 
 /** State of the reads from one engine. */
-type Reading = {
+type EngineReadState = {
 	address: string;
-	askedAt: number;
+	queriedAt: number;
 	answeredAt: number;
 	/** True if the last query failed. Prompts do not wait for this engine until a query succeeds. */
 	hasFailed: boolean;
-	underWay: Promise<void> | undefined;
+	inFlight: Promise<void> | undefined;
 };
 
 export class CacheEventReader {
 	readonly #context: EntryContext;
 	readonly #prefixes: CachedPrefixes;
-	readonly #readings = new Map<string, Reading>();
+	readonly #readStates = new Map<string, EngineReadState>();
 
 	constructor(context: EntryContext, prefixes: CachedPrefixes) {
 		this.#context = context;
@@ -39,8 +39,8 @@
 	async readAll(): Promise<void> {
 		const engines = this.#context.endpoints.engines().filter(({heardAt}) => heardAt > 0);
 		const names = new Set(engines.map(({name}) => name));
-		for (const name of [...this.#readings.keys()].filter(known => !names.has(known))) {
-			this.#readings.delete(name);
+		for (const name of [...this.#readStates.keys()].filter(known => !names.has(known))) {
+			this.#readStates.delete(name);
 			this.#prefixes.removeHolder(name);
 		}
 
@@ -58,48 +58,48 @@
 	 */
 	async confirm(pieceKeys: readonly string[]): Promise<void> {
 		const {clock, endpoints} = this.#context;
-		const believed = this.#prefixes.leadingBlocks(pieceKeys);
+		const recorded = this.#prefixes.leadingBlocks(pieceKeys);
 		const now = clock.now();
-		const toAsk = endpoints.engines().filter(({name}) => believed.has(name) && this.#isWorthAsking(name, now));
-		if (toAsk.length === 0) {
+		const toQuery = endpoints.engines().filter(({name}) => recorded.has(name) && this.#shouldQuery(name, now));
+		if (toQuery.length === 0) {
 			return;
 		}
 
 		const answered = new AbortController();
 		await Promise.race([
-			Promise.all(toAsk.map(async engine => this.#read(engine))),
-			clock.sleep(confirmMilliseconds, answered.signal),
+			Promise.all(toQuery.map(async engine => this.#read(engine))),
+			clock.sleep(confirmTimeoutMilliseconds, answered.signal),
 		]);
 		answered.abort();
 	}
 
 	/** An engine that did not answer in time for one prompt is not queried for the next, so that only one prompt waits. */
-	#isWorthAsking(name: string, now: number): boolean {
-		const reading = this.#readings.get(name);
+	#shouldQuery(name: string, now: number): boolean {
+		const reading = this.#readStates.get(name);
 		if (reading === undefined) {
 			return true;
 		}
 
-		const isSilent = reading.underWay !== undefined && now - reading.askedAt >= confirmMilliseconds;
-		return !isSilent && !reading.hasFailed && now - reading.answeredAt >= freshMilliseconds;
+		const isUnresponsive = reading.inFlight !== undefined && now - reading.queriedAt >= confirmTimeoutMilliseconds;
+		return !isUnresponsive && !reading.hasFailed && now - reading.answeredAt >= minReadIntervalMilliseconds;
 	}
 
 	/** Sends at most one query at a time to an engine; concurrent callers share its answer. */
 	async #read(engine: EndpointView): Promise<void> {
-		const reading = this.#readingOf(engine);
-		reading.underWay ??= this.#ask(engine, reading);
-		await reading.underWay;
+		const reading = this.#readStateOf(engine);
+		reading.inFlight ??= this.#query(engine, reading);
+		await reading.inFlight;
 	}
 
-	async #ask({name, address}: EndpointView, reading: Reading): Promise<void> {
+	async #query({name, address}: EndpointView, reading: EngineReadState): Promise<void> {
 		const {clock, engine} = this.#context;
-		reading.askedAt = clock.now();
+		reading.queriedAt = clock.now();
 		const events = await engine.cacheEvents(address, this.#prefixes.lastSequenceOf(name)).finally(() => {
-			reading.underWay = undefined;
+			reading.inFlight = undefined;
 		});
 		// If the engine was replaced during the query, the answer has the sequence numbers of the old engine. Applied, it would
 		// hide the events of the new engine, which numbers them from the start.
-		if (this.#readings.get(name) !== reading) {
+		if (this.#readStates.get(name) !== reading) {
 			return;
 		}
 
@@ -111,21 +111,21 @@
 	}
 
 	/** An engine that returned at another address has an empty cache, and numbers its events from the start. */
-	#readingOf({name, address, load}: EndpointView): Reading {
-		let reading = this.#readings.get(name);
+	#readStateOf({name, address, load}: EndpointView): EngineReadState {
+		let reading = this.#readStates.get(name);
 		if (reading?.address !== address) {
 			if (reading !== undefined) {
 				this.#prefixes.removeHolder(name);
 			}
 
 			reading = {
-				address, askedAt: 0, answeredAt: 0, hasFailed: false, underWay: undefined,
+				address, queriedAt: 0, answeredAt: 0, hasFailed: false, inFlight: undefined,
 			};
-			this.#readings.set(name, reading);
+			this.#readStates.set(name, reading);
 		}
 
 		if (load !== undefined && load.kvTokensCapacity > 0) {
-			this.#prefixes.setCapacity(name, Math.max(1, Math.floor(load.kvTokensCapacity / pieceTokens)));
+			this.#prefixes.setCapacity(name, Math.max(1, Math.floor(load.kvTokensCapacity / blockTokens)));
 		}
 
 		return reading;
--- a/src/entry/kept/kept-context.test.ts
+++ b/src/entry/cache/cached-context.test.ts
@@ -15,16 +15,16 @@
 import {startStandIn, type StandIn} from '../../stand-in/stand-in-server.js';
 import {TestEntry} from '../../test/test-entry.js';
 import {CacheEventReader} from './cache-event-reader.js';
-import {type FoundPieces, StoreKeptContext} from './kept-context.js';
-import {PieceSaver} from './piece-saver.js';
+import {type FoundBlocks, StoreCachedContext} from './cached-context.js';
+import {BlockSaver} from './block-saver.js';
 
-const pieces = 3;
-const prompt = 'rulebook '.repeat(Math.ceil(pieces * 8192 / 9));
-const pieceBytes = 16_384;
+const blocks = 3;
+const prompt = 'rulebook '.repeat(Math.ceil(blocks * 8192 / 9));
+const blockBytes = 16_384;
 /** Room for one prompt and a little more. */
 const engineBlocks = 16;
 const owner = {salt: 'salt', model: 'permit-1', weightVersion: 'w1'};
-const unending = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 const here = {host: '127.0.0.1', port: 0};
 
 type Scene = {
@@ -36,12 +36,12 @@
 	storeStandIn: StandIn;
 	route: RouteRequest;
 	/** Creates an instance, which shares only the store with other instances. */
-	instance(): {kept: StoreKeptContext; saver: PieceSaver; prefixes: CachedPrefixes; reader: CacheEventReader};
+	instance(): {kept: StoreCachedContext; saver: BlockSaver; prefixes: CachedPrefixes; reader: CacheEventReader};
 	/** Sends the prompt, or another one; returns how many of its tokens were cached. */
 	cachedTokensAt(endpoint: EndpointView, sent?: string): Promise<number>;
 };
 
-async function createScene(context: TestContext, {room = 100 * pieceBytes, engineBlocks = 100} = {}): Promise<Scene> {
+async function createScene(context: TestContext, {room = 100 * blockBytes, engineBlocks = 100} = {}): Promise<Scene> {
 	const entry = new TestEntry();
 	const engine = new HttpModelEngine();
 	const store = new CacheStoreStandIn(room);
@@ -62,7 +62,7 @@
 		priority: 'urgent',
 		promptTokens: prompt.length / 4, pieceKeys: promptBlockKeysOf(owner, prompt), avoid: [], deadline: 0,
 	};
-	entry.context.endpoints.takeList([first!, second!].map(({name, address, dataCentre, service}) => ({
+	entry.context.endpoints.applyList([first!, second!].map(({name, address, dataCentre, service}) => ({
 		name, role: 'model-engine', dataCentre, service, address, peerAddress: '', state: 'live',
 	})));
 	const listed = {
@@ -80,12 +80,12 @@
 			const prefixes = new CachedPrefixes();
 			const stores = new HttpCacheStore();
 			const own = {...entry.context, engine};
-			const saver = new PieceSaver(own, stores, prefixes);
+			const saver = new BlockSaver(own, stores, prefixes);
 			const reader = new CacheEventReader(own, prefixes);
-			const kept = new StoreKeptContext(own, {
+			const kept = new StoreCachedContext(own, {
 				prefixes, stores, reader, saver, links: new Map<string, LinkEstimate>(),
 			});
-			kept.takeList([listed]);
+			kept.applyList([listed]);
 			return {
 				kept, saver, prefixes, reader,
 			};
@@ -106,18 +106,18 @@
 	};
 }
 
-async function saveFrom(scene: Scene): Promise<number> {
+async function saveToStore(scene: Scene): Promise<number> {
 	await scene.cachedTokensAt(scene.first);
 	return scene.instance().saver.save({
 		store: 'store-1', storeAddress: scene.storeStandIn.address, endpointAddress: scene.first.address, pieceKeys: scene.route.pieceKeys,
-	}, unending);
+	}, neverAborted);
 }
 
-async function bringToSecond(scene: Scene): Promise<void> {
+async function transferToSecond(scene: Scene): Promise<void> {
 	const {kept} = scene.instance();
 	const found = await kept.find(scene.route.pieceKeys);
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
-	await kept.bring({
+	await kept.transfer({
 		plan, found, endpoint: scene.second, route: scene.route,
 	}, new LeastLoadedPolicy());
 }
@@ -126,21 +126,21 @@
 	// A rulebook is prefilled at one engine. Hours later it returns at another entry, which shares no state with the first,
 	// and goes to an engine that does not have it. Its blocks are read from the store and are not prefilled again.
 	const scene = await createScene(context);
-	assert.equal(await saveFrom(scene), pieces);
-	await bringToSecond(scene);
-	assert.equal(await scene.cachedTokensAt(scene.second), pieces * 2048);
+	assert.equal(await saveToStore(scene), blocks);
+	await transferToSecond(scene);
+	assert.equal(await scene.cachedTokensAt(scene.second), blocks * 2048);
 });
 
 test('a block is saved once, also if several instances save it', async context => {
 	const scene = await createScene(context);
-	assert.equal(await saveFrom(scene), pieces);
-	assert.equal(await saveFrom(scene), 0);
-	assert.equal(scene.store.counts().pieces, pieces);
+	assert.equal(await saveToStore(scene), blocks);
+	assert.equal(await saveToStore(scene), 0);
+	assert.equal(scene.store.counts().pieces, blocks);
 });
 
 test('a block that was freed between the query and the read is prefilled again', async context => {
 	const scene = await createScene(context);
-	await saveFrom(scene);
+	await saveToStore(scene);
 	const {kept} = scene.instance();
 	const found = await kept.find(scene.route.pieceKeys);
 	const stores = new HttpCacheStore();
@@ -149,7 +149,7 @@
 	}
 
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
-	await kept.bring({
+	await kept.transfer({
 		plan, found, endpoint: scene.second, route: scene.route,
 	}, new LeastLoadedPolicy());
 	assert.equal(await scene.cachedTokensAt(scene.second), 0);
@@ -167,16 +167,16 @@
 });
 
 test('in a full store the least recently used blocks are freed, and the new blocks are saved', async context => {
-	const scene = await createScene(context, {room: 2 * pieceBytes});
+	const scene = await createScene(context, {room: 2 * blockBytes});
 	const stores = new HttpCacheStore();
 	const {saver} = scene.instance();
 	await scene.cachedTokensAt(scene.first);
 	assert.equal(await saver.save({
 		store: 'store-1', storeAddress: scene.storeStandIn.address, endpointAddress: scene.first.address, pieceKeys: scene.route.pieceKeys.slice(0, 2),
-	}, unending), 2);
+	}, neverAborted), 2);
 	assert.equal(await saver.save({
 		store: 'store-1', storeAddress: scene.storeStandIn.address, endpointAddress: scene.first.address, pieceKeys: scene.route.pieceKeys.slice(2),
-	}, unending), 1);
+	}, neverAborted), 1);
 	const found = await stores.findBlocks(scene.storeStandIn.address, scene.route.pieceKeys.slice(2));
 	assert.equal(found.orDefault([]).length, 1);
 });
@@ -185,7 +185,7 @@
 	// The engine loads new weights after it was chosen and before the blocks arrive. It rejects the blocks, and the prompt is
 	// prefilled under the new version.
 	const scene = await createScene(context);
-	await saveFrom(scene);
+	await saveToStore(scene);
 	const engine = new HttpModelEngine();
 	await engine.order(scene.second.address, {
 		orderId: 'order-1', fencingNumber: 1, action: {kind: 'load-version', model: 'permit-1', weightVersion: 'w2'},
@@ -195,7 +195,7 @@
 	const imported = await engine.importBlock(scene.second.address, {pieceKey: scene.route.pieceKeys[0]!, weightVersion: 'w1'}, Buffer.from('{"blocks":[]}'));
 	assert.deepEqual(imported.extract(), {kind: 'version-swapped', weightVersion: 'w2'});
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
-	await kept.bring({
+	await kept.transfer({
 		plan, found, endpoint: scene.second, route: scene.route,
 	}, new LeastLoadedPolicy());
 	const stored = await engine.cacheEvents(scene.second.address, 0);
@@ -207,36 +207,36 @@
 	// the rulebook returns before the next read of all events. If it were sent to that engine as cached, it would be
 	// prefilled again; instead its blocks are found in the store.
 	const scene = await createScene(context, {engineBlocks});
-	await saveFrom(scene);
+	await saveToStore(scene);
 	const {kept, prefixes, reader} = scene.instance();
 	scene.entry.reportEngine(scene.first.name);
 	await reader.readAll();
-	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), blocks);
 	await scene.cachedTokensAt(scene.first, 'harbour '.repeat(prompt.length / 8));
 	scene.entry.clock.advance(1000);
 	const found = await kept.find(scene.route.pieceKeys);
-	assert.equal(found?.pieces.length, pieces);
+	assert.equal(found?.pieces.length, blocks);
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), 1);
 });
 
 test('the store is not queried if an engine still has the whole prompt cached', async context => {
 	const scene = await createScene(context);
-	await saveFrom(scene);
+	await saveToStore(scene);
 	const {kept, prefixes} = scene.instance();
 	prefixes.add(scene.first.name, scene.route.pieceKeys);
 	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
-	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), blocks);
 });
 
 test('an engine that does not answer delays only one prompt, by 100 ms', async context => {
 	// The engine hangs. The first prompt that would rely on it waits for its events until the timeout, and continues with
 	// the events read before. The next prompt does not wait.
 	const scene = await createScene(context);
-	await saveFrom(scene);
+	await saveToStore(scene);
 	const {kept, prefixes} = scene.instance();
 	prefixes.add(scene.first.name, scene.route.pieceKeys);
 	scene.engines[0]!.faults.slowMilliseconds = 500;
-	const findPrompt = async (): Promise<FoundPieces | undefined> => {
+	const findPrompt = async (): Promise<FoundBlocks | undefined> => {
 		const found = await kept.find(scene.route.pieceKeys);
 		return found;
 	};
@@ -245,7 +245,7 @@
 	scene.entry.clock.advance(100);
 	assert.equal(await waiting, undefined);
 	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
-	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), pieces);
+	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), blocks);
 });
 
 test('a prompt is saved even if its store timed out when it was queried', async context => {
@@ -261,11 +261,11 @@
 	const stop = new AbortController();
 	const running = saver.run(stop.signal);
 	const deadline = performance.now() + 5000;
-	while (scene.store.counts().pieces !== pieces && performance.now() < deadline) {
+	while (scene.store.counts().pieces !== blocks && performance.now() < deadline) {
 		await nextTurn();
 	}
 
 	stop.abort();
 	await running;
-	assert.equal(scene.store.counts().pieces, pieces);
+	assert.equal(scene.store.counts().pieces, blocks);
 });
--- a/src/entry/kept/kept-context.ts
+++ b/src/entry/cache/cached-context.ts
@@ -18,63 +18,63 @@
 import {type ListedInstance} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
 import {type CacheEventReader} from './cache-event-reader.js';
-import {type PieceSaver} from './piece-saver.js';
-import {StoreSuspicion} from './store-suspicion.js';
+import {type BlockSaver} from './block-saver.js';
+import {StoreBackoff} from './store-backoff.js';
 
 /** A transfer is stopped when it takes longer than this multiple of the expected time, plus the milliseconds below. */
-const patienceTimes = 4;
-const patienceMilliseconds = 200;
+const timeoutFactor = 4;
+const timeoutMarginMilliseconds = 200;
 
 /** The blocks of a prompt that a store has. */
-export type FoundPieces = {
+export type FoundBlocks = {
 	store: string;
 	pieces: readonly SealedBlock[];
 };
 
 /** A transfer of blocks from a store to an endpoint, for one prompt. */
-export type BringOrder = {
+export type StoreTransfer = {
 	plan: FetchPlan;
-	found: FoundPieces | undefined;
+	found: FoundBlocks | undefined;
 	endpoint: EndpointView;
 	route: RouteRequest;
 };
 
 /** Access to cached context for the data path. */
-export interface KeptContext {
+export interface CachedContext {
 	/** Queries which blocks the prompt's store has, unless an endpoint has all of them by its newest events. */
-	find(pieceKeys: readonly string[]): Promise<FoundPieces | undefined>;
+	find(pieceKeys: readonly string[]): Promise<FoundBlocks | undefined>;
 	/** Transfers blocks to an endpoint; resolves when the transfer is complete or was stopped. */
-	bring(order: BringOrder, policy: RoutingPolicy): Promise<void>;
+	transfer(transfer: StoreTransfer, policy: RoutingPolicy): Promise<void>;
 	/** Notes that an endpoint has prefilled a prompt, whose blocks may be worth saving. */
 	prefilled(route: RouteRequest, endpoint: EndpointView): void;
 }
 
 /** Dependencies of the cached context. */
-export type KeptParts = {
+export type CachedContextDependencies = {
 	prefixes: CachedPrefixes;
 	stores: CacheStore;
 	reader: CacheEventReader;
-	saver: PieceSaver;
+	saver: BlockSaver;
 	/** Estimates of the links by store. Routing reads them; they are updated here from the instance list. */
 	links: Map<string, LinkEstimate>;
 };
 
-export class StoreKeptContext implements KeptContext {
+export class StoreCachedContext implements CachedContext {
 	readonly #context: EntryContext;
-	readonly #parts: KeptParts;
+	readonly #dependencies: CachedContextDependencies;
 	readonly #addresses = new Map<string, string>();
-	readonly #suspicion = new StoreSuspicion();
-	#keeping: SavePolicy;
+	readonly #backoff = new StoreBackoff();
+	#savePolicy: SavePolicy;
 
-	constructor(context: EntryContext, parts: KeptParts) {
+	constructor(context: EntryContext, dependencies: CachedContextDependencies) {
 		this.#context = context;
-		this.#parts = parts;
-		this.#keeping = new SaveAllPolicy(parts.prefixes, []);
+		this.#dependencies = dependencies;
+		this.#savePolicy = new SaveAllPolicy(dependencies.prefixes, []);
 	}
 
 	/** Applies the platform's instance list. A store that is no longer listed is removed, with the record of its blocks. */
-	takeList(instances: readonly ListedInstance[]): void {
-		const {links, prefixes} = this.#parts;
+	applyList(instances: readonly ListedInstance[]): void {
+		const {links, prefixes} = this.#dependencies;
 		const live = instances.filter(({role, state}) => role === 'cache-store' && state === 'live');
 		const names = new Set(live.map(({name}) => name));
 		for (const name of [...links.keys()].filter(known => !names.has(known))) {
@@ -91,35 +91,35 @@
 			this.#addresses.set(name, address);
 		}
 
-		this.#keeping = new SaveAllPolicy(prefixes, [...names].toSorted());
+		this.#savePolicy = new SaveAllPolicy(prefixes, [...names].toSorted());
 	}
 
-	async find(pieceKeys: readonly string[]): Promise<FoundPieces | undefined> {
+	async find(pieceKeys: readonly string[]): Promise<FoundBlocks | undefined> {
 		const {clock} = this.#context;
-		const {prefixes, stores, links, reader} = this.#parts;
+		const {prefixes, stores, links, reader} = this.#dependencies;
 		if (pieceKeys.length === 0 || links.size === 0) {
 			return undefined;
 		}
 
 		await reader.confirm(pieceKeys);
-		if (this.#isKeptByAnEngine(pieceKeys)) {
+		if (this.#isCachedByAnEngine(pieceKeys)) {
 			return undefined;
 		}
 
 		const store = storeOf(pieceKeys, [...links.keys()].toSorted());
-		if (this.#suspicion.isSuspect(store, clock.now())) {
+		if (this.#backoff.isBackingOff(store, clock.now())) {
 			return undefined;
 		}
 
 		const found = await stores.findBlocks(this.#addresses.get(store)!, pieceKeys);
 		return found.caseOf({
 			Left: () => {
-				this.#suspicion.late(store, clock.now());
+				this.#backoff.noteTimeout(store, clock.now());
 				prefixes.remove(store, pieceKeys);
 				return undefined;
 			},
 			Right: pieces => {
-				this.#suspicion.answered(store);
+				this.#backoff.noteAnswer(store);
 				prefixes.add(store, pieceKeys.slice(0, pieces.length));
 				prefixes.remove(store, pieceKeys.slice(pieces.length));
 				return {store, pieces};
@@ -127,11 +127,11 @@
 		});
 	}
 
-	async bring(order: BringOrder, policy: RoutingPolicy): Promise<void> {
+	async transfer(transfer: StoreTransfer, policy: RoutingPolicy): Promise<void> {
 		const {clock, metrics, timeline} = this.#context;
-		const {plan, endpoint, route} = order;
+		const {plan, endpoint, route} = transfer;
 		const startedAt = clock.now();
-		const pieces = await this.#bringInTurn(order, startedAt);
+		const pieces = await this.#transferInOrder(transfer, startedAt);
 		const now = clock.now();
 		policy.observe({
 			kind: 'fetched',
@@ -157,47 +157,47 @@
 		}
 
 		const {workspace, pieceKeys} = route;
-		const actions = this.#keeping.prefilled({
+		const actions = this.#savePolicy.prefilled({
 			workspace, endpoint: endpoint.name, pieceKeys, reusedBlocks: 0,
 		}, this.#context.clock.now());
 		// A store in backoff is not skipped here: no caller waits for a save, and a prompt that is not saved is prefilled again
 		// when it returns. The saver has its own retries and pauses.
 		for (const {store, pieceKeys: keys} of actions) {
-			this.#parts.saver.enqueue({
+			this.#dependencies.saver.enqueue({
 				store, storeAddress: this.#addresses.get(store)!, endpointAddress: endpoint.address, pieceKeys: keys,
 			});
 		}
 	}
 
 	/** Transfers the blocks in order, and returns how many leading blocks of the plan reached the endpoint. */
-	async #bringInTurn({plan, found, endpoint, route}: BringOrder, startedAt: number): Promise<number> {
+	async #transferInOrder({plan, found, endpoint, route}: StoreTransfer, startedAt: number): Promise<number> {
 		const {clock} = this.#context;
 		const address = this.#addresses.get(plan.store);
 		if (found?.store !== plan.store || address === undefined || endpoint.weightVersion !== route.weightVersion) {
 			return 0;
 		}
 
-		const link = this.#parts.links.get(plan.store);
-		const patience = patienceMilliseconds + (patienceTimes * (link?.fetchMilliseconds(plan.pieceKeys.length, startedAt) ?? 0));
-		let brought = 0;
+		const link = this.#dependencies.links.get(plan.store);
+		const timeoutMilliseconds = timeoutMarginMilliseconds + (timeoutFactor * (link?.fetchMilliseconds(plan.pieceKeys.length, startedAt) ?? 0));
+		let transferred = 0;
 		for (const pieceKey of plan.pieceKeys) {
 			const stored = found.pieces.find(({piece}) => piece.pieceKey === pieceKey);
-			if (stored === undefined || clock.now() - startedAt > patience || !await this.#bringOne(stored, {store: plan.store, address}, endpoint)) {
+			if (stored === undefined || clock.now() - startedAt > timeoutMilliseconds || !await this.#transferOne(stored, {store: plan.store, address}, endpoint)) {
 				break;
 			}
 
-			brought++;
+			transferred++;
 		}
 
-		return brought;
+		return transferred;
 	}
 
-	async #bringOne({piece, seal}: SealedBlock, {store, address}: {store: string; address: string}, endpoint: EndpointView): Promise<boolean> {
-		const read = await this.#parts.stores.read(address, piece, seal);
+	async #transferOne({piece, seal}: SealedBlock, {store, address}: {store: string; address: string}, endpoint: EndpointView): Promise<boolean> {
+		const read = await this.#dependencies.stores.read(address, piece, seal);
 		if (read.isLeft()) {
 			const {kind} = read.extract() as {kind: string};
 			if (kind === 'unavailable') {
-				this.#suspicion.stalled(store, this.#context.clock.now());
+				this.#backoff.noteStall(store, this.#context.clock.now());
 			}
 
 			return false;
@@ -207,19 +207,19 @@
 		return imported.isRight();
 	}
 
-	#isKeptByAnEngine(pieceKeys: readonly string[]): boolean {
-		const {prefixes, links} = this.#parts;
+	#isCachedByAnEngine(pieceKeys: readonly string[]): boolean {
+		const {prefixes, links} = this.#dependencies;
 		return [...prefixes.leadingBlocks(pieceKeys)].some(([name, pieces]) => !links.has(name) && pieces === pieceKeys.length);
 	}
 }
 
 /** Cached context without stores: blocks that no engine has are prefilled again. A baseline, also used in tests. */
-export class NoKeptContext implements KeptContext {
+export class NoCachedContext implements CachedContext {
 	async find(): Promise<undefined> {
 		return undefined;
 	}
 
-	async bring(): Promise<void> {
+	async transfer(): Promise<void> {
 		// Without stores there is nothing to transfer.
 	}
 
--- a/src/entry/callers/admission-gate.ts
+++ b/src/entry/callers/admission-gate.ts
@@ -10,7 +10,7 @@
 import {type Refusal} from '../../shared/types.js';
 import {type Child} from '../../supervisor/supervisor.js';
 
-const advanceMilliseconds = 20;
+const advanceIntervalMilliseconds = 20;
 
 export class AdmissionGate implements Child {
 	readonly name = 'admission-gate';
@@ -32,8 +32,8 @@
 
 	async run(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
-			this.#carryOut(this.#policy.advance(this.#clock.now()));
-			await this.#clock.sleep(advanceMilliseconds, signal);
+			this.#execute(this.#policy.advance(this.#clock.now()));
+			await this.#clock.sleep(advanceIntervalMilliseconds, signal);
 		}
 	}
 
@@ -42,7 +42,7 @@
 		return new Promise(resolve => {
 			this.#waiting.set(request.requestId, resolve);
 			this.#arriving.set(request.requestId, request);
-			this.#carryOut(this.#policy.arrive(request, this.#clock.now()));
+			this.#execute(this.#policy.arrive(request, this.#clock.now()));
 		});
 	}
 
@@ -54,18 +54,18 @@
 	/** Notes that an admitted request has ended. */
 	leave(requestId: string): void {
 		this.#admitted.delete(requestId);
-		this.#carryOut(this.#policy.finish(requestId, this.#clock.now()));
+		this.#execute(this.#policy.finish(requestId, this.#clock.now()));
 	}
 
 	/** Cancels a request, because its caller has disconnected or an operator cancelled it. If it still waits, it is refused. */
 	cancel(requestId: string): void {
 		this.#admitted.delete(requestId);
-		this.#carryOut(this.#policy.cancel(requestId, this.#clock.now()));
+		this.#execute(this.#policy.cancel(requestId, this.#clock.now()));
 		this.#answer(requestId, Left({reason: 'cancelled', ran: 'not-run', message: 'the request was cancelled while it waited'}));
 	}
 
 	/** Counts the admitted requests of a service whose priority allows them to wait, that is, all but the urgent ones. */
-	underWay(service: string): number {
+	deferrableInFlight(service: string): number {
 		let count = 0;
 		for (const request of this.#admitted.values()) {
 			count += request.service === service && request.priority !== 'urgent' ? 1 : 0;
@@ -75,10 +75,10 @@
 	}
 
 	setCapacity(service: string, capacity: ServiceCapacity): void {
-		this.#carryOut(this.#policy.setCapacity(service, capacity, this.#clock.now()));
+		this.#execute(this.#policy.setCapacity(service, capacity, this.#clock.now()));
 	}
 
-	#carryOut(actions: readonly AdmissionAction[]): void {
+	#execute(actions: readonly AdmissionAction[]): void {
 		for (const action of actions) {
 			const request = this.#arriving.get(action.requestId);
 			if (action.kind === 'admit' && request !== undefined) {
--- a/src/entry/callers/never-twice-runner.test.ts
+++ b/src/entry/callers/at-most-once-runner.test.ts
@@ -6,7 +6,7 @@
 import {ConfigurationHolder} from '../configuration-holder.js';
 import {Choices} from '../../check/choices.js';
 import {virtualProcess, VirtualWorld} from '../../check/virtual-world.js';
-import {NeverTwiceRunner} from './never-twice-runner.js';
+import {AtMostOnceRunner} from './at-most-once-runner.js';
 
 const timeoutMilliseconds = 1500;
 
@@ -23,7 +23,7 @@
 	const process = virtualProcess('entry-1');
 	const told: string[] = [];
 	let sent = 0;
-	const runner = new NeverTwiceRunner({
+	const runner = new AtMostOnceRunner({
 		clock: world.clockOf(process), table, configuration: new ConfigurationHolder(), settings: {instance: 'entry-1'}, endpoints: {entryCount: 18},
 	});
 	const run = async (claimKey: string): Promise<number> => {
--- a/src/entry/callers/never-twice-runner.ts
+++ b/src/entry/callers/at-most-once-runner.ts
@@ -19,7 +19,7 @@
 import {type EntryContext} from '../entry-context.js';
 
 /** A call with an idempotency key. */
-export type NeverTwiceCall = {
+export type AtMostOnceCall = {
 	/** The key of the claim's row; see `claimKeyOf`. */
 	claimKey: string;
 	bodyDigest: string;
@@ -34,24 +34,24 @@
 };
 
 /** The part of an entry that the runner uses. */
-export type NeverTwiceContext = Pick<EntryContext, 'clock' | 'table' | 'configuration'> & {
+export type AtMostOnceContext = Pick<EntryContext, 'clock' | 'table' | 'configuration'> & {
 	settings: Pick<EntryContext['settings'], 'instance'>;
 	endpoints: Pick<EntryContext['endpoints'], 'entryCount'>;
 };
 
-type TakeOutcome = (outcome: Either<Refusal, PlainAnswer>) => void;
+type OutcomeHandler = (outcome: Either<Refusal, PlainAnswer>) => void;
 
-export class NeverTwiceRunner {
-	readonly #context: NeverTwiceContext;
+export class AtMostOnceRunner {
+	readonly #context: AtMostOnceContext;
 	readonly #budget = new ClaimBudget();
 	readonly #open = new Set<Promise<void>>();
 
-	constructor(context: NeverTwiceContext) {
+	constructor(context: AtMostOnceContext) {
 		this.#context = context;
 	}
 
 	/** Runs the call at most once. A duplicate call receives the recorded answer of the first one with the same key. */
-	async run(call: NeverTwiceCall): Promise<Either<Refusal, PlainAnswer>> {
+	async run(call: AtMostOnceCall): Promise<Either<Refusal, PlainAnswer>> {
 		const {clock, endpoints, configuration} = this.#context;
 		const claimsPerSecond = configuration.state.limits.get('claims-per-second')?.value ?? defaultClaimsPerSecond;
 		const refusal = this.#budget.acquire({instances: endpoints.entryCount, claimsPerSecond}, clock.now());
@@ -60,11 +60,11 @@
 		}
 
 		return new Promise(resolve => {
-			const driven = this.#drive(call, resolve).finally(() => {
+			const running = this.#runClaim(call, resolve).finally(() => {
 				this.#budget.release();
-				this.#open.delete(driven);
+				this.#open.delete(running);
 			});
-			this.#open.add(driven);
+			this.#open.add(running);
 		});
 	}
 
@@ -73,7 +73,7 @@
 		await Promise.all(this.#open);
 	}
 
-	async #drive(call: NeverTwiceCall, tell: TakeOutcome): Promise<void> {
+	async #runClaim(call: AtMostOnceCall, respond: OutcomeHandler): Promise<void> {
 		const {clock, settings} = this.#context;
 		const {bodyDigest, askAt, configurationVersion} = call;
 		const machine = new ClaimMachine({
@@ -82,18 +82,18 @@
 		let decision: ClaimDecision = machine.start(clock.now());
 		for (;;) {
 			if (decision.outcome !== undefined) {
-				tell(resultOf(decision.outcome));
+				respond(resultOf(decision.outcome));
 			}
 
 			if (decision.next === undefined) {
 				return;
 			}
 
-			decision = machine.handle(await this.#carryOut(call, decision.next), clock.now());
+			decision = machine.handle(await this.#execute(call, decision.next), clock.now());
 		}
 	}
 
-	async #carryOut(call: NeverTwiceCall, step: ClaimStep): Promise<ClaimEvent> {
+	async #execute(call: AtMostOnceCall, step: ClaimStep): Promise<ClaimEvent> {
 		switch (step.kind) {
 			case 'write': {
 				return this.#write(call, step);
@@ -122,7 +122,7 @@
 		}
 	}
 
-	async #write(call: NeverTwiceCall, {row, revision, version}: ClaimStep & {kind: 'write'}): Promise<ClaimEvent> {
+	async #write(call: AtMostOnceCall, {row, revision, version}: ClaimStep & {kind: 'write'}): Promise<ClaimEvent> {
 		const name = {table: claimTable, key: call.claimKey};
 		// An instance with an old configuration could start a call under rules that are no longer in force. The row of the
 		// next configuration change is absent exactly as long as this instance's version is the newest.
@@ -132,16 +132,16 @@
 			writes: [{...name, value: row}],
 		});
 		return written.caseOf<ClaimEvent>({
-			Left: failure => this.#judgeWrite(failure),
+			Left: failure => this.#classifyWriteFailure(failure),
 			Right: () => {
-				this.#observe(true);
+				this.#recordTableAnswer(true);
 				return {kind: 'written'};
 			},
 		});
 	}
 
-	#judgeWrite(failure: TableFailure): ClaimEvent {
-		this.#observe(failure.kind === 'conflict');
+	#classifyWriteFailure(failure: TableFailure): ClaimEvent {
+		this.#recordTableAnswer(failure.kind === 'conflict');
 		if (failure.kind === 'conflict') {
 			const claim = failure.current.find(({table}) => table === claimTable);
 			const newerConfiguration = failure.current.some(({table}) => table === configurationTable);
@@ -151,16 +151,16 @@
 		return {kind: failure.kind === 'unavailable' ? 'write-unavailable' : 'write-lost'};
 	}
 
-	async #read(call: NeverTwiceCall): Promise<ClaimEvent> {
+	async #read(call: AtMostOnceCall): Promise<ClaimEvent> {
 		const row = await this.#context.table.read({table: claimTable, key: call.claimKey});
-		this.#observe(row.isRight());
+		this.#recordTableAnswer(row.isRight());
 		return row.caseOf<ClaimEvent>({
 			Left: () => ({kind: 'read-failed'}),
 			Right: found => ({kind: 'read', ...foundOf(found)}),
 		});
 	}
 
-	async #catchUp(call: NeverTwiceCall): Promise<ClaimEvent> {
+	async #catchUp(call: AtMostOnceCall): Promise<ClaimEvent> {
 		const {table, configuration} = this.#context;
 		const changes = await readChangesAfter(table, configuration.state.version);
 		for (const change of changes.orDefault([])) {
@@ -171,7 +171,7 @@
 		return {kind: 'caught-up', version: configuration.state.version, ...(refusal === undefined ? {} : {refusal})};
 	}
 
-	#observe(answered: boolean): void {
+	#recordTableAnswer(answered: boolean): void {
 		this.#budget.recordTableAnswer(answered, this.#context.clock.now());
 	}
 }
--- a/src/entry/callers/caller-routes.ts
+++ b/src/entry/callers/caller-routes.ts
@@ -20,43 +20,43 @@
 import {type CompletionJob} from './completion-job.js';
 import {type CompletionRunner} from './completion-runner.js';
 import {answerUnrouted} from './answer-unrouted.js';
-import {OpenRequests} from './open-requests.js';
+import {OpenRequestLimiter} from './open-request-limiter.js';
 import {type PlainRoute} from './plain-route.js';
 import {requestRule} from './request-rule.js';
-import {sendJson} from './send-whole.js';
+import {sendJson} from './send-complete-answer.js';
 
 export const defaultBodyLimitBytes = 8_388_608;
 
-const hangUpReason = new Error('the caller hung up');
-const operatorReason = new Error('an operator cancelled the request');
+const disconnectReason = new Error('the caller hung up');
+const operatorCancelReason = new Error('an operator cancelled the request');
 
 /** The components that the routes pass requests to. */
-export type CallerParts = {
+export type CallerRoutesDependencies = {
 	gate: AdmissionGate;
 	runner: CompletionRunner;
 	plainRoute: PlainRoute;
 };
 
 type ModelServiceItem = ServiceItem & {kind: 'model'};
-type UnderstoodCompletion = {workspace: WorkspaceItem; completion: CompletionRequest; service: ModelServiceItem};
+type ParsedCompletion = {workspace: WorkspaceItem; completion: CompletionRequest; service: ModelServiceItem};
 type ArrivedExchange = {request: IncomingMessage; arrivedAt: number; signal: AbortSignal};
 
 export class CallerRoutes {
 	readonly app = new H3({onError: typedErrorResponse});
 	readonly #context: EntryContext;
-	readonly #parts: CallerParts;
-	readonly #open = new OpenRequests();
+	readonly #dependencies: CallerRoutesDependencies;
+	readonly #open = new OpenRequestLimiter();
 
-	constructor(context: EntryContext, parts: CallerParts) {
+	constructor(context: EntryContext, dependencies: CallerRoutesDependencies) {
 		this.#context = context;
-		this.#parts = parts;
+		this.#dependencies = dependencies;
 		this.#addHealthRoutes();
 		const listModels = nodeRoute(async exchange => this.#listModels(exchange));
 		this.app.get('/v1/models', listModels);
 		this.app.head('/v1/models', listModels);
 		this.app.post('/v1/chat/completions', nodeRoute(async exchange => this.#complete('chat', exchange)));
 		this.app.post('/v1/completions', nodeRoute(async exchange => this.#complete('text', exchange)));
-		this.app.get('/v1/calls/**', nodeRoute(async exchange => this.#askCall(exchange)));
+		this.app.get('/v1/calls/**', nodeRoute(async exchange => this.#queryCall(exchange)));
 		this.app.all('/services/:service/**', nodeRoute(async exchange => this.#callService(exchange)));
 		this.app.all('/**', nodeRoute(async exchange => {
 			answerUnrouted(exchange);
@@ -118,18 +118,18 @@
 		}
 
 		const {workspace, completion, service} = understood.unsafeCoerce();
-		const hangUp = new AbortController();
-		const job = this.#jobOf({workspace, completion, service}, {request, arrivedAt, signal: hangUp.signal});
+		const cancellation = new AbortController();
+		const job = this.#jobOf({workspace, completion, service}, {request, arrivedAt, signal: cancellation.signal});
 		const {requestId, priority} = job.route;
-		const cancel = (reason = operatorReason): void => {
-			hangUp.abort(reason);
-			this.#parts.gate.cancel(requestId);
+		const cancel = (reason = operatorCancelReason): void => {
+			cancellation.abort(reason);
+			this.#dependencies.gate.cancel(requestId);
 		};
 
 		response.once('close', () => {
 			this.#context.requests.end(requestId);
 			if (!response.writableFinished) {
-				cancel(hangUpReason);
+				cancel(disconnectReason);
 			}
 		});
 		this.#context.requests.begin({
@@ -144,7 +144,7 @@
 		const common = {requestId, workspace: workspace.name};
 		timeline.record({kind: 'request-arrived', at: job.arrivedAt, ...common});
 		const writer = new CompletionWriter(response, completion, {requestId, createdSeconds: Math.floor(job.arrivedAt / 1000)});
-		const entered = await this.#parts.gate.enter({
+		const entered = await this.#dependencies.gate.enter({
 			requestId, workspace: workspace.name, share: workspace.share, service, priority, promptTokens, deadline,
 		});
 		if (entered.isLeft()) {
@@ -154,8 +154,8 @@
 
 		this.#context.requests.admit(requestId);
 		timeline.record({kind: 'request-admitted', at: clock.now(), ...common});
-		const result = await this.#parts.runner.run(job, writer);
-		this.#parts.gate.leave(requestId);
+		const result = await this.#dependencies.runner.run(job, writer);
+		this.#dependencies.gate.leave(requestId);
 		if ('reason' in result) {
 			this.#refuse(writer, result, common);
 			return;
@@ -185,7 +185,7 @@
 		metrics.report('request.refused', 1, {reason: refusal.reason, ran: refusal.ran});
 	}
 
-	#jobOf(understood: UnderstoodCompletion, exchange: ArrivedExchange): CompletionJob {
+	#jobOf(understood: ParsedCompletion, exchange: ArrivedExchange): CompletionJob {
 		const {workspace, completion, service} = understood;
 		const {request, arrivedAt, signal} = exchange;
 		const rule = requestRule(this.#context.configuration.state, {
@@ -213,13 +213,13 @@
 		};
 	}
 
-	async #askCall(exchange: NodeExchange): Promise<void> {
+	async #queryCall(exchange: NodeExchange): Promise<void> {
 		const workspace = this.#workspaceOf(exchange.request);
 		await workspace.caseOf({
 			async Left(refusal) {
 				sendRefusal(exchange.response, refusal);
 			},
-			Right: async found => new CallsRoute(this.#context).ask(found, exchange),
+			Right: async found => new CallsRoute(this.#context).answerQuery(found, exchange),
 		});
 	}
 
@@ -231,13 +231,13 @@
 			return;
 		}
 
-		await this.#parts.plainRoute.call(workspace.extract() as WorkspaceItem, exchange);
+		await this.#dependencies.plainRoute.call(workspace.extract() as WorkspaceItem, exchange);
 	}
 
 	/** Authenticates the caller and counts its request as open, before any of the body is read. */
 	#enter({request, response}: NodeExchange): Either<Refusal, WorkspaceItem> {
 		const {limits} = this.#context.configuration.state;
-		return this.#workspaceOf(request).chain(workspace => this.#open.enter(workspace.name, limits).map(leave => {
+		return this.#workspaceOf(request).chain(workspace => this.#open.acquire(workspace.name, limits).map(leave => {
 			const {metrics} = this.#context;
 			metrics.report('request.open', this.#open.total);
 			response.once('close', () => {
--- a/src/entry/callers/calls-route.ts
+++ b/src/entry/callers/calls-route.ts
@@ -10,9 +10,9 @@
 import {type WorkspaceItem} from '../../shared/types.js';
 import {type EntryContext} from '../entry-context.js';
 import {sendRefusal} from '../../serving/send-refusal.js';
-import {sendJson} from './send-whole.js';
+import {sendJson} from './send-complete-answer.js';
 
-const comeBackMilliseconds = 2000;
+const retryDelayMilliseconds = 2000;
 const pathPattern = /^\/v1\/calls\/(?<service>[^\/?]+)\/(?<key>[^\/?]+)$/v;
 
 /**
@@ -71,7 +71,7 @@
 	}
 
 	/** Answers a query for a call of one workspace; the path cannot name calls of other workspaces. */
-	async ask(workspace: WorkspaceItem, {request, response}: NodeExchange): Promise<void> {
+	async answerQuery(workspace: WorkspaceItem, {request, response}: NodeExchange): Promise<void> {
 		const {table, clock} = this.#context;
 		const parts = pathPattern.exec(request.url ?? '')?.groups;
 		const service = decoded(parts?.service);
@@ -85,7 +85,7 @@
 		row.caseOf({
 			Left() {
 				sendRefusal(response, {
-					reason: 'platform-unavailable', ran: 'unknown', message: 'the call cannot be looked up now', retryAfterMilliseconds: comeBackMilliseconds,
+					reason: 'platform-unavailable', ran: 'unknown', message: 'the call cannot be looked up now', retryAfterMilliseconds: retryDelayMilliseconds,
 				});
 			},
 			Right(found) {
--- a/src/entry/callers/completion-attempt.ts
+++ b/src/entry/callers/completion-attempt.ts
@@ -8,18 +8,18 @@
 import {type EngineCall, type EngineEvent, type EngineFailure} from '../../ports/model-engine.js';
 import {relayEvent, type RelayState} from '../../protocol/stream/stream-relay.js';
 import {type EntryContext} from '../entry-context.js';
-import {type KeptContext} from '../kept/kept-context.js';
+import {type CachedContext} from '../cache/cached-context.js';
 import {type AnswerSink, type CompletionJob} from './completion-job.js';
 import {type CompletionUsage} from './completion-writer.js';
 import {
-	firstTokenLimit, StreamWatch, type StreamWatches, tokenSilenceMilliseconds, unheardSilenceMilliseconds,
-} from './stream-watch.js';
+	firstTokenTimeout, StreamWatchdog, type StreamWatchdogs, tokenTimeoutMilliseconds, unresponsiveEndpointTimeoutMilliseconds,
+} from './stream-watchdog.js';
 
 /** How an attempt ended. `refused` is final: every endpoint would reject this prompt. `again` allows another attempt. */
 export type AttemptOutcome
 	= | {kind: 'whole'; usage: CompletionUsage}
 		| {kind: 'refused'; status: number}
-		| {kind: 'again'; avoid: boolean; mayHaveRun: boolean; detail: string; holdMilliseconds?: number};
+		| {kind: 'again'; avoid: boolean; mayHaveRun: boolean; detail: string; backoffMilliseconds?: number};
 
 /** The prompt to send and the endpoint that it is sent to. */
 export type AttemptPlan = {job: CompletionJob; route: RouteRequest; endpoint: EndpointView};
@@ -28,36 +28,36 @@
 const finalStatuses: ReadonlySet<number> = new Set([400, 413, 422]);
 
 /** Dependencies that all attempts of an instance share. */
-export type AttemptParts = {
+export type AttemptDependencies = {
 	context: EntryContext;
 	policy: RoutingPolicy;
-	watches: StreamWatches;
-	kept: KeptContext;
+	watchdogs: StreamWatchdogs;
+	cachedContext: CachedContext;
 	/** Returns the cache salt of a workspace. */
 	saltOf: (workspace: string) => string;
 };
 
-const silenceReason = new Error('the engine or the caller became unresponsive');
-const overReason = new Error('the attempt has ended');
+const unresponsiveReason = new Error('the engine or the caller became unresponsive');
+const endedReason = new Error('the attempt has ended');
 
 export class CompletionAttempt {
-	readonly #parts: AttemptParts;
+	readonly #dependencies: AttemptDependencies;
 	readonly #context: EntryContext;
 	readonly #policy: RoutingPolicy;
 	readonly #plan: AttemptPlan;
 	readonly #sentAt: number;
-	readonly #watch: StreamWatch;
+	readonly #watchdog: StreamWatchdog;
 	#state: RelayState;
 
-	constructor(parts: AttemptParts, plan: AttemptPlan, relay: RelayState) {
-		const {context, policy} = parts;
-		this.#parts = parts;
+	constructor(dependencies: AttemptDependencies, plan: AttemptPlan, relay: RelayState) {
+		const {context, policy} = dependencies;
+		this.#dependencies = dependencies;
 		this.#context = context;
 		this.#policy = policy;
 		this.#plan = plan;
 		this.#state = relay;
 		this.#sentAt = context.clock.now();
-		this.#watch = new StreamWatch(context.clock, () => this.#silenceLimit());
+		this.#watchdog = new StreamWatchdog(context.clock, () => this.#engineTimeout());
 	}
 
 	/** Runs the attempt; returns its outcome and how much of the answer was relayed. */
@@ -71,33 +71,33 @@
 		};
 
 		job.signal.addEventListener('abort', stop);
-		this.#parts.watches.add(this.#watch, silent => {
-			attempt.abort(silenceReason);
-			if (silent === 'caller') {
-				sink.abandon();
+		this.#dependencies.watchdogs.add(this.#watchdog, side => {
+			attempt.abort(unresponsiveReason);
+			if (side === 'caller') {
+				sink.disconnect();
 			}
 		});
-		const outcome = await this.#follow(attempt.signal, sink);
-		this.#parts.watches.remove(this.#watch);
+		const outcome = await this.#relay(attempt.signal, sink);
+		this.#dependencies.watchdogs.remove(this.#watchdog);
 		if (outcome.kind !== 'whole') {
-			attempt.abort(overReason);
+			attempt.abort(endedReason);
 		}
 
 		job.signal.removeEventListener('abort', stop);
-		this.#end(outcome);
+		this.#reportEnd(outcome);
 		return {outcome, relay: this.#state};
 	}
 
-	async #follow(signal: AbortSignal, sink: AnswerSink): Promise<AttemptOutcome> {
+	async #relay(signal: AbortSignal, sink: AnswerSink): Promise<AttemptOutcome> {
 		const {endpoint} = this.#plan;
 		for await (const event of this.#context.engine.complete(endpoint.address, this.#call(), signal)) {
-			this.#watch.waitFor('caller');
-			const outcome = event.isLeft() ? this.#judge(event.extract()) : await this.#take(event, sink);
+			this.#watchdog.waitFor('caller');
+			const outcome = event.isLeft() ? this.#classifyFailure(event.extract()) : await this.#handleEvent(event, sink);
 			if (outcome !== undefined) {
 				return outcome;
 			}
 
-			this.#watch.waitFor('engine');
+			this.#watchdog.waitFor('engine');
 		}
 
 		return {
@@ -105,17 +105,17 @@
 		};
 	}
 
-	async #take(event: Either<EngineFailure, EngineEvent>, sink: AnswerSink): Promise<AttemptOutcome | undefined> {
+	async #handleEvent(event: Either<EngineFailure, EngineEvent>, sink: AnswerSink): Promise<AttemptOutcome | undefined> {
 		const isFirst = this.#state.tokensPassedOn === 0;
 		const {state, action} = relayEvent(this.#state, this.#state.attempt, event.extract() as EngineEvent);
 		this.#state = state;
 		switch (action.kind) {
 			case 'pass-on': {
 				if (isFirst) {
-					this.#firstToken();
+					this.#reportFirstToken();
 				}
 
-				await sink.pass(action.text);
+				await sink.write(action.text);
 				return undefined;
 			}
 
@@ -135,17 +135,17 @@
 		}
 	}
 
-	#judge(failure: EngineFailure): AttemptOutcome {
+	#classifyFailure(failure: EngineFailure): AttemptOutcome {
 		switch (failure.kind) {
 			case 'version-swapped': {
-				this.#context.endpoints.takeVersion(this.#plan.endpoint.name, failure.weightVersion);
+				this.#context.endpoints.applyVersion(this.#plan.endpoint.name, failure.weightVersion);
 				return {
 					kind: 'again', avoid: false, mayHaveRun: false, detail: 'the endpoint runs another weight version now',
 				};
 			}
 
 			case 'refused': {
-				return this.#judgeRefusal(failure);
+				return this.#classifyRejection(failure);
 			}
 
 			case 'not-sent': {
@@ -155,7 +155,7 @@
 			}
 
 			case 'broken': {
-				const detail = this.#watch.silent === 'engine' ? 'the endpoint became unresponsive' : 'the stream broke';
+				const detail = this.#watchdog.unresponsiveSide === 'engine' ? 'the endpoint became unresponsive' : 'the stream broke';
 				return {
 					kind: 'again', avoid: true, mayHaveRun: true, detail,
 				};
@@ -163,7 +163,7 @@
 		}
 	}
 
-	#judgeRefusal({status, retryAfterMilliseconds}: EngineFailure & {kind: 'refused'}): AttemptOutcome {
+	#classifyRejection({status, retryAfterMilliseconds}: EngineFailure & {kind: 'refused'}): AttemptOutcome {
 		if (finalStatuses.has(status) && this.#state.tokensPassedOn === 0) {
 			return {kind: 'refused', status};
 		}
@@ -173,20 +173,20 @@
 			avoid: true,
 			mayHaveRun: false,
 			detail: `the endpoint refused with ${status}`,
-			...(retryAfterMilliseconds === undefined ? {} : {holdMilliseconds: retryAfterMilliseconds}),
+			...(retryAfterMilliseconds === undefined ? {} : {backoffMilliseconds: retryAfterMilliseconds}),
 		};
 	}
 
 	/** If the endpoint's load reports are missing as well, the whole endpoint hangs, and a shorter timeout applies. */
-	#silenceLimit(): number {
+	#engineTimeout(): number {
 		const {endpoint, route} = this.#plan;
 		const known = this.#context.endpoints.engines().find(({name}) => name === endpoint.name);
-		const isHeard = known !== undefined && this.#context.clock.now() - known.heardAt <= unresponsiveAfterMilliseconds;
-		if (!isHeard) {
-			return unheardSilenceMilliseconds;
+		const isResponsive = known !== undefined && this.#context.clock.now() - known.heardAt <= unresponsiveAfterMilliseconds;
+		if (!isResponsive) {
+			return unresponsiveEndpointTimeoutMilliseconds;
 		}
 
-		return this.#state.tokensPassedOn > 0 ? tokenSilenceMilliseconds : firstTokenLimit(known.load, route.promptTokens);
+		return this.#state.tokensPassedOn > 0 ? tokenTimeoutMilliseconds : firstTokenTimeout(known.load, route.promptTokens);
 	}
 
 	#call(): EngineCall {
@@ -196,25 +196,25 @@
 			attempt: this.#state.attempt,
 			shape: job.request.shape,
 			body: job.request.body,
-			cacheSalt: this.#parts.saltOf(route.workspace),
+			cacheSalt: this.#dependencies.saltOf(route.workspace),
 			priority: route.priority,
 			weightVersion: endpoint.weightVersion,
 			tokensPassedOn: this.#state.tokensPassedOn,
 		};
 	}
 
-	#firstToken(): void {
+	#reportFirstToken(): void {
 		const {job, endpoint, route} = this.#plan;
 		const now = this.#context.clock.now();
 		this.#policy.observe({
 			kind: 'first-token', endpoint: endpoint.name, request: route, afterMilliseconds: now - this.#sentAt,
 		}, now);
-		this.#parts.kept.prefilled(route, endpoint);
+		this.#dependencies.cachedContext.prefilled(route, endpoint);
 		this.#record('first-token');
 		this.#context.metrics.report('request.time_to_first_token', now - job.arrivedAt, {priority: route.priority, service: route.service});
 	}
 
-	#end(outcome: AttemptOutcome): void {
+	#reportEnd(outcome: AttemptOutcome): void {
 		const {job, endpoint, route} = this.#plan;
 		// A rejected prompt or a swap of weights does not count as a failure of the endpoint. Otherwise a single caller with
 		// invalid prompts could open the circuits of all endpoints.
--- a/src/entry/callers/completion-job.ts
+++ b/src/entry/callers/completion-job.ts
@@ -16,9 +16,9 @@
 /** Receives the answer of a prompt. */
 export interface AnswerSink {
 	/** Writes text to the answer. Resolves when more can be written. */
-	pass(text: string): Promise<void>;
+	write(text: string): Promise<void>;
 	/** Discards all text written so far; returns false if the caller may have received any of it. */
-	takeBack(): boolean;
+	discard(): boolean;
 	/** Closes the connection of a caller that has stopped reading. */
-	abandon(): void;
+	disconnect(): void;
 }
--- a/src/entry/callers/completion-request.ts
+++ b/src/entry/callers/completion-request.ts
@@ -4,14 +4,14 @@
 import {z} from 'zod';
 import {type JsonValue, type Refusal} from '../../shared/types.js';
 
-const largestCompletionTokens = 1_000_000;
+const maxCompletionTokens = 1_000_000;
 
 const common = {
 	model: z.string().min(1),
 	stream: z.boolean().nullish(),
 	stream_options: z.object({include_usage: z.boolean().optional()}).nullish(),
-	max_tokens: z.number().int().positive().max(largestCompletionTokens).nullish(),
-	max_completion_tokens: z.number().int().positive().max(largestCompletionTokens).nullish(),
+	max_tokens: z.number().int().positive().max(maxCompletionTokens).nullish(),
+	max_completion_tokens: z.number().int().positive().max(maxCompletionTokens).nullish(),
 	n: z.literal(1).nullish(),
 };
 
--- a/src/entry/callers/completion-runner.test.ts
+++ b/src/entry/callers/completion-runner.test.ts
@@ -5,11 +5,11 @@
 import {type Refusal} from '../../shared/types.js';
 import {engineTokenAt} from '../../stand-in/engine-token-at.js';
 import {TestEntry} from '../../test/test-entry.js';
-import {NoKeptContext} from '../kept/kept-context.js';
+import {NoCachedContext} from '../cache/cached-context.js';
 import {type AnswerSink, type CompletionJob} from './completion-job.js';
 import {CompletionRunner} from './completion-runner.js';
 import {type CompletionUsage} from './completion-writer.js';
-import {callerSilenceMilliseconds, tokenSilenceMilliseconds, unheardSilenceMilliseconds} from './stream-watch.js';
+import {callerTimeoutMilliseconds, tokenTimeoutMilliseconds, unresponsiveEndpointTimeoutMilliseconds} from './stream-watchdog.js';
 
 const tokens = 6;
 const [first, second] = ['riva-engine-1', 'riva-engine-2'] as const;
@@ -20,24 +20,24 @@
 
 class RecordingSink implements AnswerSink {
 	text = '';
-	isAbandoned = false;
-	readonly #canTakeBack: boolean;
+	isDisconnected = false;
+	readonly #canDiscard: boolean;
 
-	constructor(canTakeBack: boolean) {
-		this.#canTakeBack = canTakeBack;
+	constructor(canDiscard: boolean) {
+		this.#canDiscard = canDiscard;
 	}
 
-	async pass(text: string): Promise<void> {
+	async write(text: string): Promise<void> {
 		this.text += text;
 	}
 
-	takeBack(): boolean {
-		this.text = this.#canTakeBack ? '' : this.text;
-		return this.#canTakeBack;
+	discard(): boolean {
+		this.text = this.#canDiscard ? '' : this.text;
+		return this.#canDiscard;
 	}
 
-	abandon(): void {
-		this.isAbandoned = true;
+	disconnect(): void {
+		this.isDisconnected = true;
 	}
 }
 
@@ -59,7 +59,7 @@
 		signal: caller.signal,
 	});
 	const sink = new RecordingSink(!options.streamed);
-	const runner = new CompletionRunner(entry.context, new LeastLoadedPolicy(), new NoKeptContext());
+	const runner = new CompletionRunner(entry.context, new LeastLoadedPolicy(), new NoCachedContext());
 	return {
 		entry, engine: entry.engine, clock, sink, caller, job, run: async () => runner.run(job(), sink),
 	};
@@ -71,7 +71,7 @@
 }
 
 /** Advances the clock in small steps until the step returns true or the limit is reached. */
-async function moveTime(clock: TestEntry['clock'], limitMilliseconds: number, step: () => boolean): Promise<void> {
+async function advanceInSteps(clock: TestEntry['clock'], limitMilliseconds: number, step: () => boolean): Promise<void> {
 	for (let spent = 0; spent <= limitMilliseconds && !step(); spent += 500) {
 		clock.advance(500);
 		await new Promise(resolve => {
@@ -114,14 +114,14 @@
 	const startedAt = clock.now();
 	const running = run();
 	await engine.halted();
-	await moveTime(clock, 60_000, () => {
+	await advanceInSteps(clock, 60_000, () => {
 		entry.reportEngines();
 		return engine.cancelled > 0;
 	});
 	await running;
 	assert.equal(sink.text, textOf('w1'));
 	assert.equal(engine.cancelled, 1);
-	assert.ok(clock.now() - startedAt <= tokenSilenceMilliseconds + 1000);
+	assert.ok(clock.now() - startedAt <= tokenTimeoutMilliseconds + 1000);
 });
 
 test('an endpoint whose load reports are missing as well has a shorter timeout', async () => {
@@ -130,13 +130,13 @@
 	const startedAt = clock.now();
 	const running = run();
 	await engine.halted();
-	await moveTime(clock, 20_000, () => {
+	await advanceInSteps(clock, 20_000, () => {
 		entry.reportEngine(second);
 		return engine.cancelled > 0;
 	});
 	await running;
 	assert.equal(sink.text, textOf('w1'));
-	assert.ok(clock.now() - startedAt <= unheardSilenceMilliseconds + 1000);
+	assert.ok(clock.now() - startedAt <= unresponsiveEndpointTimeoutMilliseconds + 1000);
 });
 
 test('a stream that has begun never continues under other weights', async () => {
@@ -215,17 +215,17 @@
 
 test('a caller that stops reading is disconnected after a timeout, and its request is cancelled', async () => {
 	const {engine, sink, clock, caller, run} = setUp({streamed: true});
-	sink.pass = async () => new Promise(resolve => {
+	sink.write = async () => new Promise(resolve => {
 		caller.signal.addEventListener('abort', () => {
 			resolve();
 		});
 	});
-	sink.abandon = () => {
+	sink.disconnect = () => {
 		caller.abort();
 	};
 
 	const running = run();
-	await moveTime(clock, callerSilenceMilliseconds + 1000, () => caller.signal.aborted);
+	await advanceInSteps(clock, callerTimeoutMilliseconds + 1000, () => caller.signal.aborted);
 	const refusal = refusalOf(await running);
 	assert.deepEqual([refusal.reason, refusal.ran, engine.calls.length], ['cancelled', 'unknown', 1]);
 });
--- a/src/entry/callers/completion-runner.ts
+++ b/src/entry/callers/completion-runner.ts
@@ -9,14 +9,14 @@
 	beginAttempt, emptyAnswer, discardTokens, type RelayState,
 } from '../../protocol/stream/stream-relay.js';
 import {type Refusal} from '../../shared/types.js';
-import {type KeptContext} from '../kept/kept-context.js';
+import {type CachedContext} from '../cache/cached-context.js';
 import {type EntryContext} from '../entry-context.js';
-import {type AttemptOutcome, type AttemptParts, CompletionAttempt} from './completion-attempt.js';
+import {type AttemptOutcome, type AttemptDependencies, CompletionAttempt} from './completion-attempt.js';
 import {type AnswerSink, type CompletionJob} from './completion-job.js';
 import {type CompletionUsage} from './completion-writer.js';
-import {EndpointHolds} from './endpoint-holds.js';
-import {giveUp} from './give-up.js';
-import {StreamWatches} from './stream-watch.js';
+import {EndpointBackoff} from './endpoint-backoff.js';
+import {failedPromptRefusal} from './failed-prompt-refusal.js';
+import {StreamWatchdogs} from './stream-watchdog.js';
 
 const attemptLimit = 4;
 const failedRetryMilliseconds = 1000;
@@ -32,16 +32,16 @@
 export class CompletionRunner {
 	readonly #context: EntryContext;
 	readonly #policy: RoutingPolicy;
-	readonly #holds = new EndpointHolds();
-	readonly #parts: AttemptParts;
+	readonly #backoff = new EndpointBackoff();
+	readonly #dependencies: AttemptDependencies;
 	readonly #salts = new Map<string, string>();
-	readonly #repeats = new RetryBudget();
+	readonly #retries = new RetryBudget();
 
-	constructor(context: EntryContext, policy: RoutingPolicy, kept: KeptContext) {
+	constructor(context: EntryContext, policy: RoutingPolicy, cachedContext: CachedContext) {
 		this.#context = context;
 		this.#policy = policy;
-		this.#parts = {
-			context, policy, kept, watches: new StreamWatches(context.clock), saltOf: workspace => this.#saltOf(workspace),
+		this.#dependencies = {
+			context, policy, cachedContext: cachedContext, watchdogs: new StreamWatchdogs(context.clock), saltOf: workspace => this.#saltOf(workspace),
 		};
 	}
 
@@ -56,32 +56,32 @@
 		let progress: Progress = {
 			relay: emptyAnswer, avoid: [], mayHaveRun: false, detail: 'no endpoint is live',
 		};
-		const pieceKeys = this.#pieceKeys(job);
-		const found = await this.#parts.kept.find(pieceKeys);
+		const pieceKeys = this.#blockKeys(job);
+		const found = await this.#dependencies.cachedContext.find(pieceKeys);
 		for (let count = 0; count < attemptLimit && !job.signal.aborted; count++) {
 			const route = {...job.route, avoid: progress.avoid, pieceKeys};
 			const choice = this.#policy.choose(route, this.#endpointsFor(job, progress), this.#context.clock.now());
 			if (choice.kind === 'none') {
-				if (progress.relay.tokensPassedOn > 0 && sink.takeBack()) {
+				if (progress.relay.tokensPassedOn > 0 && sink.discard()) {
 					progress = {...progress, relay: discardTokens(progress.relay)};
 					continue;
 				}
 
-				return this.#giveUp(job, progress, choice.retryAfterMilliseconds);
+				return this.#refusalOf(job, progress, choice.retryAfterMilliseconds);
 			}
 
 			const plan = {job, route, endpoint: choice.endpoint};
 			if (choice.fetch !== undefined) {
-				await this.#parts.kept.bring({
+				await this.#dependencies.cachedContext.transfer({
 					plan: choice.fetch, found, endpoint: choice.endpoint, route,
 				}, this.#policy);
 			}
 
 			if (count === 0) {
-				this.#repeats.countAttempt(route.workspace, choice.endpoint.name);
+				this.#retries.countAttempt(route.workspace, choice.endpoint.name);
 			}
 
-			const attempt = new CompletionAttempt(this.#parts, plan, beginAttempt(progress.relay));
+			const attempt = new CompletionAttempt(this.#dependencies, plan, beginAttempt(progress.relay));
 			const {outcome, relay} = await attempt.run(sink);
 			if (outcome.kind === 'whole') {
 				return outcome.usage;
@@ -92,17 +92,17 @@
 			}
 
 			progress = this.#next(progress, {outcome, relay, endpoint: choice.endpoint.name});
-			if (outcome.avoid && !this.#repeats.takeRetry(route.workspace, choice.endpoint.name)) {
+			if (outcome.avoid && !this.#retries.takeRetry(route.workspace, choice.endpoint.name)) {
 				break;
 			}
 		}
 
-		return this.#giveUp(job, progress, failedRetryMilliseconds);
+		return this.#refusalOf(job, progress, failedRetryMilliseconds);
 	}
 
 	#next(progress: Progress, {outcome, relay, endpoint}: {outcome: AttemptOutcome & {kind: 'again'}; relay: RelayState; endpoint: string}): Progress {
-		if (outcome.holdMilliseconds !== undefined) {
-			this.#holds.hold(endpoint, this.#context.clock.now() + outcome.holdMilliseconds);
+		if (outcome.backoffMilliseconds !== undefined) {
+			this.#backoff.backOff(endpoint, this.#context.clock.now() + outcome.backoffMilliseconds);
 		}
 
 		return {
@@ -113,29 +113,29 @@
 		};
 	}
 
-	#giveUp(job: CompletionJob, progress: Progress, retryAfterMilliseconds: number): Refusal {
+	#refusalOf(job: CompletionJob, progress: Progress, retryAfterMilliseconds: number): Refusal {
 		const {relay, mayHaveRun, detail} = progress;
 		const names = this.#reachable(job).filter(({service}) => service === job.route.service).map(({name}) => name);
-		return giveUp({
+		return failedPromptRefusal({
 			relay,
 			mayHaveRun,
 			detail,
 			retryAfterMilliseconds,
-			cancelledBecause: job.signal.aborted ? (job.signal.reason as Error).message : undefined,
-			wasTried: relay.attempt > 0,
-			fullMilliseconds: this.#holds.shortestHold(names, this.#context.clock.now()),
+			cancelReason: job.signal.aborted ? (job.signal.reason as Error).message : undefined,
+			wasAttempted: relay.attempt > 0,
+			backoffMilliseconds: this.#backoff.shortestRemainingMilliseconds(names, this.#context.clock.now()),
 		});
 	}
 
 	/** An answer of which tokens were already passed on continues only on endpoints with the weight version it began with. */
 	#endpointsFor(job: CompletionJob, {relay}: Progress): readonly EndpointView[] {
 		const reachable = this.#reachable(job);
-		if (this.#holds.isEmpty && relay.tokensPassedOn === 0) {
+		if (this.#backoff.isEmpty && relay.tokensPassedOn === 0) {
 			return reachable;
 		}
 
 		const now = this.#context.clock.now();
-		return reachable.filter(endpoint => !this.#holds.isHeld(endpoint.name, now)
+		return reachable.filter(endpoint => !this.#backoff.isBackingOff(endpoint.name, now)
 			&& (relay.tokensPassedOn === 0 || endpoint.weightVersion === relay.weightVersion));
 	}
 
@@ -146,7 +146,7 @@
 			: endpoints.filter(endpoint => job.dataCentres.includes(endpoint.dataCentre));
 	}
 
-	#pieceKeys(job: CompletionJob): RouteRequest['pieceKeys'] {
+	#blockKeys(job: CompletionJob): RouteRequest['pieceKeys'] {
 		const {workspace, weightVersion} = job.route;
 		return promptBlockKeysOf({salt: this.#saltOf(workspace), model: job.request.model, weightVersion}, job.prompt);
 	}
--- a/src/entry/callers/completion-writer.ts
+++ b/src/entry/callers/completion-writer.ts
@@ -13,7 +13,7 @@
 import {type CompletionRequest} from './completion-request.js';
 
 /** Placeholder for the text while the template of a streamed event is built; it cannot occur in any member of an event. */
-const textPlace = '\u0000text\u0000';
+const textPlaceholder = '\u0000text\u0000';
 
 /** Finish reason and token counts of a complete answer. */
 export type CompletionUsage = {
@@ -48,11 +48,11 @@
 			created: identity.createdSeconds,
 			model: request.model,
 		};
-		const framed = eventOf({...this.#head, choices: [this.#choice(textPlace, null)]});
-		this.#frame = framed.split(JSON.stringify(textPlace)) as [string, string];
+		const framed = eventOf({...this.#head, choices: [this.#choice(textPlaceholder, null)]});
+		this.#frame = framed.split(JSON.stringify(textPlaceholder)) as [string, string];
 	}
 
-	async pass(text: string): Promise<void> {
+	async write(text: string): Promise<void> {
 		if (!this.#request.stream) {
 			this.#text += text;
 			return;
@@ -66,7 +66,7 @@
 		}
 	}
 
-	takeBack(): boolean {
+	discard(): boolean {
 		if (this.#response.headersSent) {
 			return false;
 		}
@@ -75,7 +75,7 @@
 		return true;
 	}
 
-	abandon(): void {
+	disconnect(): void {
 		abortAnswer(this.#response);
 	}
 
--- a/src/entry/callers/endpoint-holds.ts
+++ b/src/entry/callers/endpoint-backoff.ts
@@ -2,11 +2,11 @@
  * Endpoints that are excluded for a time because they answered with Retry-After. Such an engine is full, and sending to it
  * again immediately would cost the engine work and the caller a round trip.
  */
-export class EndpointHolds {
+export class EndpointBackoff {
 	readonly #until = new Map<string, number>();
 
 	/** Excludes an endpoint until a time, in milliseconds since the epoch. */
-	hold(endpoint: string, until: number): void {
+	backOff(endpoint: string, until: number): void {
 		this.#until.set(endpoint, until);
 	}
 
@@ -16,7 +16,7 @@
 	}
 
 	/** Returns whether an endpoint is excluded now. */
-	isHeld(endpoint: string, now: number): boolean {
+	isBackingOff(endpoint: string, now: number): boolean {
 		const until = this.#until.get(endpoint);
 		if (until !== undefined && until <= now) {
 			this.#until.delete(endpoint);
@@ -26,10 +26,10 @@
 	}
 
 	/** Returns the milliseconds until the first of these endpoints may be used again; `undefined` if none is excluded. */
-	shortestHold(endpoints: readonly string[], now: number): number | undefined {
-		const holds = endpoints
+	shortestRemainingMilliseconds(endpoints: readonly string[], now: number): number | undefined {
+		const remaining = endpoints
 			.map(endpoint => (this.#until.get(endpoint) ?? now) - now)
 			.filter(milliseconds => milliseconds > 0);
-		return holds.length === 0 ? undefined : Math.min(...holds);
+		return remaining.length === 0 ? undefined : Math.min(...remaining);
 	}
 }
--- a/src/entry/callers/give-up.ts
+++ b/src/entry/callers/failed-prompt-refusal.ts
@@ -2,18 +2,18 @@
 import {type Refusal} from '../../shared/types.js';
 
 /** The state of a prompt that is no longer attempted. */
-export type LostCause = {
+export type FailedPrompt = {
 	relay: RelayState;
 	/** True if an engine may have worked on the prompt. */
 	mayHaveRun: boolean;
 	/** Why the request was cancelled, if it was. */
-	cancelledBecause: string | undefined;
+	cancelReason: string | undefined;
 	/** Why the last attempt failed. */
 	detail: string;
 	/** True if at least one attempt was sent to an endpoint. */
-	wasTried: boolean;
+	wasAttempted: boolean;
 	/** Milliseconds until the first of the endpoints that are full accepts requests again; absent if none reported that. */
-	fullMilliseconds?: number | undefined;
+	backoffMilliseconds?: number | undefined;
 	retryAfterMilliseconds: number;
 };
 
@@ -21,14 +21,14 @@
  * Determines the refusal of a prompt that cannot be served. It is sent as an error event if the stream has begun, otherwise
  * as the answer.
  *
- * @param cause - The state in which the prompt failed.
+ * @param prompt - The state in which the prompt failed.
  * @returns The refusal; "not-run" only if no engine can have started the prompt.
  */
-export function giveUp(cause: LostCause): Refusal {
-	const {relay, detail, retryAfterMilliseconds, fullMilliseconds} = cause;
-	const ran = cause.mayHaveRun ? 'unknown' : 'not-run';
-	if (cause.cancelledBecause !== undefined) {
-		return {reason: 'cancelled', ran, message: cause.cancelledBecause};
+export function failedPromptRefusal(prompt: FailedPrompt): Refusal {
+	const {relay, detail, retryAfterMilliseconds, backoffMilliseconds: backoffMilliseconds} = prompt;
+	const ran = prompt.mayHaveRun ? 'unknown' : 'not-run';
+	if (prompt.cancelReason !== undefined) {
+		return {reason: 'cancelled', ran, message: prompt.cancelReason};
 	}
 
 	if (relay.tokensPassedOn > 0) {
@@ -37,13 +37,13 @@
 		};
 	}
 
-	if (fullMilliseconds !== undefined && !cause.mayHaveRun) {
+	if (backoffMilliseconds !== undefined && !prompt.mayHaveRun) {
 		return {
-			reason: 'overloaded', ran, message: 'the endpoints are full', retryAfterMilliseconds: fullMilliseconds,
+			reason: 'overloaded', ran, message: 'the endpoints are full', retryAfterMilliseconds: backoffMilliseconds,
 		};
 	}
 
 	return {
-		reason: cause.wasTried ? 'endpoint-failed' : 'no-endpoint', ran, message: `the prompt could not be served: ${detail}`, retryAfterMilliseconds,
+		reason: prompt.wasAttempted ? 'endpoint-failed' : 'no-endpoint', ran, message: `the prompt could not be served: ${detail}`, retryAfterMilliseconds,
 	};
 }
--- a/src/entry/callers/first-token-relay.ts
+++ b/src/entry/callers/first-token-notifier.ts
@@ -4,7 +4,7 @@
 } from '../../decision/routing/routing-policy.js';
 import {type AdmissionGate} from './admission-gate.js';
 
-export class FirstTokenRelay implements RoutingPolicy {
+export class FirstTokenNotifier implements RoutingPolicy {
 	readonly #policy: RoutingPolicy;
 	readonly #gate: AdmissionGate;
 
--- a/src/entry/callers/open-requests.ts
+++ b/src/entry/callers/open-request-limiter.ts
@@ -10,9 +10,9 @@
 /** Applies where `open-requests` is not declared. Bodies have up to 8 MB, but few are near that: a few hundred MB in total. */
 export const defaultOpenRequests = 2000;
 
-const comeBackMilliseconds = 1000;
+const retryDelayMilliseconds = 1000;
 
-export class OpenRequests {
+export class OpenRequestLimiter {
 	readonly #byWorkspace = new Map<string, number>();
 	#total = 0;
 
@@ -28,25 +28,25 @@
 	 * @param limits - The declared limits.
 	 * @returns A function that ends the count, to be called once; or the refusal.
 	 */
-	enter(workspace: string, limits: ConfigurationState['limits']): Either<Refusal, () => void> {
+	acquire(workspace: string, limits: ConfigurationState['limits']): Either<Refusal, () => void> {
 		const open = this.#byWorkspace.get(workspace) ?? 0;
 		const limit = limits.get('open-requests')?.value ?? defaultOpenRequests;
 		const workspaceLimit = limits.get('open-requests-per-workspace')?.value ?? limit;
 		if (this.#total >= limit || open >= workspaceLimit) {
 			const whose = open >= workspaceLimit ? 'by this workspace' : 'at this instance';
 			return Left({
-				reason: 'too-many-open', ran: 'not-run', message: `too many requests are open ${whose}`, retryAfterMilliseconds: comeBackMilliseconds,
+				reason: 'too-many-open', ran: 'not-run', message: `too many requests are open ${whose}`, retryAfterMilliseconds: retryDelayMilliseconds,
 			});
 		}
 
 		this.#total++;
 		this.#byWorkspace.set(workspace, open + 1);
 		return Right(() => {
-			this.#leave(workspace);
+			this.#release(workspace);
 		});
 	}
 
-	#leave(workspace: string): void {
+	#release(workspace: string): void {
 		this.#total--;
 		const open = (this.#byWorkspace.get(workspace) ?? 1) - 1;
 		if (open === 0) {
--- a/src/entry/callers/plain-route.ts
+++ b/src/entry/callers/plain-route.ts
@@ -15,17 +15,17 @@
 import {hasCallerDisconnected} from '../../serving/has-caller-disconnected.js';
 import {readBody} from '../../serving/read-body.js';
 import {sendRefusal} from '../../serving/send-refusal.js';
-import {type NeverTwiceRunner} from './never-twice-runner.js';
-import {sendWhole} from './send-whole.js';
+import {type AtMostOnceRunner} from './at-most-once-runner.js';
+import {sendCompleteAnswer} from './send-complete-answer.js';
 
 const defaultBodyLimitBytes = 1_048_576;
-const comeBackMilliseconds = 2000;
+const retryDelayMilliseconds = 2000;
 const callTimeoutMilliseconds = 30_000;
 const attemptLimit = 3;
-const longestKeyCharacters = 255;
+const maxKeyCharacters = 255;
 const idempotentMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
 const pathPattern = /^\/services\/(?<service>[^\/?]+)(?<rest>\/.*)?$/v;
-const passedOnHeaders = ['content-type', 'accept'] as const;
+const forwardedHeaders = ['content-type', 'accept'] as const;
 
 type PlainServiceItem = ServiceItem & {kind: 'plain'};
 type PlainRequest = {
@@ -37,17 +37,17 @@
 
 export class PlainRoute {
 	readonly #context: EntryContext;
-	readonly #neverTwice: NeverTwiceRunner;
+	readonly #atMostOnceRunner: AtMostOnceRunner;
 
-	constructor(context: EntryContext, neverTwice: NeverTwiceRunner) {
+	constructor(context: EntryContext, atMostOnceRunner: AtMostOnceRunner) {
 		this.#context = context;
-		this.#neverTwice = neverTwice;
+		this.#atMostOnceRunner = atMostOnceRunner;
 	}
 
 	async call(workspace: WorkspaceItem, {request, response}: NodeExchange): Promise<void> {
 		const parts = pathPattern.exec(request.url ?? '')?.groups;
 		const {version, services, limits} = this.#context.configuration.state;
-		const refusal = this.#refuse(workspace.name, parts?.service ?? '');
+		const refusal = this.#validate(workspace.name, parts?.service ?? '');
 		if (refusal !== undefined) {
 			sendRefusal(response, refusal);
 			return;
@@ -76,7 +76,7 @@
 			requestId, workspace: workspace.name, service: service.name, priority: workspace.priority, arrivedAt: clock.now(),
 		});
 		requests.admit(requestId);
-		answer(response, await this.#run(plainRequest, {version, hangUp: hangUpOf(response)}));
+		answer(response, await this.#run(plainRequest, {version, hangUp: disconnectSignalOf(response)}));
 		requests.end(requestId);
 	}
 
@@ -87,11 +87,11 @@
 			return sent.mapLeft(refusalOf);
 		}
 
-		return this.#neverTwice.run({
+		return this.#atMostOnceRunner.run({
 			claimKey: claimKeyOf(workspace.name, service.name, idempotencyKey),
 			bodyDigest: digestOf(`${call.method} ${call.path}\n${call.body.toString('base64')}`),
 			configurationVersion: version,
-			refuseByConfiguration: () => this.#refuse(workspace.name, service.name),
+			refuseByConfiguration: () => this.#validate(workspace.name, service.name),
 			// A claimed call continues when its caller disconnects: its answer is recorded for a duplicate request.
 			send: async () => this.#send(request),
 			askAt: `/v1/calls/${encodeURIComponent(service.name)}/${encodeURIComponent(idempotencyKey)}`,
@@ -99,7 +99,7 @@
 	}
 
 	/** Validates a call against the configuration now in force; returns the refusal if it is not allowed. */
-	#refuse(workspaceName: string, serviceName: string): Refusal | undefined {
+	#validate(workspaceName: string, serviceName: string): Refusal | undefined {
 		const {workspaces, services} = this.#context.configuration.state;
 		const service = services.get(serviceName);
 		if (service?.kind !== 'plain' || !workspaces.get(workspaceName)?.services.includes(serviceName)) {
@@ -117,17 +117,17 @@
 	 * Sends the call to one endpoint after another until one answers. After a failure with unknown outcome, only idempotent
 	 * calls are sent to the next endpoint, because it could run any other call a second time.
 	 */
-	async #send({service, call}: PlainRequest, hangUp?: AbortSignal): Promise<Either<PlainFailure, PlainAnswer>> {
+	async #send({service, call}: PlainRequest, callerSignal?: AbortSignal): Promise<Either<PlainFailure, PlainAnswer>> {
 		const {endpoints, settings, plain, clock} = this.#context;
 		const timeout = AbortSignal.timeout(callTimeoutMilliseconds);
-		const signal = hangUp === undefined ? timeout : AbortSignal.any([timeout, hangUp]);
-		const mayRepeat = idempotentMethods.has(call.method) && !isNeverTwice(service, call);
+		const signal = callerSignal === undefined ? timeout : AbortSignal.any([timeout, callerSignal]);
+		const mayRetry = idempotentMethods.has(call.method) && !isAtMostOnce(service, call);
 		let mayHaveRun = false;
 		let sent: Either<PlainFailure, PlainAnswer> = Left({kind: 'not-sent', detail: 'no endpoint is live'});
 		for (const {address} of endpoints.plainEndpointsOf(service.name, settings.dataCentre, clock.now()).slice(0, attemptLimit)) {
 			sent = await plain.call(address, call, signal);
 			const failure = sent.isLeft() ? sent.extract() : undefined;
-			if (failure === undefined || (failure.kind === 'outcome-unknown' && !mayRepeat)) {
+			if (failure === undefined || (failure.kind === 'outcome-unknown' && !mayRetry)) {
 				return sent;
 			}
 
@@ -146,22 +146,22 @@
 		return Right(undefined);
 	}
 
-	const isUsable = typeof key === 'string' && key !== '' && key.length <= longestKeyCharacters;
-	return isUsable ? Right(key) : Left({reason: 'bad-request', ran: 'not-run', message: `an idempotency key has 1 to ${longestKeyCharacters} characters`});
+	const isUsable = typeof key === 'string' && key !== '' && key.length <= maxKeyCharacters;
+	return isUsable ? Right(key) : Left({reason: 'bad-request', ran: 'not-run', message: `an idempotency key has 1 to ${maxKeyCharacters} characters`});
 }
 
 /** Returns a signal that aborts if the caller disconnects before the answer was written. */
-function hangUpOf(response: ServerResponse): AbortSignal {
-	const hangUp = new AbortController();
+function disconnectSignalOf(response: ServerResponse): AbortSignal {
+	const disconnected = new AbortController();
 	response.once('close', () => {
 		if (!response.writableFinished) {
-			hangUp.abort();
+			disconnected.abort();
 		}
 	});
-	return hangUp.signal;
+	return disconnected.signal;
 }
 
-function isNeverTwice(service: PlainServiceItem, call: PlainCall): boolean {
+function isAtMostOnce(service: PlainServiceItem, call: PlainCall): boolean {
 	return service.neverTwice.some(rule => rule.method === call.method && call.path.startsWith(rule.path));
 }
 
@@ -170,13 +170,13 @@
  * partitioned instance may not have received the change that declares the call, and would send a duplicate request again.
  */
 function needsClaim(service: PlainServiceItem, call: PlainCall): boolean {
-	return isNeverTwice(service, call) || !idempotentMethods.has(call.method);
+	return isAtMostOnce(service, call) || !idempotentMethods.has(call.method);
 }
 
 function callOf(request: IncomingMessage, path: string, body: Buffer): PlainCall {
-	const headers = passedOnHeaders
+	const headers = forwardedHeaders
 		.map(name => [name, request.headers[name]] as const)
-		.filter((entry): entry is [typeof passedOnHeaders[number], string] => typeof entry[1] === 'string');
+		.filter((entry): entry is [typeof forwardedHeaders[number], string] => typeof entry[1] === 'string');
 	return {
 		method: request.method ?? 'GET', path, headers: Object.fromEntries(headers), body, requestId: randomUUID(),
 	};
@@ -185,10 +185,10 @@
 function refusalOf(failure: PlainFailure): Refusal {
 	return failure.kind === 'not-sent'
 		? {
-			reason: 'no-endpoint', ran: 'not-run', message: failure.detail, retryAfterMilliseconds: comeBackMilliseconds,
+			reason: 'no-endpoint', ran: 'not-run', message: failure.detail, retryAfterMilliseconds: retryDelayMilliseconds,
 		}
 		: {
-			reason: 'outcome-unknown', ran: 'unknown', message: failure.detail, retryAfterMilliseconds: comeBackMilliseconds,
+			reason: 'outcome-unknown', ran: 'unknown', message: failure.detail, retryAfterMilliseconds: retryDelayMilliseconds,
 		};
 }
 
@@ -198,7 +198,7 @@
 			sendRefusal(response, refusal);
 		},
 		Right(plain) {
-			sendWhole(response, plain);
+			sendCompleteAnswer(response, plain);
 		},
 	});
 }
--- a/src/entry/callers/request-rule.ts
+++ b/src/entry/callers/request-rule.ts
@@ -10,7 +10,7 @@
 };
 
 /** The workspace and service of a request, with the raw values of `X-Priority` and `X-Deadline-Milliseconds`. */
-export type RuleCaller = {
+export type RuleInput = {
 	workspace: WorkspaceItem;
 	service: string;
 	priority: string | undefined;
@@ -31,20 +31,20 @@
  * the workspace's priority.
  *
  * @param configuration - The configuration in force.
- * @param caller - The workspace and service of the request, and its headers.
+ * @param input - The workspace and service of the request, and its headers.
  * @returns The rule for this request.
  */
-export function requestRule(configuration: ConfigurationState, caller: RuleCaller): RequestRule {
-	const declared = [...configuration.rules.values()]
+export function requestRule(configuration: ConfigurationState, input: RuleInput): RequestRule {
+	const matchingRule = [...configuration.rules.values()]
 		.toSorted((left, right) => left.name < right.name ? -1 : 1)
-		.find(rule => matches(rule, caller.workspace.name, caller.service));
-	const asked = priorities.has(caller.priority ?? '') ? caller.priority as PriorityClass : undefined;
-	const priority = asked ?? declared?.priority ?? caller.workspace.priority;
-	const askedDeadline = Number(caller.deadlineMilliseconds);
-	const deadlineMilliseconds = askedDeadline > 0
-		? askedDeadline
-		: declared?.deadlineMilliseconds ?? defaultDeadlineMilliseconds[priority];
-	return {priority, deadlineMilliseconds, dataCentres: declared?.dataCentres ?? []};
+		.find(rule => matches(rule, input.workspace.name, input.service));
+	const requestedPriority = priorities.has(input.priority ?? '') ? input.priority as PriorityClass : undefined;
+	const priority = requestedPriority ?? matchingRule?.priority ?? input.workspace.priority;
+	const requestedDeadline = Number(input.deadlineMilliseconds);
+	const deadlineMilliseconds = requestedDeadline > 0
+		? requestedDeadline
+		: matchingRule?.deadlineMilliseconds ?? defaultDeadlineMilliseconds[priority];
+	return {priority, deadlineMilliseconds, dataCentres: matchingRule?.dataCentres ?? []};
 }
 
 function matches(rule: RuleItem, workspace: string, service: string): boolean {
--- a/src/entry/callers/send-whole.ts
+++ b/src/entry/callers/send-complete-answer.ts
@@ -4,7 +4,7 @@
 const statusesWithoutBody: ReadonlySet<number> = new Set([204, 304]);
 
 /** An answer whose whole body is known. */
-export type WholeAnswer = {
+export type CompleteAnswer = {
 	status: number;
 	headers: Record<string, string>;
 	body: Buffer;
@@ -17,7 +17,7 @@
  * @param response - Where to write; its head must not have been sent.
  * @param answer - The answer.
  */
-export function sendWhole(response: ServerResponse, {status, headers, body}: WholeAnswer): void {
+export function sendCompleteAnswer(response: ServerResponse, {status, headers, body}: CompleteAnswer): void {
 	// An answer to HEAD would need the length of the answer to GET; answers with status 204 or 304 have no length.
 	const hasBody = response.req.method !== 'HEAD' && !statusesWithoutBody.has(status);
 	response.writeHead(status, hasBody ? {...headers, 'content-length': body.length} : headers);
@@ -31,5 +31,5 @@
  * @param value - Any value that can be encoded as JSON.
  */
 export function sendJson(response: ServerResponse, value: unknown): void {
-	sendWhole(response, {status: 200, headers: {'content-type': 'application/json'}, body: Buffer.from(JSON.stringify(value))});
+	sendCompleteAnswer(response, {status: 200, headers: {'content-type': 'application/json'}, body: Buffer.from(JSON.stringify(value))});
 }
--- a/src/entry/callers/stream-watch.ts
+++ b/src/entry/callers/stream-watchdog.ts
@@ -7,97 +7,97 @@
 import {type LoadReport} from '../../ports/model-engine.js';
 
 /** The side of a stream that is waited for, or that became unresponsive. */
-export type StreamSilence = 'engine' | 'caller';
+export type StreamSide = 'engine' | 'caller';
 
-const checkMilliseconds = 500;
+const checkIntervalMilliseconds = 500;
 
 /** Timeout between two tokens. Far above the target of 28 ms, so that a long prefill in the same batch does not exceed it. */
-export const tokenSilenceMilliseconds = 10_000;
+export const tokenTimeoutMilliseconds = 10_000;
 
 /** Timeout while the endpoint's load reports are missing as well: the whole endpoint hangs then, not just one batch. */
-export const unheardSilenceMilliseconds = 3000;
+export const unresponsiveEndpointTimeoutMilliseconds = 3000;
 
 /** Timeout before the first token, in addition to an allowance for the prefill that is pending by the endpoint's report. */
-export const firstTokenSilenceMilliseconds = 30_000;
+export const firstTokenTimeoutMilliseconds = 30_000;
 
 /** Timeout of a caller that does not read: it has disconnected, or is too slow to keep up. */
-export const callerSilenceMilliseconds = 60_000;
+export const callerTimeoutMilliseconds = 60_000;
 
-const prefillAllowance = 4;
+const prefillAllowanceFactor = 4;
 
-export class StreamWatch {
+export class StreamWatchdog {
 	/** The side that became unresponsive, if any. */
-	silent?: StreamSilence;
+	unresponsiveSide?: StreamSide;
 	readonly #clock: Clock;
-	readonly #limit: () => number;
+	readonly #engineTimeout: () => number;
 	#since: number;
-	#waitsFor: StreamSilence = 'engine';
+	#waitsFor: StreamSide = 'engine';
 
 	/**
 	 * @param clock - The source of the current time.
-	 * @param engineLimit - Returns the current timeout for the engine, in milliseconds.
+	 * @param engineTimeout - Returns the current timeout for the engine, in milliseconds.
 	 */
-	constructor(clock: Clock, engineLimit: () => number) {
+	constructor(clock: Clock, engineTimeout: () => number) {
 		this.#clock = clock;
-		this.#limit = engineLimit;
+		this.#engineTimeout = engineTimeout;
 		this.#since = clock.now();
 	}
 
 	/** Notes progress: the stream waits for this side from now on, and the timeout starts again. */
-	waitFor(side: StreamSilence): void {
+	waitFor(side: StreamSide): void {
 		this.#waitsFor = side;
 		this.#since = this.#clock.now();
 	}
 
 	/** Returns the side that has exceeded its timeout, once for each stream; otherwise `undefined`. */
-	look(now: number): StreamSilence | undefined {
-		const limit = this.#waitsFor === 'caller' ? callerSilenceMilliseconds : this.#limit();
-		if (this.silent !== undefined || now - this.#since < limit) {
+	check(now: number): StreamSide | undefined {
+		const limit = this.#waitsFor === 'caller' ? callerTimeoutMilliseconds : this.#engineTimeout();
+		if (this.unresponsiveSide !== undefined || now - this.#since < limit) {
 			return undefined;
 		}
 
-		this.silent = this.#waitsFor;
-		return this.silent;
+		this.unresponsiveSide = this.#waitsFor;
+		return this.unresponsiveSide;
 	}
 }
 
 /** Checks all streams of an instance in one loop. A timer for each stream cost more than relaying a short answer. */
-export class StreamWatches {
+export class StreamWatchdogs {
 	readonly #clock: Clock;
-	readonly #watched = new Map<StreamWatch, (silent: StreamSilence) => void>();
+	readonly #watched = new Map<StreamWatchdog, (silent: StreamSide) => void>();
 	readonly #neverAborted = new AbortController().signal;
-	#isLooking = false;
+	#isChecking = false;
 
 	constructor(clock: Clock) {
 		this.#clock = clock;
 	}
 
 	/** Watches a stream until `remove`; the callback is called at most once, with the unresponsive side. */
-	add(watch: StreamWatch, onSilent: (silent: StreamSilence) => void): void {
-		this.#watched.set(watch, onSilent);
-		if (!this.#isLooking) {
-			this.#isLooking = true;
-			void this.#look();
+	add(watchdog: StreamWatchdog, onUnresponsive: (silent: StreamSide) => void): void {
+		this.#watched.set(watchdog, onUnresponsive);
+		if (!this.#isChecking) {
+			this.#isChecking = true;
+			void this.#checkAll();
 		}
 	}
 
-	remove(watch: StreamWatch): void {
-		this.#watched.delete(watch);
+	remove(watchdog: StreamWatchdog): void {
+		this.#watched.delete(watchdog);
 	}
 
-	async #look(): Promise<void> {
+	async #checkAll(): Promise<void> {
 		while (this.#watched.size > 0) {
-			await this.#clock.sleep(checkMilliseconds, this.#neverAborted);
+			await this.#clock.sleep(checkIntervalMilliseconds, this.#neverAborted);
 			const now = this.#clock.now();
-			for (const [watch, onSilent] of this.#watched) {
-				const silent = watch.look(now);
-				if (silent !== undefined) {
-					onSilent(silent);
+			for (const [watchdog, onUnresponsive] of this.#watched) {
+				const side = watchdog.check(now);
+				if (side !== undefined) {
+					onUnresponsive(side);
 				}
 			}
 		}
 
-		this.#isLooking = false;
+		this.#isChecking = false;
 	}
 }
 
@@ -108,11 +108,11 @@
  * @param promptTokens - Tokens of this prompt.
  * @returns Milliseconds: a base, plus several times the estimated duration of the pending prefill.
  */
-export function firstTokenLimit(load: LoadReport | undefined, promptTokens: number): number {
+export function firstTokenTimeout(load: LoadReport | undefined, promptTokens: number): number {
 	if (load === undefined) {
-		return firstTokenSilenceMilliseconds;
+		return firstTokenTimeoutMilliseconds;
 	}
 
 	const prefillSeconds = (load.waitingPrefillTokens + promptTokens) / Math.max(1, load.prefillTokensPerSecond);
-	return firstTokenSilenceMilliseconds + (prefillAllowance * 1000 * prefillSeconds);
+	return firstTokenTimeoutMilliseconds + (prefillAllowanceFactor * 1000 * prefillSeconds);
 }
--- a/src/entry/capacity-feed.ts
+++ b/src/entry/capacity-updater.ts
@@ -6,7 +6,7 @@
 
 const hashRange = 2 ** 32;
 
-export class CapacityFeed {
+export class CapacityUpdater {
 	readonly #context: EntryContext;
 	readonly #gate: AdmissionGate;
 	readonly #windows = new Map<string, AdmissionWindow>();
@@ -17,13 +17,13 @@
 	}
 
 	/** Sets each service's capacity from the newest load reports of its endpoints. Called once for each round of reports. */
-	takeReports(): void {
+	applyReports(): void {
 		const {clock, endpoints, settings} = this.#context;
 		const now = clock.now();
 		const views = endpoints.engines();
 		for (const service of new Set(views.map(view => view.service))) {
 			const capacity = this.#windowOf(service).applyReports(views, {
-				inFlight: this.#gate.underWay(service),
+				inFlight: this.#gate.deferrableInFlight(service),
 				instances: endpoints.entryCount,
 				linkSlowness: 1,
 				dither: hashOf(`${settings.instance}|${service}|${now}`) / hashRange,
--- a/src/entry/endpoint-directory.test.ts
+++ b/src/entry/endpoint-directory.test.ts
@@ -18,19 +18,19 @@
 	// The platform is about to stop an endpoint that does not know it yet. Guards against reports that make the endpoint live
 	// again until the next read of the list, so that requests are sent to it in between.
 	const directory = new EndpointDirectory();
-	directory.takeList([listedAs('model-engine', 'leaving')]);
-	directory.takeReport('model-engine-1', reportOf('live'), 100);
+	directory.applyList([listedAs('model-engine', 'leaving')]);
+	directory.applyReport('model-engine-1', reportOf('live'), 100);
 	assert.equal(directory.engines()[0]?.state, 'leaving');
 });
 
 test('a plain endpoint that reports leaving, or stops reporting, gets no call although it is live by the list', () => {
 	const directory = new EndpointDirectory();
 	const list = [listedAs('plain-service', 'live')];
-	directory.takeList(list);
-	directory.takeReport('plain-service-1', reportOf('live'), 1000);
+	directory.applyList(list);
+	directory.applyReport('plain-service-1', reportOf('live'), 1000);
 	assert.equal(directory.plainEndpointsOf('plain-service', 'riva', 4000).length, 1);
 	assert.equal(directory.plainEndpointsOf('plain-service', 'riva', 4001).length, 0);
-	directory.takeReport('plain-service-1', reportOf('leaving'), 5000);
-	directory.takeList(list);
+	directory.applyReport('plain-service-1', reportOf('leaving'), 5000);
+	directory.applyList(list);
 	assert.equal(directory.plainEndpointsOf('plain-service', 'riva', 5000).length, 0);
 });
--- a/src/entry/endpoint-directory.ts
+++ b/src/entry/endpoint-directory.ts
@@ -45,17 +45,17 @@
 
 	/** Returns all model endpoints. */
 	engines(): readonly EndpointView[] {
-		this.#view ??= [...this.#engines.values()].map(endpoint => this.#judge(endpoint));
+		this.#view ??= [...this.#engines.values()].map(endpoint => this.#withLeavingState(endpoint));
 		return this.#view;
 	}
 
 	/** Returns all endpoints of plain services. */
 	plainEndpoints(): readonly PlainEndpoint[] {
-		return [...this.#plain.values()].map(endpoint => this.#judge(endpoint));
+		return [...this.#plain.values()].map(endpoint => this.#withLeavingState(endpoint));
 	}
 
 	/** Sets the names of the endpoints that operators have drained. */
-	takeDrained(names: ReadonlySet<string>): void {
+	setDrained(names: ReadonlySet<string>): void {
 		this.#drained = names;
 		this.#view = undefined;
 	}
@@ -76,7 +76,7 @@
 	 * Applies the platform's instance list. The list lags, so it never makes an endpoint live that reports itself as leaving.
 	 * A live state on the list holds only until the endpoint's first report.
 	 */
-	takeList(instances: readonly ListedInstance[]): void {
+	applyList(instances: readonly ListedInstance[]): void {
 		this.#listSeen = true;
 		this.#listedLeaving = new Set(instances.filter(({state}) => state === 'leaving').map(({name}) => name));
 		this.#entryCount = Math.max(1, instances.filter(({role, state}) => role === 'entry' && state === 'live').length);
@@ -94,7 +94,7 @@
 	 * @param load - Its report, received from the endpoint or from a peer.
 	 * @param now - When the report was read from the endpoint, in milliseconds since the epoch.
 	 */
-	takeReport(name: string, load: LoadReport, now: number): void {
+	applyReport(name: string, load: LoadReport, now: number): void {
 		const plain = this.#plain.get(name);
 		if (plain !== undefined && now >= plain.heardAt) {
 			this.#plain = new Map(this.#plain).set(name, {...plain, state: load.state, heardAt: now});
@@ -111,7 +111,7 @@
 	}
 
 	/** Applies a weight version that an engine reported in its answer to a request. */
-	takeVersion(name: string, weightVersion: string): void {
+	applyVersion(name: string, weightVersion: string): void {
 		const known = this.#engines.get(name);
 		if (known !== undefined) {
 			this.#replace({...known, weightVersion});
@@ -119,7 +119,7 @@
 	}
 
 	/** An endpoint that operators drained, or that is leaving by the list, counts as leaving whatever state it reports. */
-	#judge<Endpoint extends PlainEndpoint>(endpoint: Endpoint): Endpoint {
+	#withLeavingState<Endpoint extends PlainEndpoint>(endpoint: Endpoint): Endpoint {
 		const isLeaving = this.#drained.has(endpoint.name) || this.#listedLeaving.has(endpoint.name);
 		return isLeaving ? {...endpoint, state: 'leaving'} : endpoint;
 	}
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -19,21 +19,21 @@
 import {Supervisor} from '../supervisor/supervisor.js';
 import {EventLoopLag} from '../serving/event-loop-lag.js';
 import {HttpListener} from '../serving/http-listener.js';
-import {CapacityFeed} from './capacity-feed.js';
+import {CapacityUpdater} from './capacity-updater.js';
 import {AdmissionGate} from './callers/admission-gate.js';
 import {CallerRoutes} from './callers/caller-routes.js';
 import {CompletionRunner} from './callers/completion-runner.js';
-import {FirstTokenRelay} from './callers/first-token-relay.js';
-import {NeverTwiceRunner} from './callers/never-twice-runner.js';
+import {FirstTokenNotifier} from './callers/first-token-notifier.js';
+import {AtMostOnceRunner} from './callers/at-most-once-runner.js';
 import {PlainRoute} from './callers/plain-route.js';
 import {ConfigurationHolder} from './configuration-holder.js';
 import {EndpointDirectory} from './endpoint-directory.js';
 import {type EntryContext} from './entry-context.js';
 import {type EntrySettings} from './entry-settings.js';
 import {createOperatorRoutes} from './operators/operator-routes.js';
-import {CacheEventReader, pieceTokens} from './kept/cache-event-reader.js';
-import {StoreKeptContext} from './kept/kept-context.js';
-import {PieceSaver} from './kept/piece-saver.js';
+import {CacheEventReader, blockTokens} from './cache/cache-event-reader.js';
+import {StoreCachedContext} from './cache/cached-context.js';
+import {BlockSaver} from './cache/block-saver.js';
 import {EntryPeers} from './peers/entry-peers.js';
 import {RequestRegistry} from './request-registry.js';
 import {CacheEventWatcher} from './watchers/cache-event-watcher.js';
@@ -41,7 +41,7 @@
 import {InstanceWatcher} from './watchers/instance-watcher.js';
 import {LoadWatcher} from './watchers/load-watcher.js';
 
-const intensity = {restarts: 10, periodMilliseconds: 60_000};
+const restartIntensity = {restarts: 10, periodMilliseconds: 60_000};
 
 /** The addresses at which a running entry listens. */
 export type EntryAddresses = {
@@ -51,23 +51,23 @@
 };
 
 /** A lag of the event loop from this length on is logged. */
-const loggedLagMilliseconds = 200;
+const minLoggedLagMilliseconds = 200;
 
 export class EntryDaemon {
 	readonly #context: EntryContext;
 	readonly #prefixes = new CachedPrefixes();
-	readonly #neverTwice: NeverTwiceRunner;
+	readonly #atMostOnceRunner: AtMostOnceRunner;
 	readonly #callers: HttpListener;
 	readonly #operators: HttpListener;
 	readonly #peers: EntryPeers;
 	readonly #root: Supervisor;
-	readonly #kept: StoreKeptContext;
-	readonly #saver: PieceSaver;
+	readonly #cachedContext: StoreCachedContext;
+	readonly #saver: BlockSaver;
 	readonly #reader: CacheEventReader;
 	readonly #stop = new AbortController();
 	readonly #timeline: TimelineSender;
 	readonly #eventLoopLag = new EventLoopLag(() => performance.now(), lagMilliseconds => {
-		if (lagMilliseconds >= loggedLagMilliseconds) {
+		if (lagMilliseconds >= minLoggedLagMilliseconds) {
 			this.#context.logger.warn('the event loop is late', {milliseconds: Math.round(lagMilliseconds)});
 		}
 	});
@@ -93,21 +93,21 @@
 			eventLoopLag: this.#eventLoopLag,
 			draining: false,
 		};
-		this.#neverTwice = new NeverTwiceRunner(this.#context);
+		this.#atMostOnceRunner = new AtMostOnceRunner(this.#context);
 		this.#peers = new EntryPeers(this.#context);
 		const gate = new AdmissionGate(new FairShareAdmission(), systemClock);
 		const stores = new HttpCacheStore();
 		const links = new Map<string, LinkEstimate>();
-		this.#saver = new PieceSaver(this.#context, stores, this.#prefixes);
+		this.#saver = new BlockSaver(this.#context, stores, this.#prefixes);
 		this.#reader = new CacheEventReader(this.#context, this.#prefixes);
-		this.#kept = new StoreKeptContext(this.#context, {
+		this.#cachedContext = new StoreCachedContext(this.#context, {
 			prefixes: this.#prefixes, stores, reader: this.#reader, saver: this.#saver, links,
 		});
-		const policy = new ExpectedFirstTokenPolicy(this.#prefixes, {dataCentre: settings.dataCentre, links, blockTokens: pieceTokens});
+		const policy = new ExpectedFirstTokenPolicy(this.#prefixes, {dataCentre: settings.dataCentre, links, blockTokens: blockTokens});
 		const routes = new CallerRoutes(this.#context, {
 			gate,
-			runner: new CompletionRunner(this.#context, new FirstTokenRelay(policy, gate), this.#kept),
-			plainRoute: new PlainRoute(this.#context, this.#neverTwice),
+			runner: new CompletionRunner(this.#context, new FirstTokenNotifier(policy, gate), this.#cachedContext),
+			plainRoute: new PlainRoute(this.#context, this.#atMostOnceRunner),
 		});
 		this.#callers = new HttpListener('caller-listener', routes.app, settings.listen);
 		this.#operators = new HttpListener('operator-listener', createOperatorRoutes(this.#context, this.#peers), settings.operatorListen);
@@ -133,7 +133,7 @@
 		logger.info('draining');
 		await this.#callers.drain();
 		await this.#operators.drain();
-		await this.#neverTwice.settle();
+		await this.#atMostOnceRunner.settle();
 		this.#peers.service.leave();
 		this.#stop.abort();
 		this.#eventLoopLag.stop();
@@ -152,7 +152,7 @@
 		};
 
 		const common = {
-			strategy: 'one-for-one' as const, intensity, now: () => clock.now(), report,
+			strategy: 'one-for-one' as const, intensity: restartIntensity, now: () => clock.now(), report,
 		};
 		const watchers = new Supervisor({
 			...common,
@@ -160,8 +160,8 @@
 			children: [
 				this.#peers.service,
 				new ConfigurationWatcher(this.#context, this.#peers),
-				new InstanceWatcher(this.#context, [this.#context.endpoints, this.#peers, this.#kept], this.#peers.random),
-				new LoadWatcher(this.#context, this.#peers, new CapacityFeed(this.#context, gate)),
+				new InstanceWatcher(this.#context, [this.#context.endpoints, this.#peers, this.#cachedContext], this.#peers.random),
+				new LoadWatcher(this.#context, this.#peers, new CapacityUpdater(this.#context, gate)),
 				this.#saver,
 				new CacheEventWatcher(this.#context, this.#reader, this.#peers.random),
 			],
@@ -177,7 +177,7 @@
 	#reportConfiguration(): void {
 		const {configuration, endpoints, clock, metrics} = this.#context;
 		configuration.onChange(state => {
-			endpoints.takeDrained(new Set(state.drains.keys()));
+			endpoints.setDrained(new Set(state.drains.keys()));
 			this.#timeline.record({kind: 'configuration-in-force', at: clock.now(), configurationVersion: state.version});
 			metrics.report('configuration.version', state.version);
 		});
--- a/src/entry/entry-settings.ts
+++ b/src/entry/entry-settings.ts
@@ -6,7 +6,7 @@
 	parseAddress, parseOptionalAddress, parseText, parseWholeNumberBetween,
 } from '../settings/setting-parsers.js';
 
-const leastSecretCharacters = 16;
+const minSecretCharacters = 16;
 
 function parseLogLevel(text: string): Either<string, LogLevel> {
 	const level = logLevels.find(known => known === text);
@@ -14,7 +14,7 @@
 }
 
 function parseSecret(text: string): Either<string, string> {
-	return text.length < leastSecretCharacters ? Left('is too short') : Right(text);
+	return text.length < minSecretCharacters ? Left('is too short') : Right(text);
 }
 
 function parsePeerSeeds(text: string): Either<string, string> {
--- a/src/entry/operators/answer-ask.ts
+++ b/src/entry/operators/answer-statement.ts
@@ -10,14 +10,14 @@
 import {type ActPlan, formatAct, planAct} from '../../language/plan-act.js';
 import {type ActStatement, type LanguageError, type ReadStatement} from '../../language/statement.js';
 import {type EntryContext} from '../entry-context.js';
-import {ActRunner} from './act-runner.js';
+import {CommandRunner} from './command-runner.js';
 import {catchUp} from './propose-change.js';
 import {type PeerView, readSource} from './read-source.js';
 
-const longestAuthorCharacters = 200;
-const askSchema = z.strictObject({
+const maxAuthorCharacters = 200;
+const requestSchema = z.strictObject({
 	statement: z.string(),
-	author: z.string().trim().min(1).max(longestAuthorCharacters).optional(),
+	author: z.string().trim().min(1).max(maxAuthorCharacters).optional(),
 	confirmedAgainst: z.number().int().nonnegative().optional(),
 });
 
@@ -29,22 +29,22 @@
  * @param body - The request body as received; it is validated here.
  * @returns The answer; `error` if the body or the statement is invalid.
  */
-export async function answerAsk(context: EntryContext, peers: PeerView, body: unknown): Promise<AskAnswer> {
-	const asked = askSchema.safeParse(body);
-	if (!asked.success) {
-		return errorOf(...asked.error.issues.map(issue => ({column: 1, message: `${issue.path.join('.')}: ${issue.message}`})));
+export async function answerStatement(context: EntryContext, peers: PeerView, body: unknown): Promise<AskAnswer> {
+	const request = requestSchema.safeParse(body);
+	if (!request.success) {
+		return errorOf(...request.error.issues.map(issue => ({column: 1, message: `${issue.path.join('.')}: ${issue.message}`})));
 	}
 
-	const statement = parseStatement(asked.data.statement);
+	const statement = parseStatement(request.data.statement);
 	if (statement.isLeft()) {
 		return errorOf(statement.extract());
 	}
 
 	const parsed = statement.unsafeCoerce();
-	return parsed.kind === 'read' ? read({context, peers}, parsed) : act(context, parsed, asked.data as AskRequest);
+	return parsed.kind === 'read' ? answerRead({context, peers}, parsed) : answerCommand(context, parsed, request.data as AskRequest);
 }
 
-async function read({context, peers}: {context: EntryContext; peers: PeerView}, statement: ReadStatement): Promise<AskAnswer> {
+async function answerRead({context, peers}: {context: EntryContext; peers: PeerView}, statement: ReadStatement): Promise<AskAnswer> {
 	const checked = checkRead(statement);
 	if (checked.isLeft()) {
 		return errorOf(checked.extract());
@@ -56,7 +56,7 @@
 	};
 }
 
-async function act(context: EntryContext, statement: ActStatement, {author, confirmedAgainst}: AskRequest): Promise<AskAnswer> {
+async function answerCommand(context: EntryContext, statement: ActStatement, {author, confirmedAgainst}: AskRequest): Promise<AskAnswer> {
 	await catchUp(context);
 	const {state} = context.configuration;
 	const endpoints = [...context.endpoints.engines(), ...context.endpoints.plainEndpoints()].map(({name}) => name);
@@ -79,8 +79,8 @@
 	// The command that runs must be the one that was shown. If another operator has changed the configuration in between, the
 	// command is refused, like any proposal against an old version.
 	const shown: ActPlan = plan.kind === 'change' ? {...plan, plannedAgainst: confirmedAgainst} : plan;
-	return new ActRunner(context).run({
-		author, act: formatAct(statement), reason: statement.reason, plan: shown,
+	return new CommandRunner(context).run({
+		author, command: formatAct(statement), reason: statement.reason, plan: shown,
 	});
 }
 
--- a/src/entry/operators/act-record.ts
+++ b/src/entry/operators/command-record.ts
@@ -3,13 +3,13 @@
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {type TableFailure, type TableService} from '../../ports/table-service.js';
 
-export const actTable = 'acts';
+export const commandTable = 'acts';
 
 const keyDigits = 16;
 const newestFirstFrom = 10 ** (keyDigits - 1);
 
 /** The record of one command. Its outcome is `asked` while the command runs, and stays so if the instance fails meanwhile. */
-export type ActRecord = {
+export type CommandRecord = {
 	at: number;
 	author: string;
 	act: string;
@@ -24,7 +24,7 @@
  * @param at - The time of the command, in milliseconds since the epoch.
  * @returns A unique key.
  */
-export function actKeyOf(at: number): string {
+export function commandKeyOf(at: number): string {
 	return `${String(newestFirstFrom - at).padStart(keyDigits, '0')}/${randomUUID()}`;
 }
 
@@ -38,8 +38,8 @@
  * @param record - The record.
  * @returns Nothing, or why the record is not known to be written.
  */
-export async function writeActRecord(table: TableService, key: string, record: ActRecord): Promise<Either<TableFailure, void>> {
-	const name = {table: actTable, key};
+export async function writeCommandRecord(table: TableService, key: string, record: CommandRecord): Promise<Either<TableFailure, void>> {
+	const name = {table: commandTable, key};
 	const written = await table.commit({conditions: [{...name, revision: 0}], writes: [{...name, value: record}]});
 	const failure = written.swap().toMaybe().extract();
 	if (failure === undefined || failure.kind === 'unavailable') {
@@ -57,7 +57,7 @@
  * @param key - The key of the record.
  * @param record - The record with its outcome.
  */
-export async function closeActRecord(table: TableService, key: string, record: ActRecord): Promise<void> {
-	const name = {table: actTable, key};
+export async function completeCommandRecord(table: TableService, key: string, record: CommandRecord): Promise<void> {
+	const name = {table: commandTable, key};
 	await table.commit({conditions: [{...name, revision: 1}], writes: [{...name, value: record}]});
 }
--- a/src/entry/operators/act-runner.ts
+++ b/src/entry/operators/command-runner.ts
@@ -7,46 +7,46 @@
 import {type ActPlan} from '../../language/plan-act.js';
 import {type EntryContext} from '../entry-context.js';
 import {
-	actKeyOf, type ActRecord, closeActRecord, writeActRecord,
-} from './act-record.js';
+	commandKeyOf, type CommandRecord, completeCommandRecord, writeCommandRecord,
+} from './command-record.js';
 import {proposeChange} from './propose-change.js';
 
 /** A command whose plan was shown to the operator and confirmed. */
-export type ConfirmedAct = {
+export type ConfirmedCommand = {
 	author: string;
-	act: string;
+	command: string;
 	reason: string;
 	plan: ActPlan;
 };
 
 type Outcome = {kind: 'done' | 'not-done' | 'unknown'; lines: string[]};
 
-export class ActRunner {
+export class CommandRunner {
 	readonly #context: EntryContext;
 
 	constructor(context: EntryContext) {
 		this.#context = context;
 	}
 
-	async run(confirmed: ConfirmedAct): Promise<AskAnswer> {
+	async run(confirmed: ConfirmedCommand): Promise<AskAnswer> {
 		const {table, clock, identity, timeline} = this.#context;
-		const {plan, author, act, reason} = confirmed;
+		const {plan, author, command: act, reason} = confirmed;
 		if (plan.kind === 'cancel' && !this.#isHere(plan.requestId)) {
 			return {kind: 'not-done', instance: identity.instance, lines: [`${identity.instance} serves no request ${plan.requestId}`]};
 		}
 
 		const at = clock.now();
-		const key = actKeyOf(at);
-		const record: ActRecord = {
+		const key = commandKeyOf(at);
+		const record: CommandRecord = {
 			at, author, act, reason, instance: identity.instance, outcome: 'asked',
 		};
-		const recorded = await writeActRecord(table, key, record);
+		const recorded = await writeCommandRecord(table, key, record);
 		if (recorded.isLeft()) {
 			return {kind: 'not-done', instance: identity.instance, lines: [`the act could not be recorded (${recorded.extract().kind}), so nothing was done`]};
 		}
 
 		const outcome = plan.kind === 'cancel' ? this.#cancel(plan.requestId) : await this.#change(confirmed, plan);
-		await closeActRecord(table, key, {...record, outcome: `${outcome.kind}: ${outcome.lines[0]!}`});
+		await completeCommandRecord(table, key, {...record, outcome: `${outcome.kind}: ${outcome.lines[0]!}`});
 		timeline.record({kind: 'operator-act', at: clock.now(), detail: `${author}: ${act} (${outcome.kind})`});
 		return {...outcome, instance: identity.instance};
 	}
@@ -66,7 +66,7 @@
 		return {kind: outcome === 'cancelled' ? 'done' : 'not-done', lines: [line]};
 	}
 
-	async #change({author, act, reason}: ConfirmedAct, plan: ActPlan & {kind: 'change'}): Promise<Outcome> {
+	async #change({author, command: act, reason}: ConfirmedCommand, plan: ActPlan & {kind: 'change'}): Promise<Outcome> {
 		const {plannedAgainst, edits} = plan;
 		const before = this.#context.configuration.state;
 		const accepted = await proposeChange(this.#context, {
--- a/src/entry/operators/racing-applies.test.ts
+++ b/src/entry/operators/concurrent-proposals.test.ts
@@ -7,7 +7,7 @@
 
 after(async () => connectionPool.close());
 
-const applies = 100;
+const proposals = 100;
 const rounds = 10;
 
 type Attempt = {author: string; reason: string; plannedAgainst: number; answer: ProposalAnswer};
@@ -33,12 +33,12 @@
 
 	const attempts: Attempt[] = [];
 	for (let round = 0; round < rounds; round++) {
-		const indexes = Array.from({length: applies / rounds}, (_, index) => (round * applies / rounds) + index);
+		const indexes = Array.from({length: proposals / rounds}, (_, index) => (round * proposals / rounds) + index);
 		attempts.push(...await Promise.all(indexes.map(async index => attempt(index))));
 	}
 
 	const history = await clients[0]!.changes();
-	assert.equal(attempts.length, applies);
+	assert.equal(attempts.length, proposals);
 	assert.deepEqual(history.map(({version}) => version), history.map((_, index) => index + 1));
 	for (const {author, reason, plannedAgainst, answer} of attempts) {
 		if (answer.kind === 'accepted') {
@@ -47,7 +47,7 @@
 			assert.equal(answer.change.author, author);
 		} else {
 			assert.equal(answer.kind, 'overtaken');
-			assertTold(answer, plannedAgainst, history);
+			assertOvertaken(answer, plannedAgainst, history);
 		}
 	}
 
@@ -62,15 +62,15 @@
 	}
 
 	const {rules} = await clients[1]!.configuration();
-	assert.equal(rules.size, applies);
-	t.diagnostic(`${accepted} accepted, ${applies - accepted} overtaken`);
+	assert.equal(rules.size, proposals);
+	t.diagnostic(`${accepted} accepted, ${proposals - accepted} overtaken`);
 });
 
 function ruleEdit(index: number): ConfigurationEdit {
 	return {action: 'set', kind: 'rule', item: {name: `rule-${index}`, deadlineMilliseconds: 1000 + index}};
 }
 
-function assertTold(answer: ProposalAnswer & {kind: 'overtaken'}, plannedAgainst: number, history: readonly ConfigurationChange[]): void {
+function assertOvertaken(answer: ProposalAnswer & {kind: 'overtaken'}, plannedAgainst: number, history: readonly ConfigurationChange[]): void {
 	assert.ok(answer.since.length > 0, 'an overtaken proposal is answered with the changes since its plan');
 	assert.deepEqual(answer.since, history.slice(plannedAgainst, plannedAgainst + answer.since.length));
 }
--- a/src/entry/operators/operator-routes.ts
+++ b/src/entry/operators/operator-routes.ts
@@ -6,7 +6,7 @@
 import {readChangesAfter, readHead} from '../../protocol/configuration/configuration-table.js';
 import {type EntryContext} from '../entry-context.js';
 import {type EntryPeers} from '../peers/entry-peers.js';
-import {answerAsk} from './answer-ask.js';
+import {answerStatement} from './answer-statement.js';
 import {operatorKeyCheck} from './operator-key-check.js';
 import {catchUp, proposeChange} from './propose-change.js';
 
@@ -32,7 +32,7 @@
 	});
 	addConfigurationRoutes(app, context);
 	app.post('/operator/ask', async event => {
-		const answer = await answerAsk(context, peers, await readJsonBody(event));
+		const answer = await answerStatement(context, peers, await readJsonBody(event));
 		event.res.status = answer.kind === 'error' ? 400 : 200;
 		return answer;
 	});
--- a/src/entry/operators/read-source.ts
+++ b/src/entry/operators/read-source.ts
@@ -5,12 +5,12 @@
 import {type ClaimRow, claimTable} from '../../protocol/claim/claim-row.js';
 import {type EntryContext} from '../entry-context.js';
 import {type EntryPeers} from '../peers/entry-peers.js';
-import {type ActRecord, actTable} from './act-record.js';
+import {type CommandRecord, commandTable} from './command-record.js';
 
 /** This instance's view of its peers. */
 export type PeerView = Pick<EntryPeers, 'overview'>;
 
-const mostTableRows = 1000;
+const maxTableRows = 1000;
 const shownDigestCharacters = 12;
 
 /**
@@ -28,7 +28,7 @@
 		}
 
 		case 'acts': {
-			return readTable(context, actTable, row => actRow(row.value as unknown as ActRecord));
+			return readTable(context, commandTable, row => commandRow(row.value as unknown as CommandRecord));
 		}
 
 		case 'instances': {
@@ -172,13 +172,13 @@
 
 async function readTable({table}: EntryContext, name: string, rowOf: (row: TableRow) => Row): Promise<SourceSnapshot> {
 	const found = await table.scan({
-		table: name, prefix: '', after: '', limit: mostTableRows,
+		table: name, prefix: '', after: '', limit: maxTableRows,
 	});
 	return found.caseOf<SourceSnapshot>({
 		Left: ({kind}) => ({rows: [], notes: [`the platform's table service cannot be read (${kind})`]}),
 		Right: rows => ({
 			rows: rows.map(row => rowOf(row)),
-			notes: rows.length < mostTableRows ? [] : [`only the first ${mostTableRows} rows were read`],
+			notes: rows.length < maxTableRows ? [] : [`only the first ${maxTableRows} rows were read`],
 		}),
 	});
 }
@@ -192,7 +192,7 @@
 	};
 }
 
-function actRow({at, author, act, reason, outcome, instance}: ActRecord): Row {
+function commandRow({at, author, act, reason, outcome, instance}: CommandRecord): Row {
 	return {
 		at: new Date(at).toISOString(), author, act, reason, outcome, instance,
 	};
--- a/src/entry/peers/entry-peers.ts
+++ b/src/entry/peers/entry-peers.ts
@@ -29,7 +29,7 @@
 	readonly random: () => number;
 	readonly #context: EntryContext;
 	/** True while a peer's change is applied. The peer node itself forwards such a change, since it knows which peers have it. */
-	#isTakingFromPeer = false;
+	#isApplyingPeerChange = false;
 
 	constructor(context: EntryContext) {
 		this.#context = context;
@@ -53,7 +53,7 @@
 			listener: {
 				loadsReceived(loads) {
 					for (const {name, summary, measuredAt} of loads) {
-						context.endpoints.takeReport(name, reportOf(summary, measuredAt), measuredAt);
+						context.endpoints.applyReport(name, reportOf(summary, measuredAt), measuredAt);
 					}
 				},
 				snapshotOffered: snapshot => this.#offerSnapshot(snapshot),
@@ -76,7 +76,7 @@
 		});
 		context.endpoints.expectOnly(name => this.service.node.loadGossip.expects(name, this.service.node.overlay.cell));
 		configuration.onChange((_state, change) => {
-			if (change !== undefined && !this.#isTakingFromPeer) {
+			if (change !== undefined && !this.#isApplyingPeerChange) {
 				this.service.announceChange(change);
 			}
 		});
@@ -88,7 +88,7 @@
 	}
 
 	/** Applies the platform's instance list, and reports the metrics of the peer links. */
-	takeList(instances: readonly ListedInstance[]): void {
+	applyList(instances: readonly ListedInstance[]): void {
 		this.service.applyList(instances);
 		const {metrics} = this.#context;
 		const {counts, node, linked} = this.service;
@@ -100,13 +100,13 @@
 	}
 
 	/** Returns the names of the endpoints whose load reports this instance reads now. */
-	endpointsToAsk(): ReadonlySet<string> {
+	endpointsToPoll(): ReadonlySet<string> {
 		const {node} = this.service;
 		return new Set(node.loadGossip.endpointsToPoll(this.#context.clock.now(), node.overlay.cell));
 	}
 
 	/** Handles a load report that this instance received from an endpoint, and publishes it to the peers. */
-	takeReport(name: string, report: LoadReport): void {
+	handleReport(name: string, report: LoadReport): void {
 		this.service.handleReport(name, report);
 	}
 
@@ -126,12 +126,12 @@
 	}
 
 	#offerChange(change: ConfigurationChange) {
-		this.#isTakingFromPeer = true;
+		this.#isApplyingPeerChange = true;
 		try {
 			const answer = this.#context.configuration.offer(change);
 			return answer.isLeft() ? answer.extract() : undefined;
 		} finally {
-			this.#isTakingFromPeer = false;
+			this.#isApplyingPeerChange = false;
 		}
 	}
 
--- a/src/entry/request-registry.ts
+++ b/src/entry/request-registry.ts
@@ -2,7 +2,7 @@
 import {type PriorityClass} from '../shared/types.js';
 
 /** A request that waits or runs at this instance. */
-export type RequestUnderWay = {
+export type InFlightRequest = {
 	requestId: string;
 	workspace: string;
 	service: string;
@@ -17,10 +17,10 @@
 export type CancelOutcome = 'cancelled' | 'not-here' | 'cannot-be-cancelled';
 
 export class RequestRegistry {
-	readonly #requests = new Map<string, RequestUnderWay>();
+	readonly #requests = new Map<string, InFlightRequest>();
 
 	/** Adds a request that has arrived. */
-	begin(request: Omit<RequestUnderWay, 'stage'>): void {
+	begin(request: Omit<InFlightRequest, 'stage'>): void {
 		this.#requests.set(request.requestId, {...request, stage: 'waiting'});
 	}
 
@@ -38,7 +38,7 @@
 	}
 
 	/** Returns all requests, oldest first. */
-	list(): RequestUnderWay[] {
+	list(): InFlightRequest[] {
 		return [...this.#requests.values()];
 	}
 
--- a/src/entry/watchers/cache-event-watcher.ts
+++ b/src/entry/watchers/cache-event-watcher.ts
@@ -1,7 +1,7 @@
 /** Reads the cache events of all engines at intervals. */
 import {type Child} from '../../supervisor/supervisor.js';
 import {type EntryContext} from '../entry-context.js';
-import {type CacheEventReader} from '../kept/cache-event-reader.js';
+import {type CacheEventReader} from '../cache/cache-event-reader.js';
 import {repeatJittered} from './repeat-jittered.js';
 
 const pollMilliseconds = 2000;
@@ -19,7 +19,7 @@
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
-		const pace = {clock: this.#context.clock, milliseconds: pollMilliseconds, random: this.#random};
-		await repeatJittered(pace, signal, async () => this.#reader.readAll());
+		const interval = {clock: this.#context.clock, milliseconds: pollMilliseconds, random: this.#random};
+		await repeatJittered(interval, signal, async () => this.#reader.readAll());
 	}
 }
--- a/src/entry/watchers/configuration-watcher.ts
+++ b/src/entry/watchers/configuration-watcher.ts
@@ -10,7 +10,7 @@
 import {type EntryContext} from '../entry-context.js';
 import {type EntryPeers} from '../peers/entry-peers.js';
 
-const checkMilliseconds = 50;
+const checkIntervalMilliseconds = 50;
 
 /** The part of an entry that the watcher uses. */
 export type ConfigurationWatcherContext = Pick<EntryContext, 'clock' | 'table' | 'configuration'> & {
@@ -35,13 +35,13 @@
 		const {clock, settings, configuration} = this.#context;
 		const schedule = new PollSchedule(settings.configurationPollMilliseconds, this.#peers.random);
 		while (!signal.aborted) {
-			const looksOften = this.#peers.isReader || !configuration.startGate.isOpen;
-			if (schedule.isDue(looksOften, clock.now())) {
-				const isAnswered = await this.lookOnce();
+			const pollsOften = this.#peers.isReader || !configuration.startGate.isOpen;
+			if (schedule.isDue(pollsOften, clock.now())) {
+				const isAnswered = await this.pollOnce();
 				schedule.notePoll(isAnswered, clock.now());
 			}
 
-			await clock.sleep(Math.min(checkMilliseconds, settings.configurationPollMilliseconds), signal);
+			await clock.sleep(Math.min(checkIntervalMilliseconds, settings.configurationPollMilliseconds), signal);
 		}
 	}
 
@@ -49,7 +49,7 @@
 	 * Reads all changes after this instance's version and brings them into force; returns false if the table service did not
 	 * answer.
 	 */
-	async lookOnce(): Promise<boolean> {
+	async pollOnce(): Promise<boolean> {
 		const {table, configuration, clock} = this.#context;
 		for (;;) {
 			const {version} = configuration.state;
--- a/src/entry/watchers/instance-watcher.ts
+++ b/src/entry/watchers/instance-watcher.ts
@@ -5,41 +5,41 @@
 import {repeatJittered} from './repeat-jittered.js';
 
 /** A component of the entry that receives the instance list. */
-export interface ListTaker {
-	takeList(instances: readonly ListedInstance[]): void;
+export interface InstanceListListener {
+	applyList(instances: readonly ListedInstance[]): void;
 }
 
 export class InstanceWatcher implements Child {
 	readonly name = 'instance-watcher';
 	readonly #context: EntryContext;
-	readonly #takers: readonly ListTaker[];
+	readonly #listeners: readonly InstanceListListener[];
 	readonly #random: () => number;
 
-	constructor(context: EntryContext, takers: readonly ListTaker[], random: () => number) {
+	constructor(context: EntryContext, listeners: readonly InstanceListListener[], random: () => number) {
 		this.#context = context;
-		this.#takers = takers;
+		this.#listeners = listeners;
 		this.#random = random;
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
 		const {clock, settings, list} = this.#context;
-		const pace = {clock, milliseconds: settings.listPollMilliseconds, random: this.#random};
-		await repeatJittered(pace, signal, async () => {
+		const interval = {clock, milliseconds: settings.listPollMilliseconds, random: this.#random};
+		await repeatJittered(interval, signal, async () => {
 			const instances = await list.read();
 			instances.ifRight(found => {
-				this.#pass(found);
+				this.#notify(found);
 			});
 		});
 	}
 
 	/** Passes the list to all listeners. An empty list is not complete, since it lacks this instance itself, and is ignored. */
-	#pass(instances: readonly ListedInstance[]): void {
+	#notify(instances: readonly ListedInstance[]): void {
 		if (instances.length === 0) {
 			return;
 		}
 
-		for (const taker of this.#takers) {
-			taker.takeList(instances);
+		for (const listener of this.#listeners) {
+			listener.applyList(instances);
 		}
 	}
 }
--- a/src/entry/watchers/load-watcher.ts
+++ b/src/entry/watchers/load-watcher.ts
@@ -4,7 +4,7 @@
  * endpoint that does not answer becomes stale.
  */
 import {type Child} from '../../supervisor/supervisor.js';
-import {type CapacityFeed} from '../capacity-feed.js';
+import {type CapacityUpdater} from '../capacity-updater.js';
 import {type EntryContext} from '../entry-context.js';
 import {type EntryPeers} from '../peers/entry-peers.js';
 import {repeatJittered} from './repeat-jittered.js';
@@ -13,31 +13,31 @@
 	readonly name = 'load-watcher';
 	readonly #context: EntryContext;
 	readonly #peers: EntryPeers;
-	readonly #feed: CapacityFeed;
+	readonly #capacityUpdater: CapacityUpdater;
 
-	constructor(context: EntryContext, peers: EntryPeers, feed: CapacityFeed) {
+	constructor(context: EntryContext, peers: EntryPeers, capacityUpdater: CapacityUpdater) {
 		this.#context = context;
 		this.#peers = peers;
-		this.#feed = feed;
+		this.#capacityUpdater = capacityUpdater;
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
 		const {clock, settings} = this.#context;
-		const pace = {clock, milliseconds: settings.loadPollMilliseconds, random: this.#peers.random};
-		await repeatJittered(pace, signal, async () => this.#askOnce());
+		const interval = {clock, milliseconds: settings.loadPollMilliseconds, random: this.#peers.random};
+		await repeatJittered(interval, signal, async () => this.#pollOnce());
 	}
 
-	async #askOnce(): Promise<void> {
+	async #pollOnce(): Promise<void> {
 		const {clock, endpoints, engine} = this.#context;
-		const toAsk = this.#peers.endpointsToAsk();
-		const watched = [...endpoints.engines(), ...endpoints.plainEndpoints()].filter(({name}) => toAsk.has(name));
+		const toPoll = this.#peers.endpointsToPoll();
+		const watched = [...endpoints.engines(), ...endpoints.plainEndpoints()].filter(({name}) => toPoll.has(name));
 		await Promise.all(watched.map(async ({name, address}) => {
 			const report = await engine.loadReport(address);
 			report.ifRight(load => {
-				endpoints.takeReport(name, load, clock.now());
-				this.#peers.takeReport(name, load);
+				endpoints.applyReport(name, load, clock.now());
+				this.#peers.handleReport(name, load);
 			});
 		}));
-		this.#feed.takeReports();
+		this.#capacityUpdater.applyReports();
 	}
 }
--- a/src/entry/watchers/repeat-jittered.ts
+++ b/src/entry/watchers/repeat-jittered.ts
@@ -4,7 +4,7 @@
 const jitter = 0.2;
 
 /** The interval at which work is repeated. */
-export type JitteredPace = {
+export type JitteredInterval = {
 	clock: Clock;
 	/** The longest pause. */
 	milliseconds: number;
@@ -22,7 +22,7 @@
  * @param signal - Ends the repetition.
  * @param work - The work to repeat; the pause begins when it has finished.
  */
-export async function repeatJittered({clock, milliseconds, random}: JitteredPace, signal: AbortSignal, work: () => Promise<void>): Promise<void> {
+export async function repeatJittered({clock, milliseconds, random}: JitteredInterval, signal: AbortSignal, work: () => Promise<void>): Promise<void> {
 	while (!signal.aborted) {
 		await work();
 		await clock.sleep(milliseconds * (1 - (jitter * random())), signal);
--- a/src/test/test-entry.ts
+++ b/src/test/test-entry.ts
@@ -3,14 +3,14 @@
 import {CallerRoutes} from '../entry/callers/caller-routes.js';
 import {AdmissionGate} from '../entry/callers/admission-gate.js';
 import {CompletionRunner} from '../entry/callers/completion-runner.js';
-import {NeverTwiceRunner} from '../entry/callers/never-twice-runner.js';
+import {AtMostOnceRunner} from '../entry/callers/at-most-once-runner.js';
 import {PlainRoute} from '../entry/callers/plain-route.js';
 import {ConfigurationHolder} from '../entry/configuration-holder.js';
 import {EndpointDirectory} from '../entry/endpoint-directory.js';
 import {type EntryContext} from '../entry/entry-context.js';
 import {EventLoopLag} from '../serving/event-loop-lag.js';
 import {defaultListenerBounds, HttpListener} from '../serving/http-listener.js';
-import {NoKeptContext} from '../entry/kept/kept-context.js';
+import {NoCachedContext} from '../entry/cache/cached-context.js';
 import {RequestRegistry} from '../entry/request-registry.js';
 import {createOperatorRoutes} from '../entry/operators/operator-routes.js';
 import {BoundedQueueAdmission} from '../decision/admission/bounded-queue-admission.js';
@@ -176,7 +176,7 @@
 
 	/** Delivers a load report of one engine as live and idle, by default with the weight version that it runs. */
 	reportEngine(name: string, weightVersion = this.engine.weightVersions.get(name) ?? 'w1'): void {
-		this.context.endpoints.takeReport(name, {
+		this.context.endpoints.applyReport(name, {
 			model: 'permit-1',
 			weightVersion,
 			state: 'live',
@@ -193,7 +193,7 @@
 	}
 
 	#knowEndpoints(): void {
-		this.context.endpoints.takeList([...testEngines, testPlain]);
+		this.context.endpoints.applyList([...testEngines, testPlain]);
 		this.reportEngines();
 	}
 
@@ -206,8 +206,8 @@
 	#routes(): CallerRoutes {
 		return new CallerRoutes(this.context, {
 			gate: new AdmissionGate(new BoundedQueueAdmission(), this.clock),
-			runner: new CompletionRunner(this.context, new LeastLoadedPolicy(), new NoKeptContext()),
-			plainRoute: new PlainRoute(this.context, new NeverTwiceRunner(this.context)),
+			runner: new CompletionRunner(this.context, new LeastLoadedPolicy(), new NoCachedContext()),
+			plainRoute: new PlainRoute(this.context, new AtMostOnceRunner(this.context)),
 		});
 	}
 }
