--- a/src/adapters/answer-size.test.ts
+++ b/src/adapters/answer-size.test.ts
@@ -10,9 +10,9 @@
 import {HttpWeightStore} from './http-weight-store.js';
 
 /** Longer than the longest timeout of these calls. */
-const endMilliseconds = 8000;
+const maxCallMilliseconds = 8000;
 /** Above the size limits, and far below what loopback transfers within the timeouts. */
-const mostSentBytes = 400_000_000;
+const maxSentBytes = 400_000_000;
 const chunk = `8000\r\n${'f'.repeat(0x80_00)}\r\n`;
 
 const calls: Record<string, (address: string) => Promise<unknown>> = {
@@ -24,8 +24,8 @@
 		requestId: 'r', method: 'GET', path: '/', headers: {}, body: Buffer.alloc(0),
 	}, AbortSignal.timeout(3000)),
 };
-type Rest = {status: number; write: (socket: Socket) => void};
-const rests: Record<string, Rest> = {
+type ServerBehaviour = {status: number; write: (socket: Socket) => void};
+const serverBehaviours: Record<string, ServerBehaviour> = {
 	'answers 200 and floods': {status: 200, write: floodChunks},
 	'answers 503 and floods': {status: 503, write: floodChunks},
 	'answers 200 and drips': {
@@ -41,7 +41,7 @@
 }
 
 for (const [name, call] of Object.entries(calls)) {
-	for (const [rest, {status, write}] of Object.entries(rests)) {
+	for (const [rest, {status, write}] of Object.entries(serverBehaviours)) {
 		test(`a call to ${name} that ${rest} ends within its limits`, async t => {
 			// Guards against an instance that runs out of memory or waits forever because an answer never ends.
 			let sent = 0;
@@ -54,9 +54,9 @@
 			});
 			const startedAt = performance.now();
 			await call(server.address);
-			assert.ok(performance.now() - startedAt < endMilliseconds);
+			assert.ok(performance.now() - startedAt < maxCallMilliseconds);
 			assert.equal(await server.isReleasedWithin(3000), true);
-			assert.ok(sent < mostSentBytes, `${sent} bytes were read`);
+			assert.ok(sent < maxSentBytes, `${sent} bytes were read`);
 		});
 	}
 }
--- a/src/adapters/completion-stream.ts
+++ b/src/adapters/completion-stream.ts
@@ -25,7 +25,7 @@
 	readonly #decoder = new StringDecoder('utf8');
 	readonly #parser = createParser({
 		onEvent: event => {
-			this.#take(event.data);
+			this.#handleData(event.data);
 		},
 	});
 
@@ -42,14 +42,14 @@
 		return events;
 	}
 
-	#take(data: string): void {
+	#handleData(data: string): void {
 		if (this.isEnded) {
 			return;
 		}
 
 		if (data === endOfStream) {
 			this.isEnded = true;
-			this.#events.push(this.#finished());
+			this.#events.push(this.#finishedEvent());
 			return;
 		}
 
@@ -63,14 +63,14 @@
 		this.#usage = chunk.usage ?? this.#usage;
 		const text = choice?.delta?.content ?? choice?.text ?? '';
 		if (text !== '' || chunk.token_index !== undefined) {
-			this.#add({
+			this.#addTokens({
 				kind: 'tokens', firstIndex: chunk.token_index ?? 0, count: chunk.token_count ?? 1, text,
 			});
 		}
 	}
 
 	/** Merges consecutive tokens that arrived in the same bytes into one event. This delays none, and a burst costs one write. */
-	#add(tokens: TokensEvent): void {
+	#addTokens(tokens: TokensEvent): void {
 		const last = this.#events.at(-1);
 		if (last?.kind === 'tokens' && last.firstIndex + last.count === tokens.firstIndex) {
 			last.count += tokens.count;
@@ -80,7 +80,7 @@
 		}
 	}
 
-	#finished(): EngineEvent {
+	#finishedEvent(): EngineEvent {
 		return {
 			kind: 'finished',
 			finishReason: this.#finishReason,
--- a/src/adapters/http-cache-store.test.ts
+++ b/src/adapters/http-cache-store.test.ts
@@ -8,7 +8,7 @@
 import {HttpCacheStore} from './http-cache-store.js';
 
 const store = new HttpCacheStore();
-const piece = {pieceKey: 'key', generation: 'first'};
+const block = {pieceKey: 'key', generation: 'first'};
 const content = Buffer.from('state of the curriculum');
 
 test('a block that is unsealed, freed, overwritten or damaged is never read', async context => {
@@ -19,34 +19,34 @@
 	context.after(async () => standIn.close());
 	const {address} = standIn;
 	const seal = sealOf(content);
-	const readPiece = async (): Promise<unknown> => {
-		const result = await store.read(address, piece, seal);
+	const readBlock = async (): Promise<unknown> => {
+		const result = await store.read(address, block, seal);
 		return result.extract();
 	};
 
-	await store.write(address, piece, content);
-	assert.deepEqual(await readPiece(), {kind: 'absent'});
-	await store.seal(address, piece, seal);
-	assert.deepEqual(await readPiece(), content);
-	await store.write(address, piece, content.subarray(0, 5));
-	assert.deepEqual(await readPiece(), {kind: 'absent'});
-	await store.seal(address, piece, seal);
-	const damaged = await readPiece() as {kind: string};
+	await store.write(address, block, content);
+	assert.deepEqual(await readBlock(), {kind: 'absent'});
+	await store.seal(address, block, seal);
+	assert.deepEqual(await readBlock(), content);
+	await store.write(address, block, content.subarray(0, 5));
+	assert.deepEqual(await readBlock(), {kind: 'absent'});
+	await store.seal(address, block, seal);
+	const damaged = await readBlock() as {kind: string};
 	assert.equal(damaged.kind, 'damaged');
-	await store.free(address, piece);
-	assert.deepEqual(await readPiece(), {kind: 'absent'});
+	await store.free(address, block);
+	assert.deepEqual(await readBlock(), {kind: 'absent'});
 	const other = Buffer.from('state of another prompt');
-	await store.write(address, piece, other);
-	await store.seal(address, piece, sealOf(other));
-	assert.deepEqual(await readPiece(), {kind: 'absent'});
+	await store.write(address, block, other);
+	await store.seal(address, block, sealOf(other));
+	assert.deepEqual(await readBlock(), {kind: 'absent'});
 });
 
 test('a full store and an unavailable store are distinct failures', async () => {
 	const standIn = await startStandIn(new CacheStoreStandIn(10), {host: '127.0.0.1', port: 0});
-	const full = await store.write(standIn.address, piece, content);
+	const full = await store.write(standIn.address, block, content);
 	assert.deepEqual(full.extract(), {kind: 'full'});
 	await standIn.close();
-	const dead = await store.write(standIn.address, piece, content);
+	const dead = await store.write(standIn.address, block, content);
 	assert.equal((dead.extract() as {kind: string}).kind, 'unavailable');
 });
 
@@ -61,15 +61,15 @@
 		const nothing = await startEndingServer(context, `${head}\r\n`, ending);
 		const seal = sealOf(content);
 		const sealHead = `x-length: ${seal.length}\r\nx-digest: ${seal.digest}\r\n`;
-		const cutPiece = await startEndingServer(context, `${head}${sealHead}\r\n${content.toString().slice(0, 5)}`, ending);
+		const cutBlock = await startEndingServer(context, `${head}${sealHead}\r\n${content.toString().slice(0, 5)}`, ending);
 		for (let count = 0; count < 50; count++) {
 			for (const address of [half, nothing]) {
-				const asked = await Promise.all([store.findBlocks(address, ['key']), store.leastRecentlyUsed(address, 1)]
+				const failureKinds = await Promise.all([store.findBlocks(address, ['key']), store.leastRecentlyUsed(address, 1)]
 					.map(async listed => listed.then(answer => (answer.extract() as {kind: string}).kind, (error: unknown) => `threw ${(error as Error).name}`)));
-				outcomes.add(asked.join(' '));
+				outcomes.add(failureKinds.join(' '));
 			}
 
-			const read = await store.read(cutPiece, piece, seal);
+			const read = await store.read(cutBlock, block, seal);
 			outcomes.add(read.isRight() ? 'truncated block' : 'no block');
 		}
 	}
--- a/src/adapters/http-cache-store.ts
+++ b/src/adapters/http-cache-store.ts
@@ -17,19 +17,19 @@
 
 type Answer = Dispatcher.ResponseData;
 
-type Judge<Value> = (answer: Answer) => Promise<Either<CacheStoreFailure, Value>>;
+type AnswerReader<Value> = (answer: Answer) => Promise<Either<CacheStoreFailure, Value>>;
 
 export class HttpCacheStore implements CacheStore {
-	async write(address: string, piece: BlockGeneration, content: Buffer): Promise<Either<CacheStoreFailure, void>> {
-		return exchange(address, {method: 'PUT', path: pathOf(piece), body: content}, judgeWrite);
+	async write(address: string, block: BlockGeneration, content: Buffer): Promise<Either<CacheStoreFailure, void>> {
+		return exchange(address, {method: 'PUT', path: pathOf(block), body: content}, confirmWrite);
 	}
 
-	async seal(address: string, piece: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, void>> {
-		return exchange(address, {method: 'POST', path: `${pathOf(piece)}/seal`, body: JSON.stringify(seal)}, judgeWrite);
+	async seal(address: string, block: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, void>> {
+		return exchange(address, {method: 'POST', path: `${pathOf(block)}/seal`, body: JSON.stringify(seal)}, confirmWrite);
 	}
 
-	async read(address: string, piece: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, Buffer>> {
-		return exchange(address, {method: 'GET', path: pathOf(piece)}, async ({statusCode, headers, body}) => {
+	async read(address: string, block: BlockGeneration, seal: BlockSeal): Promise<Either<CacheStoreFailure, Buffer>> {
+		return exchange(address, {method: 'GET', path: pathOf(block)}, async ({statusCode, headers, body}) => {
 			// The seal was made before this read, so it also proves that the block is complete.
 			const content = Buffer.from(await body.arrayBuffer());
 			return statusCode === 200
@@ -38,18 +38,18 @@
 		});
 	}
 
-	async findBlocks(address: string, pieceKeys: readonly string[]): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
+	async findBlocks(address: string, blockKeys: readonly string[]): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 		return exchange(address, {
-			method: 'POST', path: '/find', body: JSON.stringify({pieceKeys}), timeoutMilliseconds: findTimeoutMilliseconds,
-		}, judgeList);
+			method: 'POST', path: '/find', body: JSON.stringify({pieceKeys: blockKeys}), timeoutMilliseconds: findTimeoutMilliseconds,
+		}, readList);
 	}
 
 	async leastRecentlyUsed(address: string, count: number): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
-		return exchange(address, {method: 'GET', path: `/oldest?count=${count}`}, judgeList);
+		return exchange(address, {method: 'GET', path: `/oldest?count=${count}`}, readList);
 	}
 
-	async free(address: string, piece: BlockGeneration): Promise<Either<CacheStoreFailure, void>> {
-		return exchange(address, {method: 'DELETE', path: pathOf(piece)}, judgeWrite);
+	async free(address: string, block: BlockGeneration): Promise<Either<CacheStoreFailure, void>> {
+		return exchange(address, {method: 'DELETE', path: pathOf(block)}, confirmWrite);
 	}
 }
 
@@ -61,36 +61,36 @@
  * Sends a request and reads the answer. The answer is read within the `try` block because a truncated list cannot be parsed as
  * JSON: if the error were thrown out of this port, a prompt would fail that any engine could serve without the store.
  */
-async function exchange<Value>(address: string, {method, path, body, ...limits}: Exchange, judge: Judge<Value>): Promise<Either<CacheStoreFailure, Value>> {
+async function exchange<Value>(address: string, {method, path, body, ...limits}: Exchange, readAnswer: AnswerReader<Value>): Promise<Either<CacheStoreFailure, Value>> {
 	try {
 		const answer = await connectionPool.request({
 			origin: `http://${address}`, path, method, body: body ?? null, headers: {'content-type': typeof body === 'string' ? 'application/json' : 'application/octet-stream'}, signal: AbortSignal.timeout(limits.timeoutMilliseconds ?? timeoutMilliseconds),
 		});
-		return await judge(answer);
+		return await readAnswer(answer);
 	} catch (error) {
 		return Left({kind: 'unavailable', detail: describeError(error)});
 	}
 }
 
-async function judgeList(answer: Answer): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
+async function readList(answer: Answer): Promise<Either<CacheStoreFailure, SealedBlock[]>> {
 	if (answer.statusCode !== 200) {
-		return judgeRefusal(answer);
+		return readFailure(answer);
 	}
 
 	const {pieces} = await readWholeJson('GET', answer) as unknown as {pieces: SealedBlock[]};
 	return Right(pieces);
 }
 
-async function judgeWrite(answer: Answer): Promise<Either<CacheStoreFailure, void>> {
+async function confirmWrite(answer: Answer): Promise<Either<CacheStoreFailure, void>> {
 	if (answer.statusCode !== 204) {
-		return judgeRefusal(answer);
+		return readFailure(answer);
 	}
 
 	await answer.body.dump();
 	return Right(undefined);
 }
 
-async function judgeRefusal({statusCode, body}: Answer): Promise<Either<CacheStoreFailure, never>> {
+async function readFailure({statusCode, body}: Answer): Promise<Either<CacheStoreFailure, never>> {
 	await body.dump();
 	return Left(failureOf(statusCode));
 }
--- a/src/adapters/http-client.test.ts
+++ b/src/adapters/http-client.test.ts
@@ -16,8 +16,8 @@
 	// is also valid JSON.
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
-		for (const came of ['', '12']) {
-			const address = await startEndingServer(t, unframedHead + came, ending);
+		for (const receivedBody of ['', '12']) {
+			const address = await startEndingServer(t, unframedHead + receivedBody, ending);
 			const url = `http://${address}/`;
 			for (let count = 0; count < 50; count++) {
 				const row = await new HttpTableService(address).read({table: 'claims', key: 'booking'});
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -14,23 +14,23 @@
  * Size limit of a buffered body, such as a cache block. Without a limit, an endless body could use up the memory of the
  * process within the timeout of its call.
  */
-const longestAnswerBytes = 268_435_456;
+const maxBodyBytes = 268_435_456;
 /** Size limit of a JSON body, such as a page of rows. */
-const longestJsonBytes = 33_554_432;
+const maxJsonBytes = 33_554_432;
 
 /** The default connection pool, which reuses connections. */
 export const connectionPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
 	keepAliveTimeout: idleConnectionMilliseconds,
 	pipelining: 1,
-	maxResponseSize: longestAnswerBytes,
+	maxResponseSize: maxBodyBytes,
 });
 
 const jsonPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
 	keepAliveTimeout: idleConnectionMilliseconds,
 	pipelining: 1,
-	maxResponseSize: longestJsonBytes,
+	maxResponseSize: maxJsonBytes,
 });
 
 /**
@@ -41,18 +41,18 @@
 export const freshConnectionPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
 	pipelining: 1,
-	maxResponseSize: longestAnswerBytes,
+	maxResponseSize: maxBodyBytes,
 });
 
 /** Size limit of a stream: a few hundred thousand tokens, each in an event of its own. */
-const longestStreamBytes = 67_108_864;
+const maxStreamBytes = 67_108_864;
 
 /** For answers that are forwarded while they arrive; use it with `streamBufferBytes`. An answer over the limit is aborted. */
 export const streamPool = new Agent({
 	connect: {timeout: connectTimeoutMilliseconds},
 	keepAliveTimeout: idleConnectionMilliseconds,
 	pipelining: 1,
-	maxResponseSize: longestStreamBytes,
+	maxResponseSize: maxStreamBytes,
 });
 
 /**
@@ -60,7 +60,7 @@
  * connection of a paused answer with `connection: close` ends, undici throws an assertion error from a socket event, which
  * ends the process and all its answers. A slow caller costs this process at most the memory for the rest of its answer.
  */
-export const streamBufferBytes = longestStreamBytes + 1;
+export const streamBufferBytes = maxStreamBytes + 1;
 
 /** The answer to a JSON request. `body` is `undefined` if it is empty. */
 export type JsonAnswer = {
--- a/src/adapters/http-model-engine.test.ts
+++ b/src/adapters/http-model-engine.test.ts
@@ -29,12 +29,12 @@
 
 after(async () => running.close());
 
-type Seen = {text: string; tokens: number; firstIndex: number; end?: EngineEvent | EngineFailure};
+type ReceivedStream = {text: string; tokens: number; firstIndex: number; end?: EngineEvent | EngineFailure};
 
 async function collect(engineCall: EngineCall, faults: Partial<typeof noFaults> = {}, stopAfterTokens = Number.POSITIVE_INFINITY) {
 	Object.assign(standIn.faults, noFaults, faults);
 	const controller = new AbortController();
-	const seen: Seen = {text: '', tokens: 0, firstIndex: -1};
+	const seen: ReceivedStream = {text: '', tokens: 0, firstIndex: -1};
 	for await (const event of engine.complete(running.address, engineCall, controller.signal)) {
 		const value = event.extract();
 		seen.end = value;
@@ -151,8 +151,8 @@
 			const address = await startEndingServer(t, head + body, ending);
 			for (let count = 0; count < 50; count++) {
 				const kinds: string[] = [];
-				for await (const came of engine.complete(address, call, new AbortController().signal)) {
-					kinds.push((came.extract()).kind);
+				for await (const received of engine.complete(address, call, new AbortController().signal)) {
+					kinds.push((received.extract()).kind);
 				}
 
 				assert.deepEqual(kinds, ['started', ...Array.from({length: expected}, () => 'tokens'), 'broken']);
--- a/src/adapters/http-model-engine.ts
+++ b/src/adapters/http-model-engine.ts
@@ -21,7 +21,7 @@
 
 const controlTimeoutMilliseconds = 1000;
 /** Ends a stream that nothing else cancels. The users of this port have shorter timeouts of their own. */
-const longestPauseMilliseconds = 300_000;
+const maxStreamPauseMilliseconds = 300_000;
 export class HttpModelEngine implements ModelEngine {
 	async * complete(address: string, call: EngineCall, signal: AbortSignal): AsyncIterable<Either<EngineFailure, EngineEvent>> {
 		try {
@@ -33,13 +33,13 @@
 				body: JSON.stringify({...call.body, stream: true, stream_options: {include_usage: true}}),
 				headersTimeout: 0,
 				highWaterMark: streamBufferBytes,
-				bodyTimeout: longestPauseMilliseconds,
+				bodyTimeout: maxStreamPauseMilliseconds,
 				signal,
 			});
 			if (answer.statusCode !== 200) {
 				// The status and the headers decide; a stalled body must not delay the attempt at another engine.
 				void discardBody(answer.body);
-				yield Left(judgeRefusal(answer.statusCode, answer.headers));
+				yield Left(classifyRejection(answer.statusCode, answer.headers));
 				return;
 			}
 
@@ -61,7 +61,7 @@
 					}
 				}
 			} finally {
-				void leave(answer.body, chunks, reader.isEnded);
+				void releaseStream(answer.body, chunks, reader.isEnded);
 			}
 		} catch (error) {
 			const kind = failedBeforeAnyByte(error) ? 'not-sent' : 'broken';
@@ -96,10 +96,10 @@
 		}
 	}
 
-	async exportBlock(address: string, pieceKey: string): Promise<Either<EngineFailure, Buffer | undefined>> {
+	async exportBlock(address: string, blockKey: string): Promise<Either<EngineFailure, Buffer | undefined>> {
 		try {
 			const answer = await connectionPool.request({
-				origin: `http://${address}`, path: `/kv/${pieceKey}`, method: 'GET', signal: AbortSignal.timeout(controlTimeoutMilliseconds),
+				origin: `http://${address}`, path: `/kv/${blockKey}`, method: 'GET', signal: AbortSignal.timeout(controlTimeoutMilliseconds),
 			});
 			// The seal of a saved block is computed from these bytes, so no later check can detect that some are missing.
 			const content = await readWholeBody('GET', answer);
@@ -149,7 +149,7 @@
 	};
 }
 
-function judgeRefusal(status: number, headers: IncomingHttpHeaders): EngineFailure {
+function classifyRejection(status: number, headers: IncomingHttpHeaders): EngineFailure {
 	if (status === 409) {
 		return {kind: 'version-swapped', weightVersion: String(headers['x-weight-version'] ?? '')};
 	}
@@ -166,7 +166,7 @@
  * Releases the connection of a stream. After `[DONE]` only the end of the HTTP body is missing, so the body is drained and the
  * connection reused. Before `[DONE]` the connection is closed, which cancels the request at the engine.
  */
-async function leave(body: Dispatcher.ResponseData['body'], chunks: AsyncIterator<Buffer>, isEnded: boolean): Promise<void> {
+async function releaseStream(body: Dispatcher.ResponseData['body'], chunks: AsyncIterator<Buffer>, isEnded: boolean): Promise<void> {
 	if (!isEnded) {
 		body.destroy();
 		return;
--- a/src/adapters/http-plain-service.ts
+++ b/src/adapters/http-plain-service.ts
@@ -11,8 +11,8 @@
 } from './http-client.js';
 import {readWholeBody} from './whole-body.js';
 
-const repeatableMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
-const headersNotPassedOn = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length']);
+const idempotentMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
+const unforwardedHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'content-length']);
 
 export class HttpPlainService implements PlainService {
 	async call(address: string, call: PlainCall, signal: AbortSignal): Promise<Either<PlainFailure, PlainAnswer>> {
@@ -21,19 +21,19 @@
 		}
 
 		try {
-			const isRepeatable = repeatableMethods.has(call.method);
-			const answer = await (isRepeatable ? connectionPool : freshConnectionPool).request({
+			const isIdempotent = idempotentMethods.has(call.method);
+			const answer = await (isIdempotent ? connectionPool : freshConnectionPool).request({
 				origin: `http://${address}`,
 				path: call.path,
 				method: call.method,
 				headers: {...call.headers, 'x-request-id': call.requestId},
 				body: call.body.length === 0 ? null : call.body,
-				reset: !isRepeatable,
+				reset: !isIdempotent,
 				signal,
 			});
 			const body = await readWholeBody(call.method, answer);
 			const headers = Object.entries(answer.headers)
-				.filter(([name, value]) => value !== undefined && !headersNotPassedOn.has(name))
+				.filter(([name, value]) => value !== undefined && !unforwardedHeaders.has(name))
 				.map(([name, value]): [string, string] => [name, String(value)]);
 			return Right({status: answer.statusCode, headers: Object.fromEntries(headers), body});
 		} catch (error) {
--- a/src/adapters/http-stores.test.ts
+++ b/src/adapters/http-stores.test.ts
@@ -10,11 +10,11 @@
 import {HttpObjectStore} from './http-object-store.js';
 import {HttpWeightStore} from './http-weight-store.js';
 
-const anywhere = {host: '127.0.0.1', port: 0};
+const anyPort = {host: '127.0.0.1', port: 0};
 
 test('objects are read as written, under any key, and an absent object is not a failure', async t => {
 	const kind = createObjectStoreStandIn();
-	const standIn = await startStandIn(kind, anywhere);
+	const standIn = await startStandIn(kind, anyPort);
 	t.after(async () => standIn.close());
 	const store = new HttpObjectStore(standIn.address);
 	const content = Buffer.from([0, 255, 10, 13]);
@@ -33,7 +33,7 @@
 test('a write whose answer is lost is a failure, although it took effect', async t => {
 	// A failure of the port does not mean that nothing was written: the next read finds the object.
 	const kind = createObjectStoreStandIn();
-	const standIn = await startStandIn(kind, anywhere);
+	const standIn = await startStandIn(kind, anyPort);
 	t.after(async () => standIn.close());
 	const store = new HttpObjectStore(standIn.address);
 	kind.faults.loseAnswers = 1;
@@ -45,7 +45,7 @@
 
 test('the weight store lists versions and reports its load; its rate limit and an outage are distinct failures', async t => {
 	const kind = createWeightStoreStandIn();
-	const standIn = await startStandIn(kind, anywhere);
+	const standIn = await startStandIn(kind, anyPort);
 	t.after(async () => standIn.close());
 	const store = new HttpWeightStore(standIn.address);
 	for (const version of ['w1', 'w2']) {
--- a/src/adapters/http-table-service.ts
+++ b/src/adapters/http-table-service.ts
@@ -43,7 +43,7 @@
 				body: transaction,
 				timeoutMilliseconds: this.#timeoutMilliseconds,
 			});
-			return judgeCommit(answer.status, answer.body);
+			return commitResultOf(answer.status, answer.body);
 		} catch (error) {
 			const kind = failedBeforeAnyByte(error) ? 'unavailable' : 'outcome-unknown';
 			return Left({kind, detail: describeError(error)});
@@ -63,7 +63,7 @@
 	}
 }
 
-function judgeCommit(status: number, body: JsonValue | undefined): Either<TableFailure, void> {
+function commitResultOf(status: number, body: JsonValue | undefined): Either<TableFailure, void> {
 	if (status === 204) {
 		return Right(undefined);
 	}
--- a/src/adapters/unfinished-engine-answer.test.ts
+++ b/src/adapters/unfinished-engine-answer.test.ts
@@ -10,10 +10,10 @@
 	requestId: 'r', attempt: 1, shape: 'text', body: {model: 'permit-1', prompt: 'hello', max_tokens: 8}, cacheSalt: 's', priority: 'normal', weightVersion: 'w1', tokensPassedOn: 0,
 };
 /** A round trip on loopback takes a few milliseconds; the margin is for a busy machine. */
-const promptMilliseconds = 1000;
+const maxReportMilliseconds = 1000;
 const releaseMilliseconds = 3000;
 
-const rests: Record<string, (socket: Socket) => void> = {
+const serverBehaviours: Record<string, (socket: Socket) => void> = {
 	stalls() {
 		// Nothing follows.
 	},
@@ -26,15 +26,15 @@
 };
 
 async function collect(address: string): Promise<Array<EngineEvent | EngineFailure>> {
-	const seen: Array<EngineEvent | EngineFailure> = [];
+	const received: Array<EngineEvent | EngineFailure> = [];
 	for await (const event of engine.complete(address, call, AbortSignal.timeout(8000))) {
-		seen.push(event.extract());
+		received.push(event.extract());
 	}
 
-	return seen;
+	return received;
 }
 
-for (const [name, writeRest] of Object.entries(rests)) {
+for (const [name, writeRest] of Object.entries(serverBehaviours)) {
 	test(`a rejection is reported at once although its body ${name}`, async t => {
 		// Guards against callers that wait for the body of a rejection, which is not used, while other engines are free.
 		const server = await startScriptedServer(t, socket => {
@@ -47,13 +47,13 @@
 		assert.deepEqual(seen, [{
 			kind: 'refused', status: 429, detail: '', retryAfterMilliseconds: 2000,
 		}]);
-		assert.ok(waited < promptMilliseconds, `reported after ${waited} ms`);
+		assert.ok(waited < maxReportMilliseconds, `reported after ${waited} ms`);
 		assert.equal(await server.isReleasedWithin(releaseMilliseconds), true);
 	});
 }
 
 for (const [name, writeRest] of Object.entries({
-	...rests, comments(socket: Socket) {
+	...serverBehaviours, comments(socket: Socket) {
 		drip(socket, '4\r\n:ok\n\r\n', 50);
 	},
 })) {
--- a/src/adapters/whole-body.ts
+++ b/src/adapters/whole-body.ts
@@ -55,8 +55,8 @@
 export async function readWholeJson(method: string, answer: Answer): Promise<JsonValue | undefined> {
 	const text = await answer.body.text();
 	const value = text === '' ? undefined : JSON.parse(text) as JsonValue;
-	const closesItself = typeof value === 'object' && value !== null;
-	if (!closesItself && !isFramed(method, answer)) {
+	const isSelfDelimiting = typeof value === 'object' && value !== null;
+	if (!isSelfDelimiting && !isFramed(method, answer)) {
 		throw new UnprovedBodyError();
 	}
 
--- a/src/gateway/run-gateway.ts
+++ b/src/gateway/run-gateway.ts
@@ -4,7 +4,7 @@
 import {Either} from 'purify-ts/Either';
 import {systemMomentClock} from '../adapters/system-moment-clock.js';
 import {PlatformCacheStore} from '../platform/platform-cache-store.js';
-import {platformCatalog} from '../platform/platform-catalog.js';
+import {platformStoreSchema} from '../platform/platform-store-schema.js';
 import {PlatformEngineControl} from '../platform/platform-engine-control.js';
 import {PlatformStore} from '../platform/platform-store.js';
 import {readSettingsFile, settingsPathVariable} from '../platform/settings-file.js';
@@ -36,7 +36,7 @@
 	const daemon = new GatewayDaemon(settings, {
 		clock: systemMomentClock,
 		names: platformWireNames,
-		storeSchema: platformCatalog,
+		storeSchema: platformStoreSchema,
 		store: new PlatformStore(settings.storeAddress, (call, outcome) => {
 			metrics.storeCalls.inc({call, outcome});
 		}),
--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -39,12 +39,12 @@
 		attachedTransports: process.stderr.isTTY
 			? []
 			: [line => {
-				process.stderr.write(`${JSON.stringify({...identity, ...flatLine(line)})}\n`);
+				process.stderr.write(`${JSON.stringify({...identity, ...flattenLine(line)})}\n`);
 			}],
 	});
 }
 
-function flatLine(line: Record<string, unknown>): Record<string, unknown> {
+function flattenLine(line: Record<string, unknown>): Record<string, unknown> {
 	const {_meta: meta, 0: message, 1: fields} = line as {_meta: {logLevelName: string; date: Date}; 0?: unknown; 1?: unknown};
 	const {_meta, ...only} = line;
 	const isObject = (value: unknown): value is Record<string, unknown> => typeof value === 'object' && value !== null;
--- a/src/observability/no-secrets.test.ts
+++ b/src/observability/no-secrets.test.ts
@@ -58,7 +58,7 @@
 	const logs = text(entry.stderr);
 	const [line] = await once(createInterface({input: entry.stdout}), 'line') as [string];
 	const {callers, operators} = JSON.parse(line) as {callers: string; operators: string};
-	const answers = await drive(callers, operators);
+	const answers = await sendRequests(callers, operators);
 	entry.kill('SIGTERM');
 	const written = await logs;
 
@@ -73,7 +73,7 @@
 	}
 });
 
-async function drive(callers: string, operators: string): Promise<number[]> {
+async function sendRequests(callers: string, operators: string): Promise<number[]> {
 	await new OperatorClient(operators, testOperatorKey).propose({
 		plannedAgainst: 0,
 		author: 'ana',
--- a/src/observability/timeline-sender.ts
+++ b/src/observability/timeline-sender.ts
@@ -7,11 +7,11 @@
 import {type ProcessIdentity} from './logger.js';
 import {type TimelineEntry, type TimelineEvent, type TimelineRecorder} from './timeline-event.js';
 
-const bufferLimitEvents = 10_000;
-const flushMilliseconds = 50;
-const reconnectMilliseconds = 1000;
-const batchLimitEvents = 500;
-const closeMilliseconds = 500;
+const maxBufferedEvents = 10_000;
+const flushDelayMilliseconds = 50;
+const reconnectDelayMilliseconds = 1000;
+const maxBatchEvents = 500;
+const closeTimeoutMilliseconds = 500;
 
 /** The content of a frame to the collector. */
 export type TimelineBatch = {
@@ -25,7 +25,7 @@
 export class TimelineSender implements TimelineRecorder {
 	readonly #identity: ProcessIdentity;
 	readonly #address: string;
-	readonly #waiting: TimelineEvent[] = [];
+	readonly #buffer: TimelineEvent[] = [];
 	readonly #start = Date.now();
 	#sequence = 0;
 	#dropped = 0;
@@ -54,13 +54,13 @@
 		}
 
 		this.#sequence++;
-		if (this.#waiting.length >= bufferLimitEvents) {
+		if (this.#buffer.length >= maxBufferedEvents) {
 			this.#dropped++;
 			return;
 		}
 
-		this.#waiting.push({...entry, ...this.#identity, sequence: this.#sequence});
-		this.#flushIn(flushMilliseconds);
+		this.#buffer.push({...entry, ...this.#identity, sequence: this.#sequence});
+		this.#flushIn(flushDelayMilliseconds);
 	}
 
 	/** Sends buffered events until the connection applies back-pressure; connects first if necessary. */
@@ -71,8 +71,8 @@
 		}
 
 		const socket = this.#socket!;
-		while (this.#waiting.length > 0 && !socket.writableNeedDrain) {
-			const batch: TimelineBatch = {events: this.#waiting.splice(0, batchLimitEvents), start: this.#start, dropped: this.#dropped};
+		while (this.#buffer.length > 0 && !socket.writableNeedDrain) {
+			const batch: TimelineBatch = {events: this.#buffer.splice(0, maxBatchEvents), start: this.#start, dropped: this.#dropped};
 			socket.write(encodeFrame(batch));
 		}
 	}
@@ -88,7 +88,7 @@
 		await new Promise<void>(resolve => {
 			const timer = setTimeout(() => {
 				socket.destroy();
-			}, closeMilliseconds);
+			}, closeTimeoutMilliseconds);
 			socket.once('close', () => {
 				clearTimeout(timer);
 				resolve();
@@ -109,7 +109,7 @@
 			return;
 		}
 
-		this.#nextConnectAt = now + reconnectMilliseconds;
+		this.#nextConnectAt = now + reconnectDelayMilliseconds;
 		const separator = this.#address.lastIndexOf(':');
 		const socket = new Socket();
 		this.#socket = socket;
@@ -127,8 +127,8 @@
 		socket.once('close', () => {
 			this.#connected = false;
 			this.#socket = undefined;
-			if (this.#waiting.length > 0) {
-				this.#flushIn(reconnectMilliseconds);
+			if (this.#buffer.length > 0) {
+				this.#flushIn(reconnectDelayMilliseconds);
 			}
 		});
 		socket.connect(Number(this.#address.slice(separator + 1)), this.#address.slice(0, separator));
--- a/src/operator/main.ts
+++ b/src/operator/main.ts
@@ -6,7 +6,7 @@
 import {type Either, Left, Right} from 'purify-ts/Either';
 import {checkText} from '../settings/check-text.js';
 import {
-	addSettingFlags, badUsageExitCode, checkSettings, exitWithFindings, findLeftOver, givenTextsOf,
+	addSettingFlags, badUsageExitCode, checkSettings, exitWithFindings, findUnknownArguments, givenTextsOf,
 } from '../settings/read-settings.js';
 import {parseText, parseWholeNumberBetween} from '../settings/setting-parsers.js';
 import {programVersion} from '../shared/program-version.js';
@@ -45,7 +45,7 @@
 	readonly #findings: Finding[];
 
 	constructor(readonly command: Command, expectedCount: number) {
-		this.#findings = findLeftOver(command, expectedCount);
+		this.#findings = findUnknownArguments(command, expectedCount);
 	}
 
 	/** Collects the findings of a check. Read the value only after `exitOnFindings` has returned. */
--- a/src/platform/platform-cache-store.ts
+++ b/src/platform/platform-cache-store.ts
@@ -7,14 +7,14 @@
 } from '../ports/cache-store-control.js';
 
 /** A store answers within a few milliseconds. After this time the call is treated as lost. */
-const callMilliseconds = 800;
+const callTimeoutMilliseconds = 800;
 
 // Salt, id, tokens; a model or the number of reserved tokens may follow.
-const partSchema = zod.tuple([zod.string(), zod.string(), zod.number()]).rest(zod.unknown());
+const blockSchema = zod.tuple([zod.string(), zod.string(), zod.number()]).rest(zod.unknown());
 const listSchema = zod.object({
 	boot_epoch: zod.number(),
 	next: zod.number(),
-	held: zod.array(partSchema),
+	held: zod.array(blockSchema),
 	// Salt, id, number of complete tokens, number of reserved tokens.
 	partial: zod.array(zod.tuple([zod.string(), zod.string(), zod.number(), zod.number()])).default([]),
 });
@@ -29,7 +29,7 @@
 
 export class PlatformCacheStore implements CacheStoreControl {
 	async list(address: string): Promise<Either<string, StoreListing>> {
-		const answer = await get(`http://${address}/kv-list`, listSchema, {}, callMilliseconds);
+		const answer = await get(`http://${address}/kv-list`, listSchema, {}, callTimeoutMilliseconds);
 		return answer.map(({boot_epoch: epoch, next, held, partial}) => ({
 			epoch,
 			next,
@@ -40,9 +40,9 @@
 
 	async events(address: string, since: number, waitMilliseconds: number): Promise<Either<string, StoreEvents>> {
 		const url = `http://${address}/kv-events?since=${since}`;
-		const answer = await get(url, eventsSchema, {'wait-ms': String(waitMilliseconds)}, waitMilliseconds + callMilliseconds);
+		const answer = await get(url, eventsSchema, {'wait-ms': String(waitMilliseconds)}, waitMilliseconds + callTimeoutMilliseconds);
 		return answer.map(({boot_epoch: epoch, next, lost, events, clock_ms: clockMilliseconds}) => ({
-			epoch, next, isIncomplete: lost, added: partsOf(events, '+'), removed: partsOf(events, '-'), clockMilliseconds,
+			epoch, next, isIncomplete: lost, added: blocksOf(events, '+'), removed: blocksOf(events, '-'), clockMilliseconds,
 		}));
 	}
 
@@ -52,7 +52,7 @@
 				method: 'POST',
 				url: `http://${address}/kv-free`,
 				body: {parts: parts.map(({salt, id}) => [salt, id]), boot_epoch: epoch, until_ms: Math.floor(untilMilliseconds)},
-				timeoutMilliseconds: callMilliseconds,
+				timeoutMilliseconds: callTimeoutMilliseconds,
 			});
 			return status >= 200 && status < 300 ? Right(undefined) : Left(`status ${status}`);
 		} catch (error) {
@@ -74,11 +74,11 @@
 }
 
 /** Returns the blocks whose last event has the given sign: a block that was added and then removed counts as removed. */
-function partsOf(events: zod.infer<typeof eventsSchema>['events'], sign: '+' | '-'): StoredBlock[] {
-	const last = new Map<string, {sign: '+' | '-'; part: StoredBlock}>();
+function blocksOf(events: zod.infer<typeof eventsSchema>['events'], sign: '+' | '-'): StoredBlock[] {
+	const lastEvents = new Map<string, {sign: '+' | '-'; block: StoredBlock}>();
 	for (const [, kind, salt, id, tokens] of events) {
-		last.set(`${salt}|${id}`, {sign: kind, part: {salt, id, tokens}});
+		lastEvents.set(`${salt}|${id}`, {sign: kind, block: {salt, id, tokens}});
 	}
 
-	return [...last.values()].filter(entry => entry.sign === sign).map(({part}) => part);
+	return [...lastEvents.values()].filter(entry => entry.sign === sign).map(({block: block}) => block);
 }
--- a/src/platform/platform-engine-control.ts
+++ b/src/platform/platform-engine-control.ts
@@ -9,7 +9,7 @@
 import {platformWireNames} from './wire-names.js';
 
 /** An engine answers immediately. After this time the call is treated as lost. */
-const callMilliseconds = 600;
+const callTimeoutMilliseconds = 600;
 
 const reportSchema = zod.object({
 	busy: zod.boolean(),
@@ -19,13 +19,13 @@
 	models: zod.array(zod.object({name: zod.string(), version: zod.number()})),
 });
 
-const wireTreatments: Record<InFlightPolicy, string> = {finish: 'wait', cut: 'truncate', keep: 'retain'};
+const wirePolicyNames: Record<InFlightPolicy, string> = {finish: 'wait', cut: 'truncate', keep: 'retain'};
 
 export class PlatformEngineControl implements EngineControl {
 	async report({address, name}: EndpointRecord): Promise<Either<string, EngineReport>> {
 		try {
 			const {status, body} = await exchangeJson({
-				method: 'GET', url: `http://${address}/report`, headers: {[platformWireNames.expectedEndpoint]: name}, timeoutMilliseconds: callMilliseconds,
+				method: 'GET', url: `http://${address}/report`, headers: {[platformWireNames.expectedEndpoint]: name}, timeoutMilliseconds: callTimeoutMilliseconds,
 			});
 			const report = reportSchema.safeParse(body);
 			if (status !== 200 || !report.success) {
@@ -51,12 +51,12 @@
 					op: 'version',
 					model: order.model,
 					version: order.version,
-					manner: wireTreatments[order.inFlightPolicy],
+					manner: wirePolicyNames[order.inFlightPolicy],
 					holder: order.holder,
 					fence: order.fencingNumber,
 					expected_rev: order.ordersTaken,
 				},
-				timeoutMilliseconds: callMilliseconds,
+				timeoutMilliseconds: callTimeoutMilliseconds,
 			});
 			if (status === 202) {
 				return 'accepted';
--- a/src/platform/platform-catalog.ts
+++ b/src/platform/platform-store-schema.ts
@@ -79,7 +79,7 @@
 const configurationKey = 'config';
 const weightsPrefix = 'version/';
 
-export const platformCatalog: StoreSchema = {
+export const platformStoreSchema: StoreSchema = {
 	operatorTable: 'op',
 	endpointTable: 'servers',
 	readOperatorRow(key, content): Either<string[], OperatorRow> {
--- a/src/platform/platform-store.ts
+++ b/src/platform/platform-store.ts
@@ -22,7 +22,7 @@
 /** A row as encoded by the store; `value` is base64. */
 type WireRow = {table: string; part: string; key: string; value?: string; ver?: number; deleted?: boolean};
 type RowsAnswer = {rows: WireRow[]; ver: number; now_ms: number; has_more?: boolean};
-type RowsRead = RowsAnswer & {era: number};
+type RowsWithEra = RowsAnswer & {era: number};
 
 /** Counts calls by kind and outcome. */
 export type CountCall = (call: 'get' | 'feed' | 'tx', outcome: 'answered' | 'refused' | 'lost') => void;
@@ -31,10 +31,10 @@
  * Timeout of a call, in addition to the time that a call to the feed may wait for changes. The store answers within a few
  * milliseconds, or up to sixty times that when it is slow. After this time the answer is treated as lost.
  */
-const callMilliseconds = 700;
+const callTimeoutMilliseconds = 700;
 const historyLostStatus = 410;
 const conflictStatus = 412;
-const refusedStatuses: ReadonlySet<number> = new Set([403, 429, 503, 507]);
+const notAppliedStatuses: ReadonlySet<number> = new Set([403, 429, 503, 507]);
 /** Increases by one when the store is restored from an older copy. */
 const eraHeader = 'store-era';
 
@@ -87,11 +87,11 @@
 		};
 		try {
 			const answer = await exchangeJson({
-				method: 'POST', url: `${this.#baseUrl}/rows-tx`, body, timeoutMilliseconds: callMilliseconds,
+				method: 'POST', url: `${this.#baseUrl}/rows-tx`, body, timeoutMilliseconds: callTimeoutMilliseconds,
 			});
 			this.#noteEra(answer);
 			this.#count('tx', answer.status === 200 || answer.status === conflictStatus ? 'answered' : 'refused');
-			return judgeCommit(answer);
+			return commitResultOf(answer);
 		} catch (error) {
 			this.#count('tx', 'lost');
 			return Left({kind: failedBeforeAnyByte(error) ? 'unavailable' : 'outcome-unknown', detail: describeError(error)});
@@ -100,7 +100,7 @@
 
 	async readSnapshot(table: string): Promise<Either<TableFailure, FeedAnswer>> {
 		let rows: FeedRow[] = [];
-		let first: RowsRead | undefined;
+		let first: RowsWithEra | undefined;
 		let from = '';
 		for (;;) {
 			const answer = await this.#get('get', `/rows-get?${queryOf({table, part: '', ...(from === '' ? {} : {from})})}`);
@@ -137,10 +137,10 @@
 			.mapLeft(failure => failure.kind === 'unavailable' && failure.detail === `status ${historyLostStatus}` ? {kind: 'history-lost'} : failure);
 	}
 
-	async #get(call: 'get' | 'feed', path: string, waitMilliseconds = 0): Promise<Either<TableFailure, RowsRead>> {
+	async #get(call: 'get' | 'feed', path: string, waitMilliseconds = 0): Promise<Either<TableFailure, RowsWithEra>> {
 		try {
 			const answer = await exchangeJson({
-				method: 'GET', url: this.#baseUrl + path, timeoutMilliseconds: callMilliseconds + waitMilliseconds,
+				method: 'GET', url: this.#baseUrl + path, timeoutMilliseconds: callTimeoutMilliseconds + waitMilliseconds,
 			});
 			const {status, body} = answer;
 			const era = this.#noteEra(answer);
@@ -155,13 +155,13 @@
 	/** Returns the era of an answer. The latest era never decreases, since answers on two connections can arrive out of order. */
 	#noteEra({headers}: JsonAnswer): number {
 		const era = Number(headers[eraHeader] ?? 0);
-		const told = Number.isSafeInteger(era) ? era : 0;
-		this.#era = Math.max(this.#era, told);
-		return told;
+		const answerEra = Number.isSafeInteger(era) ? era : 0;
+		this.#era = Math.max(this.#era, answerEra);
+		return answerEra;
 	}
 }
 
-function judgeCommit({status, body}: JsonAnswer): Either<TableFailure, void> {
+function commitResultOf({status, body}: JsonAnswer): Either<TableFailure, void> {
 	if (status === 200) {
 		return Right(undefined);
 	}
@@ -170,7 +170,7 @@
 		return Left({kind: 'conflict', current: (body as unknown as RowsAnswer).rows.map(row => rowOf(row))});
 	}
 
-	return Left({kind: refusedStatuses.has(status) ? 'unavailable' : 'outcome-unknown', detail: `status ${status}`});
+	return Left({kind: notAppliedStatuses.has(status) ? 'unavailable' : 'outcome-unknown', detail: `status ${status}`});
 }
 
 function queryOf(parameters: Record<string, string | number>): string {
--- a/src/platform/settings-file.test.ts
+++ b/src/platform/settings-file.test.ts
@@ -3,7 +3,7 @@
 import {formatFinding} from '../shared/format-finding.js';
 import {readSettingsFile} from './settings-file.js';
 
-const whole = `node=front-split-1
+const validFile = `node=front-split-1
 zone=split
 ip=10.1.0.40
 listen.front=10.1.0.40:8005
@@ -21,7 +21,7 @@
 `;
 
 test('a settings file is read, and unknown fields are ignored', () => {
-	const settings = readSettingsFile(whole, 'boot.conf').unsafeCoerce();
+	const settings = readSettingsFile(validFile, 'boot.conf').unsafeCoerce();
 	assert.equal(settings.instance, 'front-split-1');
 	assert.equal(settings.bounds.graceMilliseconds, 8000);
 	assert.equal(settings.bounds.retryRatio, 0.2);
@@ -29,7 +29,7 @@
 });
 
 test('all findings are reported together, each with its line', () => {
-	const broken = whole.replace('zone=split\n', '').replace('revoke_ms=5000', 'revoke_ms=soon');
+	const broken = validFile.replace('zone=split\n', '').replace('revoke_ms=5000', 'revoke_ms=soon');
 	const findings = readSettingsFile(broken, 'boot.conf').swap().orDefault([]);
 	assert.deepEqual(findings.map(finding => formatFinding(finding)), [
 		'boot.conf:1:1: zone is missing',
--- a/src/settings/bad-arguments.test.ts
+++ b/src/settings/bad-arguments.test.ts
@@ -5,23 +5,23 @@
 import {fileURLToPath} from 'node:url';
 import {badUsageExitCode} from './read-settings.js';
 
-type BadStart = {
+type InvalidStart = {
 	program: string;
 	arguments: string[];
 	findings: string[];
 };
 
-const missing = (flag: string): string => `--${flag}: is missing; give it here or in SAVORYGAUGE_${flag.replaceAll('-', '_').toUpperCase()}`;
-const badStarts: BadStart[] = [
+const missingFinding = (flag: string): string => `--${flag}: is missing; give it here or in SAVORYGAUGE_${flag.replaceAll('-', '_').toUpperCase()}`;
+const invalidStarts: InvalidStart[] = [
 	{
 		program: 'entry',
 		arguments: ['--listen', 'localhost:80', '--lissten', '127.0.0.1:1', '--log-level'],
 		findings: [
 			'--lissten: unknown flag',
 			'127.0.0.1:1: unexpected argument',
-			...['instance', 'data-centre'].map(flag => missing(flag)),
+			...['instance', 'data-centre'].map(flag => missingFinding(flag)),
 			'--listen: "localhost:80" is not an IP:port',
-			...['operator-key', 'cache-secret', 'table-address', 'object-address', 'list-address'].map(flag => missing(flag)),
+			...['operator-key', 'cache-secret', 'table-address', 'object-address', 'list-address'].map(flag => missingFinding(flag)),
 			'--log-level: needs a value',
 		],
 	},
@@ -33,7 +33,7 @@
 			'--reason: is missing',
 			'--against: "-3" is not a whole number from 0 to 9007199254740991',
 			'--operator-address: "127.0.0.1:99999" is not an IP:port',
-			missing('operator-key'),
+			missingFinding('operator-key'),
 		],
 	},
 	{program: 'operator', arguments: ['check', 'no-such.yaml'], findings: ['no-such.yaml:1:1: cannot be read: ENOENT: no such file or directory, open \'no-such.yaml\'']},
@@ -56,7 +56,7 @@
 	},
 ];
 
-for (const {program, arguments: given, findings} of badStarts) {
+for (const {program, arguments: given, findings} of invalidStarts) {
 	test(`${program} ${given.join(' ')}: reports all findings, exits with status ${badUsageExitCode}, starts nothing`, () => {
 		const path = fileURLToPath(new URL(`../${program}/main.js`, import.meta.url));
 		const environment = Object.fromEntries(Object.entries(process.env).filter(([name]) => !name.startsWith('SAVORYGAUGE_')));
--- a/src/settings/read-settings.ts
+++ b/src/settings/read-settings.ts
@@ -47,10 +47,10 @@
  * @param expectedCount - The number of arguments other than flags that the command takes.
  * @returns One finding for each.
  */
-export function findLeftOver(command: Command, expectedCount = 0): Finding[] {
+export function findUnknownArguments(command: Command, expectedCount = 0): Finding[] {
 	const unknownFlags = command.args.filter(argument => argument.startsWith('-'));
-	const tooMany = command.args.filter(argument => !argument.startsWith('-')).slice(expectedCount);
-	return [...unknownFlags, ...tooMany].map(argument => ({
+	const excessArguments = command.args.filter(argument => !argument.startsWith('-')).slice(expectedCount);
+	return [...unknownFlags, ...excessArguments].map(argument => ({
 		place: {source: 'flag', name: argument}, message: argument.startsWith('-') ? 'unknown flag' : 'unexpected argument',
 	}));
 }
@@ -129,10 +129,10 @@
  * @returns The values.
  */
 export function readSettingsOrExit<Definitions extends SettingDefinitions>(command: Command, definitions: Definitions): SettingValues<Definitions> {
-	const leftOver = findLeftOver(command);
+	const unknownArguments = findUnknownArguments(command);
 	const checked = checkSettings(definitions, givenTextsOf(command, definitions));
-	if (leftOver.length > 0 || checked.isLeft()) {
-		return exitWithFindings([...leftOver, ...checked.swap().orDefault([])]);
+	if (unknownArguments.length > 0 || checked.isLeft()) {
+		return exitWithFindings([...unknownArguments, ...checked.swap().orDefault([])]);
 	}
 
 	return checked.unsafeCoerce();
--- a/src/timeline/main.ts
+++ b/src/timeline/main.ts
@@ -3,7 +3,7 @@
 import process from 'node:process';
 import {Command} from 'commander';
 import {
-	addSettingFlags, badUsageExitCode, checkSettings, exitWithFindings, findLeftOver, givenTextsOf,
+	addSettingFlags, badUsageExitCode, checkSettings, exitWithFindings, findUnknownArguments, givenTextsOf,
 } from '../settings/read-settings.js';
 import {programVersion} from '../shared/program-version.js';
 import {
@@ -35,7 +35,7 @@
 const command = timelineCommands.find(known => known === named);
 const checked = checkSettings(timelineSettingDefinitions, givenTextsOf(program, timelineSettingDefinitions));
 const findings = [
-	...findLeftOver(program, 1),
+	...findUnknownArguments(program, 1),
 	...(command === undefined ? [{place: {source: 'flag' as const, name: named}, message: `is no command; expected ${timelineCommands.join(', ')}`}] : []),
 	...checked.swap().orDefault([]),
 	...checked.map(settings => command === undefined ? [] : checkCommand(command, settings)).orDefault([]),
