--- a/src/declaration/check-declaration.ts
+++ b/src/declaration/check-declaration.ts
@@ -16,10 +16,10 @@
 	text: string;
 };
 
-const mostAliases = 100;
+const maxAliases = 100;
 
 type Path = ReadonlyArray<string | number>;
-type PlacedDeclaration = {declaration: Declaration; placeOf(path: Path): Finding['place']};
+type ParsedFile = {declaration: Declaration; placeOf(path: Path): Finding['place']};
 
 /**
  * Checks the files that together form one declaration.
@@ -29,27 +29,27 @@
  */
 export function checkDeclaration(files: readonly DeclarationFile[]): Either<Finding[], Declaration> {
 	const findings: Finding[] = [];
-	const placed: PlacedDeclaration[] = [];
+	const parsedFiles: ParsedFile[] = [];
 	for (const file of files) {
 		checkFile(file).caseOf({
 			Left(found) {
 				findings.push(...found);
 			},
 			Right(declaration) {
-				placed.push(declaration);
+				parsedFiles.push(declaration);
 			},
 		});
 	}
 
-	findings.push(...findRepeatedNames(placed));
+	findings.push(...findDuplicateNames(parsedFiles));
 	if (findings.length === 0) {
-		findings.push(...findAcrossFiles(placed));
+		findings.push(...findCrossFileErrors(parsedFiles));
 	}
 
-	return findings.length > 0 ? Left(findings) : Right(joinDeclarations(placed));
+	return findings.length > 0 ? Left(findings) : Right(mergeDeclarations(parsedFiles));
 }
 
-function checkFile({file, text}: DeclarationFile): Either<Finding[], PlacedDeclaration> {
+function checkFile({file, text}: DeclarationFile): Either<Finding[], ParsedFile> {
 	const lineCounter = new LineCounter();
 	const document = parseDocument(text, {lineCounter, prettyErrors: false, logLevel: 'error'});
 	const placeAt = (offset: number): Finding['place'] => {
@@ -65,7 +65,7 @@
 	}
 
 	const placeOf = (path: Path): Finding['place'] => placeAt(offsetOf(document, path));
-	const content = contentOf(document);
+	const content = resolveContent(document);
 	if (content.isLeft()) {
 		return Left([{place: placeAt(0), message: content.extract()}]);
 	}
@@ -84,9 +84,9 @@
 }
 
 /** Resolves YAML aliases. A file with too many of them is rejected, because nested aliases can expand until memory runs out. */
-function contentOf(document: Document): Either<string, unknown> {
+function resolveContent(document: Document): Either<string, unknown> {
 	try {
-		return Right(document.toJS({maxAliasCount: mostAliases}) as unknown);
+		return Right(document.toJS({maxAliasCount: maxAliases}) as unknown);
 	} catch (error) {
 		return Left((error as Error).message);
 	}
@@ -107,18 +107,18 @@
 const listNames = ['workspaces', 'services', 'rules', 'limits'] as const;
 type ListName = (typeof listNames)[number];
 
-function findRepeatedNames(placed: readonly PlacedDeclaration[]): Finding[] {
+function findDuplicateNames(parsedFiles: readonly ParsedFile[]): Finding[] {
 	const findings: Finding[] = [];
 	const seen = new Set<string>();
-	for (const {declaration, placeOf} of placed) {
+	for (const {declaration, placeOf} of parsedFiles) {
 		for (const list of listNames) {
 			for (const [index, {name}] of declaration[list].entries()) {
-				const full = `${list}/${name}`;
-				if (seen.has(full)) {
+				const qualifiedName = `${list}/${name}`;
+				if (seen.has(qualifiedName)) {
 					findings.push({place: placeOf([list, index, 'name']), message: `the name "${name}" is declared twice in ${list}`});
 				}
 
-				seen.add(full);
+				seen.add(qualifiedName);
 			}
 		}
 	}
@@ -127,17 +127,17 @@
 }
 
 /** Finds the errors that show only across files, such as references to names that no file declares. */
-function findAcrossFiles(placed: readonly PlacedDeclaration[]): Finding[] {
-	return findBrokenReferences(joinDeclarations(placed)).map(({path: [list, position, ...rest], message}) => {
-		const {placeOf, index} = placeInFiles(placed, list as ListName, Number(position));
+function findCrossFileErrors(parsedFiles: readonly ParsedFile[]): Finding[] {
+	return findBrokenReferences(mergeDeclarations(parsedFiles)).map(({path: [list, position, ...rest], message}) => {
+		const {placeOf, index} = locateInFiles(parsedFiles, list as ListName, Number(position));
 		return {place: placeOf([list!, index, ...rest]), message};
 	});
 }
 
 /** Finds the file that an item of the merged declaration came from, and the item's index there. */
-function placeInFiles(placed: readonly PlacedDeclaration[], list: ListName, position: number): {placeOf: PlacedDeclaration['placeOf']; index: number} {
+function locateInFiles(parsedFiles: readonly ParsedFile[], list: ListName, position: number): {placeOf: ParsedFile['placeOf']; index: number} {
 	let index = position;
-	for (const {declaration, placeOf} of placed) {
+	for (const {declaration, placeOf} of parsedFiles) {
 		if (index < declaration[list].length) {
 			return {placeOf, index};
 		}
@@ -148,11 +148,11 @@
 	throw new RangeError(`${list} has no item ${position}`);
 }
 
-function joinDeclarations(placed: readonly PlacedDeclaration[]): Declaration {
+function mergeDeclarations(parsedFiles: readonly ParsedFile[]): Declaration {
 	return {
-		workspaces: placed.flatMap(({declaration}) => declaration.workspaces),
-		services: placed.flatMap(({declaration}) => declaration.services),
-		rules: placed.flatMap(({declaration}) => declaration.rules),
-		limits: placed.flatMap(({declaration}) => declaration.limits),
+		workspaces: parsedFiles.flatMap(({declaration}) => declaration.workspaces),
+		services: parsedFiles.flatMap(({declaration}) => declaration.services),
+		rules: parsedFiles.flatMap(({declaration}) => declaration.rules),
+		limits: parsedFiles.flatMap(({declaration}) => declaration.limits),
 	};
 }
--- a/src/declaration/check-proposal.ts
+++ b/src/declaration/check-proposal.ts
@@ -13,8 +13,8 @@
 } from './declaration-schema.js';
 import {findBrokenReferences} from './find-broken-references.js';
 
-const mostEdits = 10_000;
-const longestTextCharacters = 1000;
+const maxEdits = 10_000;
+const maxTextCharacters = 1000;
 
 /** An error in a proposal, with its path in the proposal, for example `edits.0.item.share`. */
 export type ProposalFinding = {
@@ -34,10 +34,10 @@
 	kind: z.enum(['workspace', 'service', 'rule', 'limit', 'drain']),
 	name: z.string().min(1),
 });
-const text = z.string().trim().min(1).max(longestTextCharacters);
+const text = z.string().trim().min(1).max(maxTextCharacters);
 const proposalSchema = z.strictObject({
 	plannedAgainst: z.number().int().nonnegative(),
-	edits: z.array(z.union([setEdit, removeEdit])).min(1).max(mostEdits),
+	edits: z.array(z.union([setEdit, removeEdit])).min(1).max(maxEdits),
 	author: text,
 	reason: text,
 });
@@ -62,7 +62,7 @@
  * @param edits - The edits of the proposal.
  * @returns All findings; none if the resulting configuration is valid.
  */
-export function checkOutcome(state: ConfigurationState, edits: readonly ConfigurationEdit[]): ProposalFinding[] {
+export function checkResultingReferences(state: ConfigurationState, edits: readonly ConfigurationEdit[]): ProposalFinding[] {
 	const {workspaces, services, rules} = applyEdits(state, edits);
 	const lists = {workspaces: [...workspaces.values()], services: [...services.values()], rules: [...rules.values()]};
 	return findBrokenReferences(lists).map(({path: [list, index, ...rest], message}) => ({
@@ -70,12 +70,12 @@
 	}));
 }
 
-function findingsOf(issue: z.core.$ZodIssue, before: readonly PropertyKey[] = []): ProposalFinding[] {
-	const path = [...before, ...issue.path];
+function findingsOf(issue: z.core.$ZodIssue, parentPath: readonly PropertyKey[] = []): ProposalFinding[] {
+	const path = [...parentPath, ...issue.path];
 	if (issue.code === 'invalid_union') {
-		const [best] = issue.errors.toSorted((left, right) => depthOf(right) - depthOf(left) || left.length - right.length);
-		if (best !== undefined && best.length > 0) {
-			return best.flatMap(inner => findingsOf(inner, path));
+		const [closestBranch] = issue.errors.toSorted((left, right) => firstFindingDepth(right) - firstFindingDepth(left) || left.length - right.length);
+		if (closestBranch !== undefined && closestBranch.length > 0) {
+			return closestBranch.flatMap(inner => findingsOf(inner, path));
 		}
 	}
 
@@ -86,6 +86,6 @@
  * Returns how deep in the value the first finding of a union branch is. The branch that matched the furthest is most
  * likely the intended one.
  */
-function depthOf(issues: readonly z.core.$ZodIssue[]): number {
+function firstFindingDepth(issues: readonly z.core.$ZodIssue[]): number {
 	return issues[0]?.path.length ?? 0;
 }
--- a/src/declaration/declaration-schema.ts
+++ b/src/declaration/declaration-schema.ts
@@ -1,13 +1,13 @@
 /** The zod schema of a declaration file. Unknown keys are rejected, so that a misspelt key is reported and not ignored. */
 import {z} from 'zod';
 
-const longestNameCharacters = 63;
-const longestListedNameCharacters = 253;
-const longestTextCharacters = 1000;
-const largestShare = 1000;
-const longestDeadlineMilliseconds = 86_400_000;
+const maxNameCharacters = 63;
+const maxListedNameCharacters = 253;
+const maxTextCharacters = 1000;
+const maxShare = 1000;
+const maxDeadlineMilliseconds = 86_400_000;
 
-const name = z.string().regex(/^[a-z0-9][a-z0-9._\-]*$/v, 'must be lower-case letters, digits, ".", "_" or "-"').max(longestNameCharacters);
+const name = z.string().regex(/^[a-z0-9][a-z0-9._\-]*$/v, 'must be lower-case letters, digits, ".", "_" or "-"').max(maxNameCharacters);
 const priority = z.enum(['urgent', 'normal', 'overnight']);
 const keyDigest = z.string().regex(/^[0-9a-f]{64}$/v, 'must be a SHA-256 digest in hexadecimal; give the digest, never the key');
 
@@ -16,11 +16,11 @@
 	name,
 	keyDigests: z.array(keyDigest).min(1),
 	priority: priority.default('normal'),
-	share: z.number().positive().max(largestShare).default(1),
+	share: z.number().positive().max(maxShare).default(1),
 	services: z.array(name).min(1),
 });
 
-const neverTwiceRule = z.strictObject({
+const atMostOnceRule = z.strictObject({
 	method: z.enum(['POST', 'PUT', 'PATCH', 'DELETE']),
 	path: z.string().startsWith('/'),
 });
@@ -36,7 +36,7 @@
 	z.strictObject({
 		...common, kind: z.literal('model'), model: z.string().min(1), weightVersion: z.string().min(1),
 	}),
-	z.strictObject({...common, kind: z.literal('plain'), neverTwice: z.array(neverTwiceRule).default([])}),
+	z.strictObject({...common, kind: z.literal('plain'), neverTwice: z.array(atMostOnceRule).default([])}),
 ]);
 
 /** A routing rule. */
@@ -45,7 +45,7 @@
 	workspace: name.optional(),
 	service: name.optional(),
 	priority: priority.optional(),
-	deadlineMilliseconds: z.number().int().positive().max(longestDeadlineMilliseconds).optional(),
+	deadlineMilliseconds: z.number().int().positive().max(maxDeadlineMilliseconds).optional(),
 	dataCentres: z.array(name).min(1).optional(),
 });
 
@@ -60,8 +60,8 @@
 
 /** A drained endpoint. Files do not declare drains: operators' commands set and remove them. */
 export const drainSchema = z.strictObject({
-	name: z.string().min(1).max(longestListedNameCharacters),
-	reason: z.string().min(1).max(longestTextCharacters),
+	name: z.string().min(1).max(maxListedNameCharacters),
+	reason: z.string().min(1).max(maxTextCharacters),
 });
 
 /** A whole declaration file. */
--- a/src/declaration/describe-edit.ts
+++ b/src/declaration/describe-edit.ts
@@ -43,10 +43,10 @@
 	if (Array.isArray(before) && Array.isArray(after)) {
 		const beforeTexts = before.map(element => textOf(element));
 		const afterTexts = after.map(element => textOf(element));
-		const gone = beforeTexts.filter(text => !afterTexts.includes(text)).map(text => `-${text}`);
-		const come = afterTexts.filter(text => !beforeTexts.includes(text)).map(text => `+${text}`);
-		const told = [...gone, ...come];
-		return [`${name}: ${told.length === 0 ? 'order changed' : told.join(' ')}`];
+		const removed = beforeTexts.filter(text => !afterTexts.includes(text)).map(text => `-${text}`);
+		const added = afterTexts.filter(text => !beforeTexts.includes(text)).map(text => `+${text}`);
+		const differences = [...removed, ...added];
+		return [`${name}: ${differences.length === 0 ? 'order changed' : differences.join(' ')}`];
 	}
 
 	return [before === undefined ? `${name}: ${textOf(after)}` : `${name}: ${textOf(before)} -> ${textOf(after)}`];
--- a/src/declaration/plan-edits.ts
+++ b/src/declaration/plan-edits.ts
@@ -4,7 +4,7 @@
 import {type Declaration} from './declaration-schema.js';
 
 /** The kinds of items that files declare. Drains are excluded: operators' commands set and remove them, and no plan does. */
-const kinds = ['workspace', 'service', 'rule', 'limit'] as const;
+const declaredKinds = ['workspace', 'service', 'rule', 'limit'] as const;
 
 /**
  * Computes the edits that bring a configuration into line with a declaration.
@@ -14,7 +14,7 @@
  * @returns The edits: all sets, followed by all removals, each sorted by kind and name.
  */
 export function planEdits(state: ConfigurationState, declaration: Declaration): ConfigurationEdit[] {
-	const wanted: Record<(typeof kinds)[number], Array<{name: string}>> = {
+	const wanted: Record<(typeof declaredKinds)[number], Array<{name: string}>> = {
 		workspace: declaration.workspaces,
 		service: declaration.services,
 		rule: declaration.rules,
@@ -22,18 +22,18 @@
 	};
 	const sets: ConfigurationEdit[] = [];
 	const removes: ConfigurationEdit[] = [];
-	for (const kind of kinds) {
+	for (const kind of declaredKinds) {
 		const existing = itemsOfKind(state, kind);
 		const items = wanted[kind].toSorted((left, right) => left.name < right.name ? -1 : 1);
 		for (const item of items) {
 			if (!isSame(existing.get(item.name), item)) {
-				sets.push(setOf(kind, item));
+				sets.push(setEdit(kind, item));
 			}
 		}
 
 		const wantedNames = new Set(items.map(item => item.name));
-		const gone = [...existing.keys()].filter(name => !wantedNames.has(name)).toSorted();
-		removes.push(...gone.map(name => ({action: 'remove' as const, kind, name})));
+		const removedNames = [...existing.keys()].filter(name => !wantedNames.has(name)).toSorted();
+		removes.push(...removedNames.map(name => ({action: 'remove' as const, kind, name})));
 	}
 
 	return [...sets, ...removes];
@@ -50,19 +50,19 @@
 export function planRevert(state: ConfigurationState, earlier: ConfigurationState): ConfigurationEdit[] {
 	const sets: ConfigurationEdit[] = [];
 	const removes: ConfigurationEdit[] = [];
-	for (const kind of kinds) {
+	for (const kind of declaredKinds) {
 		const existing = itemsOfKind(state, kind);
 		const wanted = itemsOfKind(earlier, kind);
 		const changed = [...wanted.values()].filter(item => !isSame(existing.get(item.name), item));
-		sets.push(...changed.map(item => setOf(kind, item)));
-		const gone = [...existing.keys()].filter(name => !wanted.has(name));
-		removes.push(...gone.map(name => ({action: 'remove' as const, kind, name})));
+		sets.push(...changed.map(item => setEdit(kind, item)));
+		const removedNames = [...existing.keys()].filter(name => !wanted.has(name));
+		removes.push(...removedNames.map(name => ({action: 'remove' as const, kind, name})));
 	}
 
 	return [...sets, ...removes];
 }
 
-function setOf(kind: ConfigurationItem['kind'], item: ConfigurationItem['item']): ConfigurationEdit {
+function setEdit(kind: ConfigurationItem['kind'], item: ConfigurationItem['item']): ConfigurationEdit {
 	const edit = {action: 'set', kind, item};
 	return edit as ConfigurationEdit;
 }
--- a/src/entry/operators/answer-statement.ts
+++ b/src/entry/operators/answer-statement.ts
@@ -4,11 +4,11 @@
  */
 import {z} from 'zod';
 import {describeEdit} from '../../declaration/describe-edit.js';
-import {type AskAnswer, type AskRequest} from '../../language/ask.js';
+import {type StatementAnswer, type StatementRequest} from '../../language/statement-messages.js';
 import {checkRead, evaluateRead} from '../../language/evaluate-read.js';
 import {parseStatement} from '../../language/parse-statement.js';
-import {type ActPlan, formatAct, planAct} from '../../language/plan-act.js';
-import {type ActStatement, type LanguageError, type ReadStatement} from '../../language/statement.js';
+import {type CommandPlan, formatCommand, planCommand} from '../../language/plan-command.js';
+import {type CommandStatement, type LanguageError, type ReadStatement} from '../../language/statement.js';
 import {type EntryContext} from '../entry-context.js';
 import {CommandRunner} from './command-runner.js';
 import {catchUp} from './propose-change.js';
@@ -29,7 +29,7 @@
  * @param body - The request body as received; it is validated here.
  * @returns The answer; `error` if the body or the statement is invalid.
  */
-export async function answerStatement(context: EntryContext, peers: PeerView, body: unknown): Promise<AskAnswer> {
+export async function answerStatement(context: EntryContext, peers: PeerView, body: unknown): Promise<StatementAnswer> {
 	const request = requestSchema.safeParse(body);
 	if (!request.success) {
 		return errorOf(...request.error.issues.map(issue => ({column: 1, message: `${issue.path.join('.')}: ${issue.message}`})));
@@ -41,10 +41,10 @@
 	}
 
 	const parsed = statement.unsafeCoerce();
-	return parsed.kind === 'read' ? answerRead({context, peers}, parsed) : answerCommand(context, parsed, request.data as AskRequest);
+	return parsed.kind === 'read' ? answerRead({context, peers}, parsed) : answerCommand(context, parsed, request.data as StatementRequest);
 }
 
-async function answerRead({context, peers}: {context: EntryContext; peers: PeerView}, statement: ReadStatement): Promise<AskAnswer> {
+async function answerRead({context, peers}: {context: EntryContext; peers: PeerView}, statement: ReadStatement): Promise<StatementAnswer> {
 	const checked = checkRead(statement);
 	if (checked.isLeft()) {
 		return errorOf(checked.extract());
@@ -56,11 +56,11 @@
 	};
 }
 
-async function answerCommand(context: EntryContext, statement: ActStatement, {author, confirmedAgainst}: AskRequest): Promise<AskAnswer> {
+async function answerCommand(context: EntryContext, statement: CommandStatement, {author, confirmedAgainst}: StatementRequest): Promise<StatementAnswer> {
 	await catchUp(context);
 	const {state} = context.configuration;
 	const endpoints = [...context.endpoints.engines(), ...context.endpoints.plainEndpoints()].map(({name}) => name);
-	const planned = planAct(statement, {state, endpoints});
+	const planned = planCommand(statement, {state, endpoints});
 	if (planned.isLeft()) {
 		return errorOf(planned.extract());
 	}
@@ -78,21 +78,21 @@
 
 	// The command that runs must be the one that was shown. If another operator has changed the configuration in between, the
 	// command is refused, like any proposal against an old version.
-	const shown: ActPlan = plan.kind === 'change' ? {...plan, plannedAgainst: confirmedAgainst} : plan;
+	const shown: CommandPlan = plan.kind === 'change' ? {...plan, plannedAgainst: confirmedAgainst} : plan;
 	return new CommandRunner(context).run({
-		author, command: formatAct(statement), reason: statement.reason, plan: shown,
+		author, command: formatCommand(statement), reason: statement.reason, plan: shown,
 	});
 }
 
-function describePlan({configuration}: EntryContext, statement: ActStatement, plan: ActPlan): string[] {
+function describePlan({configuration}: EntryContext, statement: CommandStatement, plan: CommandPlan): string[] {
 	if (plan.kind === 'cancel') {
 		return [`cancel request ${plan.requestId} at the instance that serves it; its caller gets "cancelled"`, `because: ${statement.reason}`];
 	}
 
 	const changes = plan.edits.flatMap(edit => describeEdit(configuration.state, edit));
-	return [`${formatAct(statement)}: a configuration change against version ${plan.plannedAgainst}`, ...changes.map(line => `  ${line}`), `because: ${statement.reason}`];
+	return [`${formatCommand(statement)}: a configuration change against version ${plan.plannedAgainst}`, ...changes.map(line => `  ${line}`), `because: ${statement.reason}`];
 }
 
-function errorOf(...errors: LanguageError[]): AskAnswer {
+function errorOf(...errors: LanguageError[]): StatementAnswer {
 	return {kind: 'error', errors};
 }
--- a/src/entry/operators/command-runner.ts
+++ b/src/entry/operators/command-runner.ts
@@ -3,8 +3,8 @@
  * every change has a recorded author and reason.
  */
 import {describeEdit} from '../../declaration/describe-edit.js';
-import {type AskAnswer} from '../../language/ask.js';
-import {type ActPlan} from '../../language/plan-act.js';
+import {type StatementAnswer} from '../../language/statement-messages.js';
+import {type CommandPlan} from '../../language/plan-command.js';
 import {type EntryContext} from '../entry-context.js';
 import {
 	commandKeyOf, type CommandRecord, completeCommandRecord, writeCommandRecord,
@@ -16,7 +16,7 @@
 	author: string;
 	command: string;
 	reason: string;
-	plan: ActPlan;
+	plan: CommandPlan;
 };
 
 type Outcome = {kind: 'done' | 'not-done' | 'unknown'; lines: string[]};
@@ -28,7 +28,7 @@
 		this.#context = context;
 	}
 
-	async run(confirmed: ConfirmedCommand): Promise<AskAnswer> {
+	async run(confirmed: ConfirmedCommand): Promise<StatementAnswer> {
 		const {table, clock, identity, timeline} = this.#context;
 		const {plan, author, command: act, reason} = confirmed;
 		if (plan.kind === 'cancel' && !this.#isHere(plan.requestId)) {
@@ -66,7 +66,7 @@
 		return {kind: outcome === 'cancelled' ? 'done' : 'not-done', lines: [line]};
 	}
 
-	async #change({author, command: act, reason}: ConfirmedCommand, plan: ActPlan & {kind: 'change'}): Promise<Outcome> {
+	async #change({author, command: act, reason}: ConfirmedCommand, plan: CommandPlan & {kind: 'change'}): Promise<Outcome> {
 		const {plannedAgainst, edits} = plan;
 		const before = this.#context.configuration.state;
 		const accepted = await proposeChange(this.#context, {
--- a/src/entry/operators/propose-change.ts
+++ b/src/entry/operators/propose-change.ts
@@ -3,7 +3,7 @@
  * to the table service, which decides between concurrent proposals.
  */
 import {type Either, Left} from 'purify-ts/Either';
-import {checkOutcome, checkProposal, type ProposalFinding} from '../../declaration/check-proposal.js';
+import {checkResultingReferences, checkProposal, type ProposalFinding} from '../../declaration/check-proposal.js';
 import {
 	acceptProposal, type ConfigurationProposal, type ProposalFailure, readChangesAfter,
 } from '../../protocol/configuration/configuration-table.js';
@@ -59,7 +59,7 @@
 	// The resulting configuration can be checked only at the version that the proposal was planned against. If this instance
 	// has a newer version, the table service refuses the proposal anyway, because its head is newer too.
 	if (proposal.plannedAgainst === context.configuration.state.version) {
-		const findings = checkOutcome(context.configuration.state, proposal.edits);
+		const findings = checkResultingReferences(context.configuration.state, proposal.edits);
 		if (findings.length > 0) {
 			return Left({kind: 'bad-proposal', findings});
 		}
--- a/src/language/complete-line.ts
+++ b/src/language/complete-line.ts
@@ -2,7 +2,7 @@
 
 const verbs = ['drain', 'admit', 'pause', 'resume', 'cancel', 'move'];
 const readWords = ['where', 'order by', 'limit', 'and', 'or', 'not', 'contains', 'asc', 'desc'];
-const actWords = ['because', 'to', 'again'];
+const commandWords = ['because', 'to', 'again'];
 
 /**
  * Completes the last word of a line of the operators' language.
@@ -29,7 +29,7 @@
 	}
 
 	if (verbs.includes(first!)) {
-		return actWords;
+		return commandWords;
 	}
 
 	const source = (first === 'show' ? second : first) as keyof typeof fieldsOfSource;
--- a/src/language/evaluate-read.ts
+++ b/src/language/evaluate-read.ts
@@ -13,11 +13,11 @@
  */
 export function checkRead(statement: ReadStatement): Either<LanguageError, ReadStatement> {
 	const known: readonly string[] = fieldsOfSource[statement.source];
-	const named = [...(statement.where === undefined ? [] : fieldsOf(statement.where)), ...statement.order];
-	const wrong = named.find(({name}) => findField(known, name) === undefined);
-	return wrong === undefined
+	const usedFields = [...(statement.where === undefined ? [] : fieldsOf(statement.where)), ...statement.order];
+	const unknownField = usedFields.find(({name}) => findField(known, name) === undefined);
+	return unknownField === undefined
 		? Right(statement)
-		: Left({column: wrong.column, message: `${statement.source} have no field "${wrong.name}"; expected ${known.join(', ')}`});
+		: Left({column: unknownField.column, message: `${statement.source} have no field "${unknownField.name}"; expected ${known.join(', ')}`});
 }
 
 /**
@@ -30,8 +30,8 @@
 export function evaluateRead(statement: ReadStatement, rows: readonly Row[]): Table {
 	const {where, order, limit = Number.POSITIVE_INFINITY} = statement;
 	const columns = fieldsOfSource[statement.source];
-	const kept = where === undefined ? rows : rows.filter(row => meets(row, where, columns));
-	const sorted = kept.toSorted((left, right) => {
+	const matching = where === undefined ? rows : rows.filter(row => meets(row, where, columns));
+	const sorted = matching.toSorted((left, right) => {
 		for (const {name, descending} of order) {
 			const field = findField(columns, name)!;
 			const difference = compare(left[field], right[field]);
--- a/src/language/format-table.ts
+++ b/src/language/format-table.ts
@@ -1,6 +1,6 @@
 import {type Row, type Table} from './statement.js';
 
-const longestCellCharacters = 60;
+const maxCellCharacters = 60;
 
 /**
  * Formats a table as text: a line of column names, followed by one line for each row.
@@ -9,14 +9,14 @@
  * @returns The lines; columns are aligned, and long cells are truncated with "…".
  */
 export function formatTable({columns, rows}: Table): string[] {
-	const cells = rows.map(row => columns.map(column => cellOf(row[column])));
+	const cells = rows.map(row => columns.map(column => formatCell(row[column])));
 	const widths = columns.map((column, index) => Math.max(column.length, ...cells.map(line => line[index]!.length)));
-	const lineOf = (texts: readonly string[]): string => texts.map((text, index) => text.padEnd(widths[index]!)).join('  ').trimEnd();
-	return [lineOf(columns), ...cells.map(line => lineOf(line))];
+	const formatLine = (texts: readonly string[]): string => texts.map((text, index) => text.padEnd(widths[index]!)).join('  ').trimEnd();
+	return [formatLine(columns), ...cells.map(line => formatLine(line))];
 }
 
-function cellOf(value: Row[string]): string {
+function formatCell(value: Row[string]): string {
 	// Endpoints choose their own names. Control characters in them must not move the terminal's cursor or colour its lines.
 	const text = String(value ?? '-').replaceAll(/\p{Cc}/gv, '?');
-	return text.length > longestCellCharacters ? `${text.slice(0, longestCellCharacters - 1)}…` : text;
+	return text.length > maxCellCharacters ? `${text.slice(0, maxCellCharacters - 1)}…` : text;
 }
--- a/src/language/language.test.ts
+++ b/src/language/language.test.ts
@@ -6,8 +6,8 @@
 import {completeLine} from './complete-line.js';
 import {checkRead, evaluateRead} from './evaluate-read.js';
 import {parseStatement} from './parse-statement.js';
-import {planAct} from './plan-act.js';
-import {type ActStatement, type ReadStatement, type Row} from './statement.js';
+import {planCommand} from './plan-command.js';
+import {type CommandStatement, type ReadStatement, type Row} from './statement.js';
 
 const rows: Row[] = [
 	{
@@ -56,7 +56,7 @@
 }
 
 test('a command on an unknown name is rejected at the column of that name, with the known names', () => {
-	const plan = (text: string) => planAct(parseStatement(text).unsafeCoerce() as ActStatement, {state: emptyConfiguration, endpoints: ['riva-1']});
+	const plan = (text: string) => planCommand(parseStatement(text).unsafeCoerce() as CommandStatement, {state: emptyConfiguration, endpoints: ['riva-1']});
 	assert.deepEqual(plan('drain riva-9 because "fan"').swap().unsafeCoerce(), {column: 7, message: 'there is no endpoint "riva-9"; expected riva-1'});
 	assert.deepEqual(plan('drain riva-1 because "fan"').unsafeCoerce(), {
 		kind: 'change', plannedAgainst: 0, edits: [{action: 'set', kind: 'drain', item: {name: 'riva-1', reason: 'fan'}}],
--- a/src/language/parse-statement.ts
+++ b/src/language/parse-statement.ts
@@ -3,7 +3,7 @@
 import {type LanguageError, type Statement} from './statement.js';
 
 /** The longest line that is parsed. The bound limits the depth of nested conditions, and with it the parser's stack. */
-export const longestStatementCharacters = 1000;
+export const maxStatementCharacters = 1000;
 
 type Expectation = {type: 'literal'; text: string} | {type: 'other'; description: string} | {type: 'class' | 'any' | 'end'};
 type ParserError = {
@@ -20,8 +20,8 @@
  * parseStatement('endpoints where state = leaving order by name limit 5');
  */
 export function parseStatement(text: string): Either<LanguageError, Statement> {
-	if (text.length > longestStatementCharacters) {
-		return Left({column: longestStatementCharacters + 1, message: `a statement has at most ${longestStatementCharacters} characters`});
+	if (text.length > maxStatementCharacters) {
+		return Left({column: maxStatementCharacters + 1, message: `a statement has at most ${maxStatementCharacters} characters`});
 	}
 
 	const line = text.replaceAll(/[\r\n]/gv, ' ');
@@ -34,28 +34,28 @@
 		}
 
 		const {offset, column} = location.start;
-		const told = usefulOf(expected ?? []);
+		const described = describeExpectations(expected ?? []);
 		// At the end of a line, the parser may expect only a space. The words expected after that space are more useful.
-		const next = told.length === 0 && offset === line.length ? expectedBehind(line) : told;
-		return Left({column, message: `expected ${listOf(next)}, but found ${describeFound(line, offset)}`});
+		const next = described.length === 0 && offset === line.length ? expectedAfterSpace(line) : described;
+		return Left({column, message: `expected ${joinAlternatives(next)}, but found ${describeFound(line, offset)}`});
 	}
 }
 
-function expectedBehind(line: string): string[] {
+function expectedAfterSpace(line: string): string[] {
 	try {
 		(parse as (input: string) => unknown)(`${line} `);
 		return [];
 	} catch (error) {
-		return usefulOf((error as ParserError).expected ?? []);
+		return describeExpectations((error as ParserError).expected ?? []);
 	}
 }
 
-function usefulOf(expected: readonly Expectation[]): string[] {
+function describeExpectations(expected: readonly Expectation[]): string[] {
 	const texts = new Set(expected.map(expectation => describeExpectation(expectation)));
 	return [...texts].filter(text => text !== '' && text !== 'a space').toSorted();
 }
 
-function listOf(texts: readonly string[]): string {
+function joinAlternatives(texts: readonly string[]): string {
 	return texts.length < 2 ? (texts[0] ?? 'a space') : `${texts.slice(0, -1).join(', ')} or ${texts.at(-1)!}`;
 }
 
--- a/src/language/ask.ts
+++ b/src/language/statement-messages.ts
@@ -5,7 +5,7 @@
  * The request. A command is only previewed unless `confirmedAgainst` repeats the version of the configuration that it was
  * previewed for.
  */
-export type AskRequest = {
+export type StatementRequest = {
 	statement: string;
 	/** The person who sends the statement; required for commands. */
 	author?: string;
@@ -13,7 +13,7 @@
 };
 
 /** The answer: a table, the preview or outcome of a command, or errors in the statement. */
-export type AskAnswer
+export type StatementAnswer
 	= | {kind: 'table'; instance: string; columns: string[]; rows: Row[]; notes: string[]}
 		/** The preview of a command; nothing was done. */
 		| {kind: 'shown'; instance: string; plannedAgainst: number; lines: string[]}
--- a/src/language/statement.ts
+++ b/src/language/statement.ts
@@ -31,11 +31,11 @@
 };
 
 /** A command, with the reason that the operator gives for it. */
-export type ActStatement
+export type CommandStatement
 	= | {kind: 'act'; verb: 'drain' | 'admit' | 'pause' | 'resume' | 'cancel'; target: TargetName; reason: string}
 		| {kind: 'act'; verb: 'move'; target: TargetName; version: TargetName; reason: string};
 
-export type Statement = ReadStatement | ActStatement;
+export type Statement = ReadStatement | CommandStatement;
 
 /** An error in a line: the column, and what was expected there. */
 export type LanguageError = {
--- a/src/operator/main.ts
+++ b/src/operator/main.ts
@@ -14,14 +14,14 @@
 import {
 	type CommandOutput, failedExitCode, runApply, runCheck, runHistory, runPlan, runRevert, runShow,
 } from './declaration-commands.js';
-import {Desk, type DeskOptions} from './desk.js';
+import {OperatorConsole, type ConsoleOptions} from './operator-console.js';
 import {OperatorClient, OperatorClientError} from './operator-client.js';
 import {operatorSettingDefinitions} from './operator-settings.js';
-import {confirmerOf, runPrompt} from './run-prompt.js';
+import {createTerminalConfirm, runPrompt} from './run-prompt.js';
 
 const parseVersion = parseWholeNumberBetween(1, Number.MAX_SAFE_INTEGER);
 const parsePlanVersion = parseWholeNumberBetween(0, Number.MAX_SAFE_INTEGER);
-const manyFiles = Number.POSITIVE_INFINITY;
+const unlimitedCount = Number.POSITIVE_INFINITY;
 
 const output: CommandOutput = {
 	line(text) {
@@ -49,7 +49,7 @@
 	}
 
 	/** Collects the findings of a check. Read the value only after `exitOnFindings` has returned. */
-	take<Value>(checked: Either<Finding | Finding[], Value>): Either<unknown, Value> {
+	collect<Value>(checked: Either<Finding | Finding[], Value>): Either<unknown, Value> {
 		checked.ifLeft(found => {
 			this.#findings.push(...[found].flat());
 		});
@@ -57,7 +57,7 @@
 	}
 
 	flag<Value>(name: string, parse: (text: string) => Either<string, Value>): Either<unknown, Value> {
-		return this.take(checkText(`--${name}`, this.command.opts<Record<string, string | true>>()[name], parse));
+		return this.collect(checkText(`--${name}`, this.command.opts<Record<string, string | true>>()[name], parse));
 	}
 
 	authorship(): Either<unknown, {author: string; reason: string}> {
@@ -69,7 +69,7 @@
 	files(): string[] {
 		const files = this.command.args.filter(argument => !argument.startsWith('-'));
 		if (files.length === 0) {
-			this.take(Left({place: {source: 'flag', name: 'FILE'}, message: 'is missing'}));
+			this.collect(Left({place: {source: 'flag', name: 'FILE'}, message: 'is missing'}));
 		}
 
 		return files;
@@ -77,11 +77,11 @@
 
 	version(): Either<unknown, number> {
 		const version = this.command.args.find(argument => !argument.startsWith('-'));
-		return this.take(checkText('VERSION', version, parseVersion));
+		return this.collect(checkText('VERSION', version, parseVersion));
 	}
 
 	clients(): Either<unknown, OperatorClient[]> {
-		const settings = this.take(checkSettings(operatorSettingDefinitions, givenTextsOf(this.command, operatorSettingDefinitions)));
+		const settings = this.collect(checkSettings(operatorSettingDefinitions, givenTextsOf(this.command, operatorSettingDefinitions)));
 		return settings.map(({operatorAddress, operatorKey}) => operatorAddress.map(address => new OperatorClient(address, operatorKey)));
 	}
 
@@ -90,15 +90,15 @@
 	}
 
 	/** Reports the findings and ends the process, if there are any. */
-	endCheck(): void {
+	exitOnFindings(): void {
 		if (this.#findings.length > 0) {
 			exitWithFindings(this.#findings);
 		}
 	}
 }
 
-const finish = async (input: CheckedInput, work: () => Promise<number>): Promise<void> => {
-	input.endCheck();
+const runIfValid = async (input: CheckedInput, work: () => Promise<number>): Promise<void> => {
+	input.exitOnFindings();
 	try {
 		process.exitCode = await work();
 	} catch (error) {
@@ -123,26 +123,26 @@
 
 addCommand('check [file...]', 'check declaration files; all findings are reported with file, line and column')
 	.action(async (_files, _options, command: Command) => {
-		const input = new CheckedInput(command, manyFiles);
+		const input = new CheckedInput(command, unlimitedCount);
 		const files = input.files();
-		await finish(input, async () => runCheck(files, output));
+		await runIfValid(input, async () => runCheck(files, output));
 	});
 addCommand('plan [file...]', 'show member by member what applying the files would change')
 	.action(async (_files, _options, command: Command) => {
-		const input = new CheckedInput(command, manyFiles);
+		const input = new CheckedInput(command, unlimitedCount);
 		const files = input.files();
 		const client = input.client();
-		await finish(input, async () => runPlan(files, client.unsafeCoerce(), output));
+		await runIfValid(input, async () => runPlan(files, client.unsafeCoerce(), output));
 	});
 addAuthorship(addCommand('apply [file...]', 'bring the files into force, unless the configuration has changed since the plan'))
 	.option('--against [version]', 'version that the plan was made against')
 	.action(async (_files, options: {against?: string}, command: Command) => {
-		const input = new CheckedInput(command, manyFiles);
+		const input = new CheckedInput(command, unlimitedCount);
 		const files = input.files();
 		const authorship = input.authorship();
 		const against = options.against === undefined ? Right(undefined) : input.flag('against', parsePlanVersion);
 		const client = input.client();
-		await finish(input, async () => {
+		await runIfValid(input, async () => {
 			const plannedAgainst = against.unsafeCoerce();
 			return runApply(files, {...authorship.unsafeCoerce(), ...(plannedAgainst === undefined ? {} : {plannedAgainst})}, client.unsafeCoerce(), output);
 		});
@@ -151,14 +151,14 @@
 	.action(async (_options, command: Command) => {
 		const input = new CheckedInput(command, 0);
 		const client = input.client();
-		await finish(input, async () => runHistory(client.unsafeCoerce(), output));
+		await runIfValid(input, async () => runHistory(client.unsafeCoerce(), output));
 	});
 addCommand('show [version]', 'show one accepted change')
 	.action(async (_version, _options, command: Command) => {
 		const input = new CheckedInput(command, 1);
 		const version = input.version();
 		const client = input.client();
-		await finish(input, async () => runShow(version.unsafeCoerce(), client.unsafeCoerce(), output));
+		await runIfValid(input, async () => runShow(version.unsafeCoerce(), client.unsafeCoerce(), output));
 	});
 addAuthorship(addCommand('revert [version]', 'make a new version with the content of an earlier one'))
 	.action(async (_version, _options, command: Command) => {
@@ -166,30 +166,30 @@
 		const version = input.version();
 		const authorship = input.authorship();
 		const client = input.client();
-		await finish(input, async () => runRevert(version.unsafeCoerce(), authorship.unsafeCoerce(), client.unsafeCoerce(), output));
+		await runIfValid(input, async () => runRevert(version.unsafeCoerce(), authorship.unsafeCoerce(), client.unsafeCoerce(), output));
 	});
-const addDesk = (command: Command): Command => command
+const addConsoleOptions = (command: Command): Command => command
 	.option('--json', 'print JSON for programs in place of tables for people')
 	.addOption(new Option('--author [name]', 'who; recorded with each command').default(userInfo().username));
-const deskOptionsOf = (input: CheckedInput): Either<unknown, DeskOptions> => {
+const consoleOptionsOf = (input: CheckedInput): Either<unknown, ConsoleOptions> => {
 	const {json = false, yes = false} = input.command.opts<{json?: boolean; yes?: boolean}>();
 	return input.flag('author', parseText).map(author => ({author, json, yes}));
 };
 
-addDesk(addCommand('ask [statement]', 'run one statement of the query language, a read or a command; see docs/LANGUAGE.md'))
+addConsoleOptions(addCommand('ask [statement]', 'run one statement of the query language, a read or a command; see docs/LANGUAGE.md'))
 	.option('--yes', 'carry out a command without confirmation')
 	.action(async (_statement, _options, command: Command) => {
 		const input = new CheckedInput(command, 1);
-		const statement = input.take(checkText('STATEMENT', command.args.find(argument => !argument.startsWith('-')), parseText));
-		const options = deskOptionsOf(input);
+		const statement = input.collect(checkText('STATEMENT', command.args.find(argument => !argument.startsWith('-')), parseText));
+		const options = consoleOptionsOf(input);
 		const clients = input.clients();
-		await finish(input, async () => new Desk(clients.unsafeCoerce(), options.unsafeCoerce(), output).ask(statement.unsafeCoerce(), confirmerOf()));
+		await runIfValid(input, async () => new OperatorConsole(clients.unsafeCoerce(), options.unsafeCoerce(), output).execute(statement.unsafeCoerce(), createTerminalConfirm()));
 	});
-addDesk(addCommand('prompt', 'run statements line by line, with history and completion by the tab key'))
+addConsoleOptions(addCommand('prompt', 'run statements line by line, with history and completion by the tab key'))
 	.action(async (_options, command: Command) => {
 		const input = new CheckedInput(command, 0);
-		const options = deskOptionsOf(input);
+		const options = consoleOptionsOf(input);
 		const clients = input.clients();
-		await finish(input, async () => runPrompt(new Desk(clients.unsafeCoerce(), options.unsafeCoerce(), output), {input: process.stdin, output: process.stdout}));
+		await runIfValid(input, async () => runPrompt(new OperatorConsole(clients.unsafeCoerce(), options.unsafeCoerce(), output), {input: process.stdin, output: process.stdout}));
 	});
 await program.parseAsync();
--- a/src/operator/operator-client.ts
+++ b/src/operator/operator-client.ts
@@ -54,11 +54,11 @@
 		return {
 			version: body.version,
 			digest: body.digest,
-			workspaces: byName(body.workspaces),
-			services: byName(body.services),
-			rules: byName(body.rules),
-			limits: byName(body.limits),
-			drains: byName(body.drains),
+			workspaces: indexByName(body.workspaces),
+			services: indexByName(body.services),
+			rules: indexByName(body.rules),
+			limits: indexByName(body.limits),
+			drains: indexByName(body.drains),
 		};
 	}
 
@@ -150,6 +150,6 @@
 	}
 }
 
-function byName<Item extends {name: string}>(items: readonly Item[]): Map<string, Item> {
+function indexByName<Item extends {name: string}>(items: readonly Item[]): Map<string, Item> {
 	return new Map(items.map(item => [item.name, item]));
 }
--- a/src/operator/desk.test.ts
+++ b/src/operator/operator-console.test.ts
@@ -2,17 +2,17 @@
 import {after, test} from 'node:test';
 import {connectionPool} from '../adapters/http-client.js';
 import {testOperatorKey, TestEntries} from '../entry/operators/test-entries.js';
-import {Desk} from './desk.js';
+import {OperatorConsole} from './operator-console.js';
 import {OperatorClient} from './operator-client.js';
 
 after(async () => connectionPool.close());
 
-type Asked = {status: number; lines: string[]; problems: string[]};
+type ConsoleResult = {status: number; lines: string[]; problems: string[]};
 
-async function start(further: readonly string[] = []): Promise<{entries: TestEntries; ask(text: string, confirmed?: boolean): Promise<Asked>}> {
+async function start(furtherAddresses: readonly string[] = []): Promise<{entries: TestEntries; ask(text: string, confirmed?: boolean): Promise<ConsoleResult>}> {
 	const entries = new TestEntries();
 	await entries.start(2, {'list-poll-milliseconds': '10'});
-	const clients = [...entries.addresses.map(({operators}) => operators), ...further].map(address => new OperatorClient(address, testOperatorKey));
+	const clients = [...entries.addresses.map(({operators}) => operators), ...furtherAddresses].map(address => new OperatorClient(address, testOperatorKey));
 	await clients[0]!.propose({
 		plannedAgainst: 0,
 		author: 'ana',
@@ -23,18 +23,18 @@
 			},
 		}],
 	});
-	const ask = async (text: string, confirmed = false): Promise<Asked> => {
-		const asked: Asked = {status: 0, lines: [], problems: []};
-		const desk = new Desk(clients, {author: 'ana', json: false, yes: false}, {
+	const ask = async (text: string, confirmed = false): Promise<ConsoleResult> => {
+		const result: ConsoleResult = {status: 0, lines: [], problems: []};
+		const operatorConsole = new OperatorConsole(clients, {author: 'ana', json: false, yes: false}, {
 			line(line) {
-				asked.lines.push(line);
+				result.lines.push(line);
 			},
 			problem(line) {
-				asked.problems.push(line);
+				result.problems.push(line);
 			},
 		});
-		asked.status = await desk.ask(text, async () => confirmed);
-		return asked;
+		result.status = await operatorConsole.execute(text, async () => confirmed);
+		return result;
 	};
 
 	return {entries, ask};
--- a/src/operator/desk.ts
+++ b/src/operator/operator-console.ts
@@ -1,17 +1,17 @@
 /** The operators' console: executes a line of the query language at one or more entries, and prints the result. */
-import {type AskAnswer, type AskRequest} from '../language/ask.js';
+import {type StatementAnswer, type StatementRequest} from '../language/statement-messages.js';
 import {checkRead} from '../language/evaluate-read.js';
 import {formatTable} from '../language/format-table.js';
 import {mergeTables} from '../language/merge-tables.js';
 import {parseStatement} from '../language/parse-statement.js';
 import {sourcesPerInstance} from '../language/sources.js';
-import {type ActStatement, type LanguageError, type ReadStatement} from '../language/statement.js';
+import {type CommandStatement, type LanguageError, type ReadStatement} from '../language/statement.js';
 import {badUsageExitCode} from '../settings/read-settings.js';
 import {type CommandOutput, failedExitCode, unknownExitCode} from './declaration-commands.js';
 import {type OperatorClient, OperatorClientError} from './operator-client.js';
 
 /** Options of the console. */
-export type DeskOptions = {
+export type ConsoleOptions = {
 	author: string;
 	/** Whether to print JSON in place of tables. */
 	json: boolean;
@@ -22,14 +22,14 @@
 /** Asks the operator to confirm the command that was previewed. */
 export type Confirm = () => Promise<boolean>;
 
-type TableAnswer = AskAnswer & {kind: 'table'};
+type TableAnswer = StatementAnswer & {kind: 'table'};
 
-export class Desk {
+export class OperatorConsole {
 	readonly #clients: readonly OperatorClient[];
-	readonly #options: DeskOptions;
+	readonly #options: ConsoleOptions;
 	readonly #output: CommandOutput;
 
-	constructor(clients: readonly OperatorClient[], options: DeskOptions, output: CommandOutput) {
+	constructor(clients: readonly OperatorClient[], options: ConsoleOptions, output: CommandOutput) {
 		this.#clients = clients;
 		this.#options = options;
 		this.#output = output;
@@ -40,17 +40,17 @@
 	}
 
 	/** Executes one line. Resolves with the exit status of the program. */
-	async ask(text: string, confirm: Confirm): Promise<number> {
+	async execute(text: string, confirm: Confirm): Promise<number> {
 		const statement = parseStatement(text).chain(parsed => parsed.kind === 'read' ? checkRead(parsed) : parseStatement(text));
 		return statement.caseOf({
 			Left: async error => this.#reportErrors(text, [error]),
-			Right: async parsed => parsed.kind === 'read' ? this.#read(text, parsed) : this.#act(text, parsed, confirm),
+			Right: async parsed => parsed.kind === 'read' ? this.#executeRead(text, parsed) : this.#executeCommand(text, parsed, confirm),
 		});
 	}
 
-	async #read(text: string, statement: ReadStatement): Promise<number> {
+	async #executeRead(text: string, statement: ReadStatement): Promise<number> {
 		const isPerInstance = sourcesPerInstance.has(statement.source);
-		const {answers, notes} = isPerInstance ? await this.#askAll({statement: text}) : await this.#askFirst({statement: text});
+		const {answers, notes} = isPerInstance ? await this.#sendToAll({statement: text}) : await this.#sendToFirst({statement: text});
 		const failed = answers.find(answer => answer.kind === 'error');
 		if (failed !== undefined) {
 			return this.#reportErrors(text, failed.errors);
@@ -58,12 +58,12 @@
 
 		const tables = answers.filter((answer): answer is TableAnswer => answer.kind === 'table');
 		const table = mergeTables(statement, tables.map(({rows}) => rows));
-		const told = [...tables.flatMap(answer => answer.notes), ...notes];
+		const allNotes = [...tables.flatMap(answer => answer.notes), ...notes];
 		if (this.#options.json) {
-			this.#output.line(JSON.stringify({...table, notes: told}));
+			this.#output.line(JSON.stringify({...table, notes: allNotes}));
 		} else {
 			this.#print([...formatTable(table), table.rows.length === 1 ? '1 row' : `${table.rows.length} rows`]);
-			for (const note of told) {
+			for (const note of allNotes) {
 				this.#output.problem(note);
 			}
 		}
@@ -71,14 +71,14 @@
 		return notes.length > 0 ? failedExitCode : 0;
 	}
 
-	async #act(text: string, statement: ActStatement, confirm: Confirm): Promise<number> {
-		const {answers: [shown], notes} = await this.#askFirst({statement: text});
-		if (shown?.kind !== 'shown') {
-			return shown?.kind === 'error' ? this.#reportErrors(text, shown.errors) : this.#fail(notes);
+	async #executeCommand(text: string, statement: CommandStatement, confirm: Confirm): Promise<number> {
+		const {answers: [preview], notes} = await this.#sendToFirst({statement: text});
+		if (preview?.kind !== 'shown') {
+			return preview?.kind === 'error' ? this.#reportErrors(text, preview.errors) : this.#fail(notes);
 		}
 
 		if (!this.#options.json) {
-			this.#print(shown.lines);
+			this.#print(preview.lines);
 		}
 
 		if (!this.#options.yes && !await confirm()) {
@@ -86,12 +86,12 @@
 			return failedExitCode;
 		}
 
-		const request = {statement: text, author: this.#options.author, confirmedAgainst: shown.plannedAgainst};
-		const done = statement.verb === 'cancel' ? await this.#askAll(request) : await this.#askFirst(request);
-		return this.#reportAct(text, done);
+		const request = {statement: text, author: this.#options.author, confirmedAgainst: preview.plannedAgainst};
+		const outcome = statement.verb === 'cancel' ? await this.#sendToAll(request) : await this.#sendToFirst(request);
+		return this.#reportOutcome(text, outcome);
 	}
 
-	#reportAct(text: string, {answers, notes}: {answers: AskAnswer[]; notes: string[]}): number {
+	#reportOutcome(text: string, {answers, notes}: {answers: StatementAnswer[]; notes: string[]}): number {
 		const best = answers.find(({kind}) => kind === 'done') ?? answers.find(({kind}) => kind === 'unknown') ?? answers[0];
 		if (best === undefined) {
 			return this.#fail(notes);
@@ -117,12 +117,12 @@
 	}
 
 	/** Sends a request to all entries; each failed request adds a note. */
-	async #askAll(request: AskRequest): Promise<{answers: AskAnswer[]; notes: string[]}> {
-		const answers: AskAnswer[] = [];
+	async #sendToAll(request: StatementRequest): Promise<{answers: StatementAnswer[]; notes: string[]}> {
+		const answers: StatementAnswer[] = [];
 		const notes: string[] = [];
 		await Promise.all(this.#clients.map(async client => {
 			try {
-				answers.push(await askOne(client, request));
+				answers.push(await sendTo(client, request));
 			} catch (error) {
 				notes.push(noteOf(error));
 			}
@@ -131,11 +131,11 @@
 	}
 
 	/** Sends a request to the entries in turn until one answers. A confirmed command is sent to the first entry only. */
-	async #askFirst(request: AskRequest): Promise<{answers: AskAnswer[]; notes: string[]}> {
+	async #sendToFirst(request: StatementRequest): Promise<{answers: StatementAnswer[]; notes: string[]}> {
 		const notes: string[] = [];
 		for (const client of this.#clients) {
 			try {
-				return {answers: [await askOne(client, request)], notes: []};
+				return {answers: [await sendTo(client, request)], notes: []};
 			} catch (error) {
 				notes.push(noteOf(error));
 				if (request.confirmedAgainst !== undefined) {
@@ -177,13 +177,13 @@
 	}
 }
 
-async function askOne(client: OperatorClient, request: AskRequest): Promise<AskAnswer> {
+async function sendTo(client: OperatorClient, request: StatementRequest): Promise<StatementAnswer> {
 	const {status, body} = await client.exchange('POST', '/operator/ask', request);
 	if ((status !== 200 && status !== 400) || body === undefined) {
 		throw new OperatorClientError(`${client.address} answered ${status}`);
 	}
 
-	return body as unknown as AskAnswer;
+	return body as unknown as StatementAnswer;
 }
 
 function noteOf(error: unknown): string {
--- a/src/operator/run-prompt.ts
+++ b/src/operator/run-prompt.ts
@@ -3,7 +3,7 @@
 import {createInterface, type Interface} from 'node:readline/promises';
 import {completeLine} from '../language/complete-line.js';
 import {fieldsOfSource} from '../language/sources.js';
-import {type Confirm, type Desk} from './desk.js';
+import {type Confirm, type OperatorConsole} from './operator-console.js';
 
 /** The streams of the prompt. */
 export type PromptStreams = {
@@ -16,11 +16,11 @@
 /**
  * Runs the prompt until `exit` or the end of the input.
  *
- * @param desk - The console that executes the lines.
+ * @param operatorConsole - The console that executes the lines.
  * @param streams - The input and output of the prompt.
  * @returns The exit status of the last line, so that a script that pipes lines in can check it.
  */
-export async function runPrompt(desk: Desk, streams: PromptStreams): Promise<number> {
+export async function runPrompt(operatorConsole: OperatorConsole, streams: PromptStreams): Promise<number> {
 	const reader = createInterface({...streams, completer: completeLine, prompt: 'savorygauge> '});
 	const lines = reader[Symbol.asyncIterator]();
 	const confirm = async (): Promise<boolean> => {
@@ -30,15 +30,15 @@
 	};
 
 	const status = await readLines({
-		desk, reader, lines, confirm,
+		operatorConsole: operatorConsole, reader, lines, confirm,
 	});
 	reader.close();
 	return status;
 }
 
-type PromptParts = {desk: Desk; reader: Interface; lines: AsyncIterator<string>; confirm: Confirm};
+type PromptContext = {operatorConsole: OperatorConsole; reader: Interface; lines: AsyncIterator<string>; confirm: Confirm};
 
-async function readLines({desk, reader, lines, confirm}: PromptParts): Promise<number> {
+async function readLines({operatorConsole: operatorConsole, reader, lines, confirm}: PromptContext): Promise<number> {
 	let status = 0;
 	for (;;) {
 		reader.prompt();
@@ -49,16 +49,16 @@
 		}
 
 		if (line === 'help') {
-			desk.output.line(`sources: ${Object.keys(fieldsOfSource).join(', ')} [where …] [order by …] [limit …]`);
-			desk.output.line('commands: drain, admit, pause, resume, cancel NAME, move MODEL to VERSION, each with because "reason"');
+			operatorConsole.output.line(`sources: ${Object.keys(fieldsOfSource).join(', ')} [where …] [order by …] [limit …]`);
+			operatorConsole.output.line('commands: drain, admit, pause, resume, cancel NAME, move MODEL to VERSION, each with because "reason"');
 		} else if (line !== '') {
-			status = await desk.ask(line, confirm);
+			status = await operatorConsole.execute(line, confirm);
 		}
 	}
 }
 
 /** Asks for confirmation on the terminal. Without a terminal, nothing is confirmed. */
-export function confirmerOf(): Confirm {
+export function createTerminalConfirm(): Confirm {
 	return async () => {
 		if (!process.stdin.isTTY) {
 			return false;
--- a/src/timeline/collector.ts
+++ b/src/timeline/collector.ts
@@ -13,8 +13,8 @@
 import {matchesFilter} from './matches-filter.js';
 import {parseTimelineMessage, type TimelineQuery, type TimelineReply} from './timeline-messages.js';
 
-const mostConnections = 4096;
-const replyEvents = 500;
+const maxConnections = 4096;
+const eventsPerReply = 500;
 
 type Follower = {
 	socket: Socket;
@@ -39,7 +39,7 @@
 		this.#server = createServer(socket => {
 			this.#receive(socket);
 		});
-		this.#server.maxConnections = mostConnections;
+		this.#server.maxConnections = maxConnections;
 	}
 
 	/** Starts to listen. Resolves with the address as `IP:port`. */
@@ -75,27 +75,27 @@
 				},
 				Right: values => {
 					for (const value of values) {
-						this.#take(value, socket);
+						this.#handleMessage(value, socket);
 					}
 				},
 			});
 		});
 	}
 
-	#take(value: unknown, socket: Socket): void {
+	#handleMessage(value: unknown, socket: Socket): void {
 		const message = parseTimelineMessage(value);
 		if (message === undefined) {
 			socket.destroy();
 		} else if (message.kind === 'batch') {
-			this.#store.take(message.batch);
+			this.#store.add(message.batch);
 			this.#onBatch(message.batch);
-			this.#passOn(message.batch.events);
+			this.#publish(message.batch.events);
 		} else {
-			void this.#answer(socket, message.query);
+			void this.#answerQuery(socket, message.query);
 		}
 	}
 
-	async #answer(socket: Socket, query: TimelineQuery): Promise<void> {
+	async #answerQuery(socket: Socket, query: TimelineQuery): Promise<void> {
 		const events = this.#store.events(query.query);
 		// The follower is registered together with the snapshot, so that it misses no event between the two.
 		const follower = {socket, query, skipped: 0};
@@ -106,8 +106,8 @@
 			});
 		}
 
-		for (let from = 0; from < events.length && !socket.destroyed; from += replyEvents) {
-			await this.#reply(socket, {events: events.slice(from, from + replyEvents), isComplete: false});
+		for (let from = 0; from < events.length && !socket.destroyed; from += eventsPerReply) {
+			await this.#reply(socket, {events: events.slice(from, from + eventsPerReply), isComplete: false});
 		}
 
 		await this.#reply(socket, {events: [], isComplete: true});
@@ -126,7 +126,7 @@
 		}
 	}
 
-	#passOn(events: readonly TimelineEvent[]): void {
+	#publish(events: readonly TimelineEvent[]): void {
 		for (const follower of this.#followers) {
 			const wanted = events.filter(event => matchesFilter(event, follower.query.query));
 			if (wanted.length === 0) {
--- a/src/timeline/draw-text.ts
+++ b/src/timeline/draw-text.ts
@@ -1,22 +1,22 @@
-import {type RequestWay, type WayStep} from './request-way.js';
+import {type RequestTrace, type TraceStep} from './request-trace.js';
 
 const timeWidth = 12;
-const leastLaneWidth = 14;
+const minLaneWidth = 14;
 
 /**
  * Draws the trace of a request as text: one lane for each process, one line for each step, arrows between lanes.
  *
- * @param way - The trace.
+ * @param trace - The trace.
  * @returns The lines.
  */
-export function drawText(way: RequestWay): string[] {
-	const width = Math.max(leastLaneWidth, ...way.lanes.map(lane => lane.length + 2));
-	const head = `request ${way.requestId} of ${way.workspace}, ${new Date(way.startedAt).toISOString()}, ${way.steps.length} events`;
-	const names = ' '.repeat(timeWidth) + way.lanes.map(lane => lane.padEnd(width)).join('');
-	return [head, names.trimEnd(), ...way.steps.map(step => lineOf(step, way.lanes, width))];
+export function drawText(trace: RequestTrace): string[] {
+	const width = Math.max(minLaneWidth, ...trace.lanes.map(lane => lane.length + 2));
+	const head = `request ${trace.requestId} of ${trace.workspace}, ${new Date(trace.startedAt).toISOString()}, ${trace.steps.length} events`;
+	const names = ' '.repeat(timeWidth) + trace.lanes.map(lane => lane.padEnd(width)).join('');
+	return [head, names.trimEnd(), ...trace.steps.map(step => drawStep(step, trace.lanes, width))];
 }
 
-function lineOf(step: WayStep, lanes: readonly string[], width: number): string {
+function drawStep(step: TraceStep, lanes: readonly string[], width: number): string {
 	const characters: string[] = Array.from({length: lanes.length * width}, (_, index) => index % width === 0 ? '|' : ' ');
 	const from = lanes.indexOf(step.from) * width;
 	if (step.to === undefined) {
--- a/src/timeline/event-store.ts
+++ b/src/timeline/event-store.ts
@@ -9,7 +9,7 @@
 
 /** How far the store may exceed its limit before it is trimmed, so that it is not copied for every batch. */
 const slackShare = 0.1;
-const mostProcessStarts = 10_000;
+const maxProcessStarts = 10_000;
 
 type ProcessStart = {
 	instance: string;
@@ -31,7 +31,7 @@
 	}
 
 	/** Adds a batch of events from one process. */
-	take(batch: TimelineBatch): void {
+	add(batch: TimelineBatch): void {
 		this.#events.push(...batch.events);
 		if (this.#events.length > this.#limit * (1 + slackShare)) {
 			this.#events = this.#events.slice(-this.#limit);
@@ -44,7 +44,7 @@
 
 	/** Returns the retained events that pass a filter, by time. Events of one process with equal times stay in its order. */
 	events(filter: EventFilter = {}): TimelineEvent[] {
-		return orderEvents(this.#events.filter(event => matchesFilter(event, filter)));
+		return sortEvents(this.#events.filter(event => matchesFilter(event, filter)));
 	}
 
 	/** Returns the numbers of missing events for each process start that misses any. */
@@ -64,7 +64,7 @@
 		this.#starts.set(key, {
 			...known, dropped: Math.max(known.dropped, dropped), received: known.received + 1, highest: Math.max(known.highest, sequence),
 		});
-		if (this.#starts.size > mostProcessStarts) {
+		if (this.#starts.size > maxProcessStarts) {
 			const [oldest] = this.#starts.keys();
 			this.#starts.delete(oldest!);
 		}
@@ -77,6 +77,6 @@
  * @param events - Events of any processes; the array is not changed.
  * @returns The events sorted by time, and by sequence number where the times are equal.
  */
-export function orderEvents(events: readonly TimelineEvent[]): TimelineEvent[] {
+export function sortEvents(events: readonly TimelineEvent[]): TimelineEvent[] {
 	return events.toSorted((left, right) => left.at - right.at || left.sequence - right.sequence);
 }
--- a/src/timeline/format-event.ts
+++ b/src/timeline/format-event.ts
@@ -10,9 +10,9 @@
 	const {
 		at, instance, kind, requestId, attempt, workspace, endpoint, configurationVersion, detail,
 	} = event;
-	const causes = Object.entries({
+	const details = Object.entries({
 		request: requestId, attempt, workspace, endpoint, configuration: configurationVersion, detail,
 	});
-	const told = causes.filter(([, value]) => value !== undefined).map(([name, value]) => `${name}=${String(value)}`);
-	return [new Date(at).toISOString(), instance, kind, ...told].join(' ');
+	const known = details.filter(([, value]) => value !== undefined).map(([name, value]) => `${name}=${String(value)}`);
+	return [new Date(at).toISOString(), instance, kind, ...known].join(' ');
 }
--- a/src/timeline/request-way.ts
+++ b/src/timeline/request-trace.ts
@@ -1,9 +1,9 @@
 /** The trace of one request across the processes, built from its events. */
 import {type TimelineEvent} from '../observability/timeline-event.js';
-import {orderEvents} from './event-store.js';
+import {sortEvents} from './event-store.js';
 
 /** One step of a trace: an arrow between two lanes, or, without `to`, a point on one lane. */
-export type WayStep = {
+export type TraceStep = {
 	afterMilliseconds: number;
 	from: string;
 	to?: string;
@@ -12,12 +12,12 @@
 };
 
 /** The trace of a request: its lanes in order of appearance (`caller` first), and its steps in order of time. */
-export type RequestWay = {
+export type RequestTrace = {
 	requestId: string;
 	workspace: string;
 	startedAt: number;
 	lanes: string[];
-	steps: WayStep[];
+	steps: TraceStep[];
 };
 
 /** Kinds whose arrow points from the endpoint to the instance. */
@@ -32,8 +32,8 @@
  * @param events - Events from all processes, in any order.
  * @returns The trace, or `undefined` if no event belongs to the request.
  */
-export function requestWayOf(requestId: string, events: readonly TimelineEvent[]): RequestWay | undefined {
-	const ordered = orderEvents(events.filter(event => event.requestId === requestId));
+export function buildRequestTrace(requestId: string, events: readonly TimelineEvent[]): RequestTrace | undefined {
+	const ordered = sortEvents(events.filter(event => event.requestId === requestId));
 	const [first] = ordered;
 	if (first === undefined) {
 		return undefined;
@@ -46,7 +46,7 @@
 	};
 }
 
-function stepOf(event: TimelineEvent, startedAt: number): WayStep {
+function stepOf(event: TimelineEvent, startedAt: number): TraceStep {
 	const {kind, instance, endpoint, attempt, detail} = event;
 	const label = [kind, ...(attempt === undefined ? [] : [`#${attempt}`]), ...(detail === undefined ? [] : [`(${detail})`])].join(' ');
 	const common = {afterMilliseconds: event.at - startedAt, label, isFailure: failureKinds.has(kind)};
--- a/src/timeline/saved-events.ts
+++ b/src/timeline/saved-events.ts
@@ -6,7 +6,7 @@
 import {type EventFilter, parseTimelineEvent} from './timeline-messages.js';
 
 const bufferLimitBytes = 16_777_216;
-const mostEventsRead = 1_000_000;
+const maxEventsRead = 1_000_000;
 
 /** Appends events to a file. If the disk is too slow or full, events are dropped and counted instead of using up memory. */
 export class EventSaver {
@@ -66,7 +66,7 @@
 		const event = line === '' ? undefined : parseTimelineEvent(parseJson(line));
 		if (event === undefined) {
 			saved.badLines.push(number);
-		} else if (matchesFilter(event, filter) && saved.events.length < mostEventsRead) {
+		} else if (matchesFilter(event, filter) && saved.events.length < maxEventsRead) {
 			saved.events.push(event);
 		}
 	}
--- a/src/timeline/timeline-commands.ts
+++ b/src/timeline/timeline-commands.ts
@@ -4,11 +4,11 @@
 import {TimelineCollector} from './collector.js';
 import {drawHtml, drawSvg} from './draw-svg.js';
 import {drawText} from './draw-text.js';
-import {EventStore, orderEvents} from './event-store.js';
+import {EventStore, sortEvents} from './event-store.js';
 import {formatEvent} from './format-event.js';
 import {matchesFilter} from './matches-filter.js';
 import {readCollector} from './read-collector.js';
-import {requestWayOf} from './request-way.js';
+import {buildRequestTrace} from './request-trace.js';
 import {EventSaver, readSavedEvents, type SavedEvents} from './saved-events.js';
 import {type EventFilter, type MissingEvents} from './timeline-messages.js';
 import {type TimelineSettings} from './timeline-settings.js';
@@ -34,24 +34,24 @@
 export function checkCommand(command: TimelineCommand, settings: TimelineSettings): Finding[] {
 	const {collector, file, request, output} = settings;
 	const findings: Finding[] = [];
-	const find = (name: string, message: string): void => {
+	const addFinding = (name: string, message: string): void => {
 		findings.push({place: {source: 'flag', name}, message});
 	};
 
 	if ((command === 'read' || command === 'draw') && (collector === '') === (file === '')) {
-		find('--collector', 'give either this or --file');
+		addFinding('--collector', 'give either this or --file');
 	}
 
 	if (command === 'follow' && collector === '') {
-		find('--collector', 'is missing');
+		addFinding('--collector', 'is missing');
 	}
 
 	if (command === 'draw' && request === '') {
-		find('--request', 'is missing');
+		addFinding('--request', 'is missing');
 	}
 
 	if (output !== '' && !/\.(?:svg|html)$/v.test(output)) {
-		find('--output', 'must end in .svg or .html');
+		addFinding('--output', 'must end in .svg or .html');
 	}
 
 	return findings;
@@ -66,7 +66,7 @@
 		: new EventSaver(settings.save, error => {
 			output.problem(`cannot save: ${error.message}`);
 		});
-	let toldMissing = '';
+	let reportedMissing = '';
 	const collector = new TimelineCollector(store, ({events}) => {
 		saver?.save(events);
 		for (const event of events) {
@@ -76,8 +76,8 @@
 		}
 
 		const missing = store.missing().map(item => formatMissing(item)).join('\n');
-		if (missing !== toldMissing) {
-			toldMissing = missing;
+		if (missing !== reportedMissing) {
+			reportedMissing = missing;
 			output.problem(missing);
 		}
 	});
@@ -96,8 +96,8 @@
 
 /** Prints the events of a collector or a file. Resolves with the exit status. */
 export async function read(settings: TimelineSettings, output: TimelineOutput): Promise<number> {
-	const {events, problems} = await eventsOf(settings, filterOf(settings));
-	for (const event of orderEvents(events)) {
+	const {events, problems} = await loadEvents(settings, filterOf(settings));
+	for (const event of sortEvents(events)) {
 		output.line(formatEvent(event));
 	}
 
@@ -110,7 +110,7 @@
 
 /** Prints the events that a collector holds and new ones as they arrive. Throws when the connection to the collector ends. */
 export async function follow(settings: TimelineSettings, output: TimelineOutput): Promise<void> {
-	let told = '';
+	let reportedProblems = '';
 	for await (const reply of readCollector(settings.collector, {query: filterOf(settings), follow: true})) {
 		for (const event of reply.events) {
 			output.line(formatEvent(event));
@@ -118,8 +118,8 @@
 
 		const skipped = reply.skipped > 0 ? [`${reply.skipped} events were skipped here: this reader was too slow`] : [];
 		const problems = [...reply.missing.map(item => formatMissing(item)), ...skipped].join('\n');
-		if (reply.isComplete && problems !== told && problems !== '') {
-			told = problems;
+		if (reply.isComplete && problems !== reportedProblems && problems !== '') {
+			reportedProblems = problems;
 			output.problem(problems);
 		}
 	}
@@ -127,30 +127,30 @@
 
 /** Draws the trace of a request across all processes. Resolves with the exit status. */
 export async function draw(settings: TimelineSettings, output: TimelineOutput): Promise<number> {
-	const {events, problems} = await eventsOf(settings, {request: settings.request});
+	const {events, problems} = await loadEvents(settings, {request: settings.request});
 	for (const problem of problems) {
 		output.problem(problem);
 	}
 
-	const way = requestWayOf(settings.request, events);
-	if (way === undefined) {
+	const trace = buildRequestTrace(settings.request, events);
+	if (trace === undefined) {
 		output.problem(`there are no events of the request ${settings.request}`);
 		return 1;
 	}
 
 	if (settings.output === '') {
-		for (const line of drawText(way)) {
+		for (const line of drawText(trace)) {
 			output.line(line);
 		}
 	} else {
-		await writeFile(settings.output, settings.output.endsWith('.svg') ? drawSvg(way) : drawHtml(way));
-		output.line(`${settings.output}: ${way.steps.length} events`);
+		await writeFile(settings.output, settings.output.endsWith('.svg') ? drawSvg(trace) : drawHtml(trace));
+		output.line(`${settings.output}: ${trace.steps.length} events`);
 	}
 
 	return 0;
 }
 
-async function eventsOf({collector, file}: TimelineSettings, filter: EventFilter): Promise<{events: SavedEvents['events']; problems: string[]}> {
+async function loadEvents({collector, file}: TimelineSettings, filter: EventFilter): Promise<{events: SavedEvents['events']; problems: string[]}> {
 	if (file !== '') {
 		const {events, badLines} = await readSavedEvents(file, filter);
 		const shown = badLines.slice(0, 10).join(', ');
--- a/src/timeline/timeline-messages.ts
+++ b/src/timeline/timeline-messages.ts
@@ -3,10 +3,10 @@
 import {type TimelineEvent} from '../observability/timeline-event.js';
 import {type TimelineBatch} from '../observability/timeline-sender.js';
 
-const longestTextCharacters = 300;
-const mostEventsInBatch = 10_000;
+const maxTextCharacters = 300;
+const maxEventsInBatch = 10_000;
 
-const text = z.string().max(longestTextCharacters);
+const text = z.string().max(maxTextCharacters);
 // Any kind is accepted: during an upgrade, processes of the next release may send kinds that this collector does not know.
 const event = z.object({
 	kind: text,
@@ -20,10 +20,10 @@
 	workspace: text.optional(),
 	endpoint: text.optional(),
 	configurationVersion: z.number().int().optional(),
-	detail: z.string().transform(detail => detail.slice(0, longestTextCharacters)).optional(),
+	detail: z.string().transform(detail => detail.slice(0, maxTextCharacters)).optional(),
 });
 const batch = z.object({
-	events: z.array(event).max(mostEventsInBatch),
+	events: z.array(event).max(maxEventsInBatch),
 	start: z.number().default(0),
 	dropped: z.number().int().nonnegative(),
 });
--- a/src/timeline/timeline.test.ts
+++ b/src/timeline/timeline.test.ts
@@ -14,7 +14,7 @@
 import {drawText} from './draw-text.js';
 import {EventStore} from './event-store.js';
 import {readCollector} from './read-collector.js';
-import {requestWayOf} from './request-way.js';
+import {buildRequestTrace} from './request-trace.js';
 import {EventSaver, readSavedEvents} from './saved-events.js';
 import {checkCommand} from './timeline-commands.js';
 import {type TimelineReply} from './timeline-messages.js';
@@ -30,9 +30,9 @@
 
 test('gaps in the sequence of a process start are reported, apart from the events that the process itself dropped', () => {
 	const store = new EventStore(1000);
-	store.take({events: [eventOf(1), eventOf(2)], start: 1, dropped: 0});
-	store.take({events: [eventOf(6), eventOf(9)], start: 1, dropped: 3});
-	store.take({events: [eventOf(1)], start: 2, dropped: 0});
+	store.add({events: [eventOf(1), eventOf(2)], start: 1, dropped: 0});
+	store.add({events: [eventOf(6), eventOf(9)], start: 1, dropped: 3});
+	store.add({events: [eventOf(1)], start: 2, dropped: 0});
 	assert.deepEqual(store.missing(), [{
 		instance: 'riva-1', program: 'savorygauge-entry', dropped: 3, lost: 2,
 	}]);
@@ -41,12 +41,12 @@
 test('the store retains the newest events within its bound', () => {
 	const store = new EventStore(1000);
 	for (let batch = 0; batch < 50; batch++) {
-		store.take({events: Array.from({length: 100}, (_, index) => eventOf((batch * 100) + index + 1)), start: 1, dropped: 0});
+		store.add({events: Array.from({length: 100}, (_, index) => eventOf((batch * 100) + index + 1)), start: 1, dropped: 0});
 	}
 
-	const kept = store.events();
-	assert.ok(kept.length >= 1000 && kept.length <= 1100, String(kept.length));
-	assert.equal(kept.at(-1)!.sequence, 5000);
+	const retained = store.events();
+	assert.ok(retained.length >= 1000 && retained.length <= 1100, String(retained.length));
+	assert.equal(retained.at(-1)!.sequence, 5000);
 });
 
 test('events pass from a sender through the collector to a reader with a filter, and to a follower', async t => {
@@ -122,14 +122,14 @@
 
 test('the trace of a request is drawn across all processes, as text and as SVG and HTML', () => {
 	const common = {workspace: 'quay', attempt: 1, endpoint: 'engine-1'};
-	const way = requestWayOf('r1', [
+	const trace = buildRequestTrace('r1', [
 		eventOf(4, {kind: 'request-finished', at: 1_700_000_000_040}),
 		eventOf(1, {workspace: 'quay'}),
 		eventOf(2, {kind: 'attempt-sent', ...common}),
 		eventOf(3, {kind: 'attempt-failed', ...common, detail: 'a <broken> stream'}),
 		eventOf(5, {requestId: 'another'}),
 	])!;
-	assert.deepEqual(drawText(way), [
+	assert.deepEqual(drawText(trace), [
 		'request r1 of quay, 2023-11-14T22:13:20.001Z, 4 events',
 		'            caller        riva-1        engine-1',
 		'+0 ms       |------------>|             |             request-arrived',
@@ -137,9 +137,9 @@
 		'+2 ms       |             |<------------|             !! attempt-failed #1 (a <broken> stream)',
 		'+39 ms      |<------------|             |             request-finished',
 	]);
-	assert.ok(drawSvg(way).includes('a &lt;broken&gt; stream'));
-	assert.ok(drawHtml(way).startsWith('<!doctype html>'));
-	assert.equal(requestWayOf('nobody', []), undefined);
+	assert.ok(drawSvg(trace).includes('a &lt;broken&gt; stream'));
+	assert.ok(drawHtml(trace).startsWith('<!doctype html>'));
+	assert.equal(buildRequestTrace('nobody', []), undefined);
 });
 
 test('settings that do not fit the command are reported as findings', () => {
