--- a/src/bench/capacity/capacity-target.ts
+++ b/src/bench/capacity/capacity-target.ts
@@ -28,7 +28,7 @@
 export const microsecondsPerPercent = 10_000;
 
 /** Number of changes that each daemon retains for peers that lag behind. */
-export const keptChanges = 1024;
+export const maxRetainedChanges = 1024;
 
 /** For how long changes were made in the runs that measure their memory. */
 export const changesMeasuredSeconds = 8.5;
--- a/src/bench/capacity/configuration-rows.ts
+++ b/src/bench/capacity/configuration-rows.ts
@@ -1,16 +1,16 @@
 /** The rows of docs/CAPACITY.md for the configuration: its state, the fan-out of changes, reads and writes of the table. */
 import {type CapacityRow, type Figures} from './capacity-row.js';
 import {
-	changesMeasuredSeconds, keptChanges, microsecondsPerPercent, target,
+	changesMeasuredSeconds, maxRetainedChanges, microsecondsPerPercent, target,
 } from './capacity-target.js';
 
 const readersPerDataCentre = 2;
 const readerPollsPerSecond = 1000 / 450;
-const seldomSeconds = 10;
+const nonReaderPollSeconds = 10;
 
 export function configurationRows({at, line, shown}: Figures): CapacityRow[] {
 	const reads = (target.dataCentres * readersPerDataCentre * readerPollsPerSecond)
-		+ ((target.daemons - (target.dataCentres * readersPerDataCentre)) / seldomSeconds);
+		+ ((target.daemons - (target.dataCentres * readersPerDataCentre)) / nonReaderPollSeconds);
 	const common = {role: 'configuration', status: 'carried' as const};
 	return [{
 		...common,
@@ -27,7 +27,7 @@
 		quantity: 'state: changes kept for peers',
 		formula: 'slope / 8.5 s of changes × 1,024 kept',
 		slope: `${shown('changes.heldBytes')} bytes for a change/s`,
-		value: line('changes.heldBytes').slope / changesMeasuredSeconds * keptChanges,
+		value: line('changes.heldBytes').slope / changesMeasuredSeconds * maxRetainedChanges,
 		bound: target.memoryBytes,
 		unit: 'bytes',
 		mechanism: 'a ring of 1,024 changes; whoever is further behind gets a snapshot',
--- a/src/bench/capacity/total-rows.ts
+++ b/src/bench/capacity/total-rows.ts
@@ -1,7 +1,7 @@
 /** The rows of docs/CAPACITY.md that add up the cost of the control part of one daemon. */
 import {type CapacityRow, type Figures} from './capacity-row.js';
 import {
-	changesMeasuredSeconds, keptChanges, microsecondsPerPercent, target,
+	changesMeasuredSeconds, maxRetainedChanges, microsecondsPerPercent, target,
 } from './capacity-target.js';
 
 export function totalRows({at, line, shown, value}: Figures): CapacityRow[] {
@@ -10,7 +10,7 @@
 	const pollPercent = value('poll-1', 'processorMicroseconds') * target.serversPerDaemon / microsecondsPerPercent;
 	const applyPercent = target.changesPerSecond * at('workspaces.processorMicroseconds', target.workspaces) / microsecondsPerPercent;
 	const memory = value('daemons-96', 'heldBytes') + at('workspaces.heldBytes', target.workspaces)
-		+ at('servers.heldBytes', target.servers) + (line('changes.heldBytes').slope / changesMeasuredSeconds * keptChanges);
+		+ at('servers.heldBytes', target.servers) + (line('changes.heldBytes').slope / changesMeasuredSeconds * maxRetainedChanges);
 	const directoryShard = line('prompts.heldBytes').slope * target.prompts * target.piecesPerPrompt / target.daemons;
 	return [{
 		role: 'control, together',
--- a/src/bench/log-cost/main.ts
+++ b/src/bench/log-cost/main.ts
@@ -21,7 +21,7 @@
 const bodyBytes = 800;
 const millisecondsInSecond = 1000;
 
-type Turn = 'straight' | 'without a log' | 'log as it is' | 'every line written';
+type Variant = 'straight' | 'without a log' | 'log as it is' | 'every line written';
 
 async function sendOne(agent: Agent, address: string, id: string): Promise<void> {
 	const [host, port] = address.split(':');
@@ -68,15 +68,15 @@
 });
 const agent = new Agent({keepAlive: true, maxSockets: requestsAtOnce});
 const noLog = new NoLog({writableLength: 0, write: () => true}, {}, () => 0);
-const turns: Record<Turn, {address: string; log: DecisionLog}> = {
+const variants: Record<Variant, {address: string; log: DecisionLog}> = {
 	straight: {address: endpoint.address, log: noLog},
 	'without a log': {address: gateway.address, log: noLog},
 	'log as it is': {address: gateway.address, log: new DecisionLog(process.stdout, {instance: 'front-zone-1'}, Date.now)},
 	'every line written': {address: gateway.address, log: unboundedLog()},
 };
-const costs = new Map<Turn, number[]>();
+const costs = new Map<Variant, number[]>();
 for (let round = 0; round <= rounds; round++) {
-	for (const [turn, {address, log}] of Object.entries(turns) as Array<[Turn, {address: string; log: DecisionLog}]>) {
+	for (const [turn, {address, log}] of Object.entries(variants) as Array<[Variant, {address: string; log: DecisionLog}]>) {
 		gateway.context.log = log;
 		const cost = await costOfRound(agent, address);
 		// The first round is a warm-up (JIT compilation) and isn't counted.
@@ -87,10 +87,10 @@
 agent.destroy();
 await gateway.close();
 // The difference is taken within each round, since other load on the machine varies between rounds by more than the log costs.
-const medianBetween = (turn: Turn, base: Turn): number => quantileOf(costs.get(turn)!.map((cost, round) => cost - costs.get(base)![round]!), 0.5);
-const own = medianBetween('without a log', 'straight');
-console.error(`the gateway without a log: ${own.toFixed(0)} µs of processor time a request (median of ${rounds} rounds of ${requestsInRound} requests)`);
+const medianDifference = (variant: Variant, base: Variant): number => quantileOf(costs.get(variant)!.map((cost, round) => cost - costs.get(base)![round]!), 0.5);
+const gatewayCost = medianDifference('without a log', 'straight');
+console.error(`the gateway without a log: ${gatewayCost.toFixed(0)} µs of processor time a request (median of ${rounds} rounds of ${requestsInRound} requests)`);
 for (const turn of ['log as it is', 'every line written'] as const) {
-	const added = medianBetween(turn, 'without a log');
-	console.error(`${turn}: ${added.toFixed(1)} µs more a request, ${(added / own * 100).toFixed(1)}% of that`);
+	const added = medianDifference(turn, 'without a log');
+	console.error(`${turn}: ${added.toFixed(1)} µs more a request, ${(added / gatewayCost * 100).toFixed(1)}% of that`);
 }
--- a/src/bench/slopes/bench-daemon.ts
+++ b/src/bench/slopes/bench-daemon.ts
@@ -9,10 +9,10 @@
 import {hashOfText} from '../../peer/ownership/rendezvous.js';
 import {type ConfigurationChange, type ListedInstance} from '../../shared/types.js';
 import {busyReport} from '../bench-reports.js';
-import {VirtualKeeper} from '../virtual-peers.js';
+import {VirtualConfiguration} from '../virtual-peers.js';
 
 export class BenchDaemon {
-	readonly keeper = new VirtualKeeper(() => systemClock.now());
+	readonly configuration = new VirtualConfiguration(() => systemClock.now());
 	readonly service: PeerService;
 	readonly #name: string;
 	readonly #dataCentre: string;
@@ -38,13 +38,13 @@
 			clock: systemClock,
 			random: this.#random,
 			fanoutMode: 'announce',
-			configuration: this.keeper,
+			configuration: this.configuration,
 			listener: {
 				loadsReceived: () => undefined,
 				snapshotOffered: snapshot => {
 					const state = stateOfSnapshot(snapshot);
-					if (state !== undefined && state.version > this.keeper.state.version) {
-						this.keeper.take(state);
+					if (state !== undefined && state.version > this.configuration.state.version) {
+						this.configuration.apply(state);
 						return true;
 					}
 
@@ -68,7 +68,7 @@
 
 	/** Applies and announces a change as if it had been read from the table. */
 	accept(change: ConfigurationChange): void {
-		if (this.keeper.offerChange(change) === undefined) {
+		if (this.configuration.offerChange(change) === undefined) {
 			this.service.announceChange(change);
 		}
 	}
--- a/src/bench/slopes/data-path-run.ts
+++ b/src/bench/slopes/data-path-run.ts
@@ -11,10 +11,10 @@
 
 const service = 'permits';
 const promptCharacters = 8000;
-const atOnce = 8;
-const requestsEach = 15;
+const concurrentCallers = 8;
+const requestsPerCaller = 15;
 const clockTicksPerSecond = 100;
-const waitMilliseconds = 50;
+const pollIntervalMilliseconds = 50;
 
 /** Processor time of the entry per request, and how many of the requests were served. */
 export type DataPathCost = {processorMilliseconds: number; served: number; asked: number};
@@ -56,7 +56,7 @@
 	const before = processorMilliseconds(pid);
 	let served = 0;
 	const caller = async (number: number): Promise<void> => {
-		for (let index = 0; index < requestsEach; index++) {
+		for (let index = 0; index < requestsPerCaller; index++) {
 			const content = `prompt ${number} ${index} ${'x'.repeat(promptCharacters)}`;
 			const {status} = await sendPrompt({
 				entry, key: demoCallers[0]!.key, model: demoCallers[0]!.model, content, maxTokens: tokens, stream: true,
@@ -65,8 +65,8 @@
 		}
 	};
 
-	await Promise.all(Array.from({length: atOnce}, async (_, number) => caller(number)));
-	const asked = atOnce * requestsEach;
+	await Promise.all(Array.from({length: concurrentCallers}, async (_, number) => caller(number)));
+	const asked = concurrentCallers * requestsPerCaller;
 	return {processorMilliseconds: (processorMilliseconds(pid) - before) / asked, served, asked};
 }
 
@@ -84,6 +84,6 @@
 			return;
 		}
 
-		await delay(waitMilliseconds);
+		await delay(pollIntervalMilliseconds);
 	}
 }
--- a/src/bench/slopes/main.ts
+++ b/src/bench/slopes/main.ts
@@ -18,7 +18,7 @@
 const isQuick = process.argv.includes('--quick');
 const conditions = process.argv.find(argument => argument.startsWith('--conditions='))?.slice('--conditions='.length) ?? 'not stated';
 const measureMilliseconds = isQuick ? 4000 : 10_000;
-const usual: PeerRunPlan = {
+const defaultPlan: PeerRunPlan = {
 	daemons: 48, serversPerDaemon: 16, reportsPerSecond: 1, changesPerSecond: 0.3, measureMilliseconds,
 };
 const runs: SlopesRun[] = [];
@@ -31,7 +31,7 @@
 
 async function peerSeries(series: string, sizes: readonly number[], planOf: (x: number) => Partial<PeerRunPlan>): Promise<void> {
 	for (const x of sizes) {
-		const plan = {...usual, ...planOf(x)};
+		const plan = {...defaultPlan, ...planOf(x)};
 		add({
 			series, x, plan, values: await runPeers(plan),
 		});
@@ -41,7 +41,7 @@
 async function stateSeries(of: StateSize['of'], sizes: readonly number[]): Promise<void> {
 	for (const count of sizes) {
 		const worker = new WorkerProcess();
-		const {heldBytes, processorMicroseconds} = await worker.ask({kind: 'state', size: {of, count}}, 'state');
+		const {heldBytes, processorMicroseconds} = await worker.request({kind: 'state', size: {of, count}}, 'state');
 		await worker.stop();
 		add({
 			series: of, x: count, plan: {count}, values: {heldBytes, processorMicroseconds},
--- a/src/bench/slopes/measure-state.ts
+++ b/src/bench/slopes/measure-state.ts
@@ -15,12 +15,12 @@
 import {type StateSize} from './worker-messages.js';
 
 const rounds = 20;
-const piecesPerHolder = 4000;
+const blocksPerHolder = 4000;
 
 /** The cost of a state: the bytes that it holds, and the mean processor time of a typical step. */
 export type StateCost = {heldBytes: number; processorMicroseconds: number};
 
-type Kept = {kept: unknown; step(): void};
+type BuiltState = {state: unknown; step(): void};
 
 /**
  * Builds and measures one state. A step applies the list (servers), adds a block (prompts) or applies a change (workspaces).
@@ -30,7 +30,7 @@
  */
 export function measureState(size: StateSize): StateCost {
 	const before = heldBytes();
-	const {kept, step} = {servers: keepServers, prompts: keepPrompts, workspaces: keepWorkspaces}[size.of](size.count);
+	const {state: state, step} = {servers: buildServers, prompts: buildPrompts, workspaces: buildWorkspaces}[size.of](size.count);
 	const held = heldBytes() - before;
 	step();
 	const start = process.cpuUsage();
@@ -39,11 +39,11 @@
 	}
 
 	const {user, system} = process.cpuUsage(start);
-	return {heldBytes: kept === undefined ? 0 : held, processorMicroseconds: (user + system) / rounds};
+	return {heldBytes: state === undefined ? 0 : held, processorMicroseconds: (user + system) / rounds};
 }
 
 /** Builds the state of one of 95 daemons about the servers of its data centre: all by name, those of its cell with their load. */
-function keepServers(count: number): Kept {
+function buildServers(count: number): BuiltState {
 	const membership = new Membership({
 		name: 'entry-0', dataCentre: 'split', peerAddress: '', incarnation: 1,
 	}, 0);
@@ -54,40 +54,40 @@
 		...Array.from({length: 95}, (_, index) => line(`entry-${index}`, 'entry')),
 		...Array.from({length: count}, (_, index) => line(`engine-${index}`, 'model-engine')),
 	];
-	const knowledge = new LoadGossip('entry-0');
-	const take = (): void => {
+	const loadGossip = new LoadGossip('entry-0');
+	const applyList = (): void => {
 		const instances = list();
 		membership.applyList(instances, 0);
-		knowledge.setEndpoints(instances);
-		knowledge.assignOwners(membership.allLive());
+		loadGossip.setEndpoints(instances);
+		loadGossip.assignOwners(membership.allLive());
 	};
 
-	take();
+	applyList();
 	const known = Math.ceil(count * 8 / 95);
 	const loads: LoadSummary[] = Array.from({length: known}, (_, index) => summaryOf(`engine-${index}`, idleReport));
-	knowledge.handleLoads({
+	loadGossip.handleLoads({
 		kind: 'loads', loads, updates: [], age: 0,
 	}, 1);
-	return {kept: [membership, knowledge], step: take};
+	return {state: [membership, loadGossip], step: applyList};
 }
 
 /** Builds the directory of cached prefixes that routing uses, with each block at one holder. */
-function keepPrompts(count: number): Kept {
+function buildPrompts(count: number): BuiltState {
 	const prefixes = new CachedPrefixes();
 	for (let index = 0; index < count; index++) {
-		prefixes.add(`engine-${Math.floor(index / piecesPerHolder)}`, [digestOf(String(index))]);
+		prefixes.add(`engine-${Math.floor(index / blocksPerHolder)}`, [digestOf(String(index))]);
 	}
 
 	const probe = digestOf('1');
 	return {
-		kept: prefixes,
+		state: prefixes,
 		step() {
 			prefixes.add('engine-0', [probe]);
 		},
 	};
 }
 
-function keepWorkspaces(count: number): Kept {
+function buildWorkspaces(count: number): BuiltState {
 	let state: ConfigurationState = emptyConfiguration;
 	const apply = (number: number): void => {
 		state = applyChange(state, changeOf(state, number)).unsafeCoerce();
@@ -98,7 +98,7 @@
 	}
 
 	return {
-		kept: state,
+		state: state,
 		step() {
 			apply(0);
 		},
--- a/src/bench/slopes/peer-run.ts
+++ b/src/bench/slopes/peer-run.ts
@@ -49,9 +49,9 @@
 	try {
 		await startDaemons(workers, plan);
 		await delay(settleMilliseconds);
-		await Promise.all(workers.map(async worker => worker.ask({kind: 'reset'}, 'done')));
+		await Promise.all(workers.map(async worker => worker.request({kind: 'reset'}, 'done')));
 		const acceptedAt = await makeChanges(workers[0]!, plan);
-		const measures = await Promise.all(workers.map(async worker => worker.ask({kind: 'measure'}, 'measured')));
+		const measures = await Promise.all(workers.map(async worker => worker.request({kind: 'measure'}, 'measured')));
 		return resultOf(measures.map(({measure}) => measure), acceptedAt, plan);
 	} finally {
 		await Promise.all(workers.map(async worker => worker.stop()));
@@ -62,7 +62,7 @@
 	const answers = await Promise.all(workers.map(async (worker, index) => {
 		const first = index * daemonsPerWorker;
 		const names = Array.from({length: Math.min(daemonsPerWorker, plan.daemons - first)}, (_, offset) => `entry-${first + offset}`);
-		return worker.ask({
+		return worker.request({
 			kind: 'start', names, dataCentre, reportsPerSecond: plan.reportsPerSecond,
 		}, 'started');
 	}));
@@ -70,7 +70,7 @@
 		name: `engine-${index}`, role: 'model-engine', dataCentre, service: 'permits', address: '', peerAddress: '', state: 'live',
 	}));
 	const instances = [...answers.flatMap(answer => answer.instances), ...servers];
-	await Promise.all(workers.map(async worker => worker.ask({kind: 'list', instances}, 'done')));
+	await Promise.all(workers.map(async worker => worker.request({kind: 'list', instances}, 'done')));
 }
 
 async function makeChanges(worker: WorkerProcess, plan: PeerRunPlan): Promise<Map<number, number>> {
@@ -81,7 +81,7 @@
 		const change = changeOf(state, state.version);
 		state = applyChange(state, change).unsafeCoerce();
 		acceptedAt.set(change.version, Date.now());
-		await worker.ask({kind: 'change', change}, 'done');
+		await worker.request({kind: 'change', change}, 'done');
 		await delay(Math.min(1000 / plan.changesPerSecond, end - lastChangeMilliseconds - Date.now()));
 	}
 
--- a/src/bench/slopes/poll-run.ts
+++ b/src/bench/slopes/poll-run.ts
@@ -46,7 +46,7 @@
 		standIn.server.on('connection', (socket: Socket) => {
 			sockets.add(socket);
 		});
-		const {processorMicroseconds} = await worker.ask({
+		const {processorMicroseconds} = await worker.request({
 			kind: 'poll', address: standIn.address, polls, path,
 		}, 'polled');
 		const bytes = [...sockets].reduce((sum, socket) => sum + socket.bytesRead + socket.bytesWritten, 0);
--- a/src/bench/slopes/worker-messages.ts
+++ b/src/bench/slopes/worker-messages.ts
@@ -2,7 +2,7 @@
 import {type ConfigurationChange, type ListedInstance} from '../../shared/types.js';
 
 /** Commands from the benchmark to a worker. */
-export type WorkerOrder
+export type WorkerCommand
 	= | {kind: 'start'; names: string[]; dataCentre: string; reportsPerSecond: number}
 		| {kind: 'list'; instances: ListedInstance[]}
 		| {kind: 'change'; change: ConfigurationChange}
@@ -38,7 +38,7 @@
 };
 
 /** Responses from a worker to the benchmark. */
-export type WorkerAnswer
+export type WorkerResponse
 	= | {kind: 'started'; instances: ListedInstance[]}
 		| {kind: 'done'}
 		| {kind: 'measured'; measure: WorkerMeasure}
--- a/src/bench/slopes/worker-process.ts
+++ b/src/bench/slopes/worker-process.ts
@@ -2,7 +2,7 @@
 import {type ChildProcess, fork} from 'node:child_process';
 import {once} from 'node:events';
 import {fileURLToPath} from 'node:url';
-import {type WorkerAnswer, type WorkerOrder} from './worker-messages.js';
+import {type WorkerResponse, type WorkerCommand} from './worker-messages.js';
 
 const workerPath = fileURLToPath(new URL('worker.js', import.meta.url));
 
@@ -11,15 +11,15 @@
 	#last: Promise<unknown> = Promise.resolve();
 
 	/** Sends a command and resolves with its response. Commands are queued and sent one after the other. */
-	async ask<Kind extends WorkerAnswer['kind']>(order: WorkerOrder, _expected: Kind): Promise<Extract<WorkerAnswer, {kind: Kind}>> {
+	async request<Kind extends WorkerResponse['kind']>(command: WorkerCommand, _expected: Kind): Promise<Extract<WorkerResponse, {kind: Kind}>> {
 		const answer = this.#last.then(async () => {
 			const next = once(this.#child, 'message');
-			this.#child.send(order);
-			const [message] = await next as [WorkerAnswer];
+			this.#child.send(command);
+			const [message] = await next as [WorkerResponse];
 			return message;
 		});
 		this.#last = answer;
-		return await answer as Extract<WorkerAnswer, {kind: Kind}>;
+		return await answer as Extract<WorkerResponse, {kind: Kind}>;
 	}
 
 	/** Kills the process and waits for its end. */
--- a/src/bench/slopes/worker.ts
+++ b/src/bench/slopes/worker.ts
@@ -7,19 +7,19 @@
 import {BenchDaemon} from './bench-daemon.js';
 import {heldBytes} from './held-bytes.js';
 import {measureState} from './measure-state.js';
-import {type WorkerAnswer, type WorkerMeasure, type WorkerOrder} from './worker-messages.js';
+import {type WorkerResponse, type WorkerMeasure, type WorkerCommand} from './worker-messages.js';
 
 const daemons = new Map<string, BenchDaemon>();
-let atStart = 0;
+let heldBytesAtStart = 0;
 let resetAt = 0;
 let processorAtReset = process.cpuUsage();
 
-async function answerOf(order: WorkerOrder): Promise<WorkerAnswer> {
-	switch (order.kind) {
+async function respondTo(command: WorkerCommand): Promise<WorkerResponse> {
+	switch (command.kind) {
 		case 'start': {
-			atStart = heldBytes();
-			const instances = await Promise.all(order.names.map(async name => {
-				const daemon = new BenchDaemon(name, order.dataCentre, order.reportsPerSecond);
+			heldBytesAtStart = heldBytes();
+			const instances = await Promise.all(command.names.map(async name => {
+				const daemon = new BenchDaemon(name, command.dataCentre, command.reportsPerSecond);
 				daemons.set(name, daemon);
 				return daemon.start();
 			}));
@@ -28,14 +28,14 @@
 
 		case 'list': {
 			for (const {service} of daemons.values()) {
-				service.applyList(order.instances);
+				service.applyList(command.instances);
 			}
 
 			return {kind: 'done'};
 		}
 
 		case 'change': {
-			[...daemons.values()][0]?.accept(order.change);
+			[...daemons.values()][0]?.accept(command.change);
 			return {kind: 'done'};
 		}
 
@@ -45,7 +45,7 @@
 		}
 
 		case 'kill': {
-			for (const name of order.names) {
+			for (const name of command.names) {
 				daemons.get(name)?.stop();
 				daemons.delete(name);
 			}
@@ -58,21 +58,21 @@
 		}
 
 		case 'state': {
-			return {kind: 'state', ...measureState(order.size)};
+			return {kind: 'state', ...measureState(command.size)};
 		}
 
 		case 'poll': {
-			return {kind: 'polled', processorMicroseconds: await poll(order)};
+			return {kind: 'polled', processorMicroseconds: await poll(command)};
 		}
 	}
 }
 
 function reset(): void {
-	for (const {service, keeper} of daemons.values()) {
+	for (const {service, configuration: configuration} of daemons.values()) {
 		Object.assign(service.counts, {
 			bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0, dropped: 0, unknownKinds: 0,
 		});
-		keeper.inForceAt.clear();
+		configuration.inForceAt.clear();
 	}
 
 	resetAt = Date.now();
@@ -84,12 +84,12 @@
 	const wallMilliseconds = Date.now() - resetAt;
 	const all = [...daemons.values()];
 	const sum = (value: (daemon: BenchDaemon) => number): number => all.reduce((total, daemon) => total + value(daemon), 0);
-	const versions = [...new Set(all.flatMap(({keeper}) => [...keeper.inForceAt.keys()]))];
+	const versions = [...new Set(all.flatMap(({configuration: keeper}) => [...keeper.inForceAt.keys()]))];
 	return {
 		daemons: all.length,
 		wallMilliseconds,
 		processorMilliseconds: (user + system) / 1000,
-		heldBytes: heldBytes() - atStart,
+		heldBytes: heldBytes() - heldBytesAtStart,
 		bytesIn: sum(({service}) => service.counts.bytesIn),
 		bytesOut: sum(({service}) => service.counts.bytesOut),
 		messagesIn: sum(({service}) => service.counts.messagesIn),
@@ -100,13 +100,13 @@
 		knownEndpoints: sum(({service}) => service.node.loadGossip.knownCount),
 		live: all.map(({service}) => service.node.membership.ownLive().length),
 		inForceAt: versions.map(version => {
-			const times = all.flatMap(({keeper}) => keeper.inForceAt.get(version) ?? []);
+			const times = all.flatMap(({configuration: keeper}) => keeper.inForceAt.get(version) ?? []);
 			return {version, at: Math.max(...times), daemons: times.length};
 		}),
 	};
 }
 
-async function poll({address, polls, path}: Extract<WorkerOrder, {kind: 'poll'}>): Promise<number> {
+async function poll({address, polls, path}: Extract<WorkerCommand, {kind: 'poll'}>): Promise<number> {
 	const engine = new HttpModelEngine();
 	const list = new HttpInstanceList(address);
 	const table = new HttpTableService(address);
@@ -124,6 +124,6 @@
 	return (user + system) / polls;
 }
 
-process.on('message', (order: WorkerOrder) => {
-	void answerOf(order).then(answer => process.send!(answer));
+process.on('message', (order: WorkerCommand) => {
+	void respondTo(order).then(answer => process.send!(answer));
 });
--- a/src/bench/virtual-peers.ts
+++ b/src/bench/virtual-peers.ts
@@ -20,11 +20,11 @@
 export type VirtualPeer = {
 	listed: ListedInstance;
 	node: PeerNode;
-	keeper: VirtualKeeper;
+	configuration: VirtualConfiguration;
 	state: 'running' | 'paused' | 'dead';
-	cut: string;
+	partition: string;
 	links: Set<string>;
-	learned: Map<string, ReceivedLoad>;
+	receivedLoads: Map<string, ReceivedLoad>;
 	events: Array<{at: number; text: string}>;
 	bytesOut: number;
 	bytesIn: number;
@@ -33,7 +33,7 @@
 };
 
 /** A configuration in memory that records when each version came into force. */
-export class VirtualKeeper implements ReplicatedConfiguration {
+export class VirtualConfiguration implements ReplicatedConfiguration {
 	state: ConfigurationState = emptyConfiguration;
 	readonly inForceAt = new Map<number, number>();
 	readonly #now: () => number;
@@ -46,13 +46,13 @@
 		return applyChange(this.state, change).caseOf({
 			Left: failure => failure,
 			Right: state => {
-				this.take(state);
+				this.apply(state);
 				return undefined;
 			},
 		});
 	}
 
-	take(state: ConfigurationState): void {
+	apply(state: ConfigurationState): void {
 		this.state = state;
 		this.inForceAt.set(state.version, this.#now());
 	}
@@ -91,8 +91,8 @@
 		const listed: ListedInstance = {
 			name, role: 'entry', dataCentre, service: '', address: name, peerAddress: name, state: 'live',
 		};
-		const keeper = new VirtualKeeper(() => this.now);
-		const learned = new Map<string, ReceivedLoad>();
+		const configuration = new VirtualConfiguration(() => this.now);
+		const receivedLoads = new Map<string, ReceivedLoad>();
 		const events: VirtualPeer['events'] = [];
 		const note = (text: string): void => {
 			events.push({at: this.now, text});
@@ -102,27 +102,27 @@
 			self: {
 				name, dataCentre, peerAddress: name, incarnation: this.now,
 			},
-			configuration: keeper,
+			configuration: configuration,
 			listener: {
 				loadsReceived(loads) {
 					for (const load of loads) {
-						learned.set(load.name, load);
+						receivedLoads.set(load.name, load);
 					}
 				},
 				snapshotOffered(snapshot) {
 					const state = stateOfSnapshot(snapshot);
-					const isNewer = state !== undefined && state.version > keeper.state.version;
+					const isNewer = state !== undefined && state.version > configuration.state.version;
 					if (isNewer) {
-						keeper.take(state);
+						configuration.apply(state);
 					}
 
 					return isNewer;
 				},
-				memberChanged(rumour) {
-					note(`${rumour.name} ${rumour.status}`);
+				memberChanged(update) {
+					note(`${update.name} ${update.status}`);
 				},
-				ownershipChanged({acquired: taken, released}) {
-					note(`took ${taken}, released ${released}`);
+				ownershipChanged({acquired: acquired, released}) {
+					note(`took ${acquired}, released ${released}`);
 				},
 			},
 			random: seededRandom(Math.floor(this.#random() * 1e9)),
@@ -130,7 +130,7 @@
 			queryBackoffMilliseconds: this.#backoffMilliseconds,
 		}, this.now);
 		const peer: VirtualPeer = {
-			listed, node, keeper, state: 'running', cut: '', links: new Set(), learned, events, bytesOut: 0, bytesIn: 0, messagesOut: 0, nextTickAt: this.now,
+			listed, node, configuration: configuration, state: 'running', partition: '', links: new Set(), receivedLoads: receivedLoads, events, bytesOut: 0, bytesIn: 0, messagesOut: 0, nextTickAt: this.now,
 		};
 		this.peers.set(name, peer);
 		return peer;
@@ -166,12 +166,12 @@
 	/** Partitions peers: links between peers with different marks end, and no new ones are established. */
 	cut(names: readonly string[], mark: string): void {
 		for (const name of names) {
-			this.peers.get(name)!.cut = mark;
+			this.peers.get(name)!.partition = mark;
 		}
 
 		for (const [name, peer] of this.peers) {
 			for (const other of peer.links) {
-				if (!this.#reaches(name, other)) {
+				if (!this.#canReach(name, other)) {
 					peer.links.delete(other);
 					peer.node.linkDown(other);
 				}
@@ -180,7 +180,7 @@
 	}
 
 	/** Sends messages of a peer immediately, outside its tick; those without a link are dropped. */
-	carry(peer: VirtualPeer, outgoing: readonly OutgoingMessage[]): void {
+	send(peer: VirtualPeer, outgoing: readonly OutgoingMessage[]): void {
 		for (const {to, message} of outgoing) {
 			if (peer.links.has(to)) {
 				peer.bytesOut += encodeMessage(message).length;
@@ -203,8 +203,8 @@
 			for (const peer of this.running()) {
 				if (this.now >= peer.nextTickAt || this.now >= peer.node.dueAt) {
 					peer.nextTickAt = this.now + tickMilliseconds;
-					this.#link(peer);
-					this.carry(peer, peer.node.tick(this.now));
+					this.#connect(peer);
+					this.send(peer, peer.node.tick(this.now));
 				}
 
 				this.onStep?.(peer);
@@ -236,24 +236,24 @@
 					this.#inFlight.push({
 						dueAt: this.now + this.stepMilliseconds, from, to, message,
 					});
-				} else if (peer.state === 'running' && this.#reaches(from, to)) {
+				} else if (peer.state === 'running' && this.#canReach(from, to)) {
 					peer.bytesIn += encodeMessage(message).length;
 					const outgoing = peer.node.handleMessage(from, message, Math.min(dueAt, this.now));
-					this.carry(peer, outgoing);
+					this.send(peer, outgoing);
 				}
 			}
 		}
 	}
 
-	#link(peer: VirtualPeer): void {
+	#connect(peer: VirtualPeer): void {
 		for (const {name} of peer.node.wantedLinks()) {
 			const other = this.peers.get(name);
-			if (other?.state === 'running' && !peer.links.has(name) && this.#reaches(peer.listed.name, name)) {
+			if (other?.state === 'running' && !peer.links.has(name) && this.#canReach(peer.listed.name, name)) {
 				peer.links.add(name);
 				other.links.add(peer.listed.name);
 				const own: MemberUpdate = peer.node.membership.self;
-				this.carry(peer, peer.node.linkUp(other.node.membership.self, this.now));
-				this.carry(other, other.node.linkUp(own, this.now));
+				this.send(peer, peer.node.linkUp(other.node.membership.self, this.now));
+				this.send(other, other.node.linkUp(own, this.now));
 			}
 		}
 	}
@@ -268,7 +268,7 @@
 		this.peers.get(name)!.links.clear();
 	}
 
-	#reaches(from: string, to: string): boolean {
-		return this.peers.get(from)!.cut === this.peers.get(to)!.cut;
+	#canReach(from: string, to: string): boolean {
+		return this.peers.get(from)!.partition === this.peers.get(to)!.partition;
 	}
 }
--- a/src/bench/virtual-platform.ts
+++ b/src/bench/virtual-platform.ts
@@ -4,12 +4,12 @@
 import {hashOfText} from '../peer/ownership/rendezvous.js';
 import {type ConfigurationChange, type ListedInstance} from '../shared/types.js';
 import {changeOf} from './bench-changes.js';
-import {type VirtualPeer, type VirtualPeers, VirtualKeeper} from './virtual-peers.js';
+import {type VirtualPeer, type VirtualPeers, VirtualConfiguration} from './virtual-peers.js';
 
 const listMilliseconds = 1000;
 const pollMilliseconds = 500;
 
-type Watcher = {schedule: PollSchedule; nextListAt: number; random: () => number};
+type Poller = {schedule: PollSchedule; nextListAt: number; random: () => number};
 
 export class VirtualPlatform {
 	isDown = false;
@@ -19,8 +19,8 @@
 	readonly #network: VirtualPeers;
 	readonly #endpoints: readonly ListedInstance[];
 	readonly #changes: ConfigurationChange[] = [];
-	readonly #newest = new VirtualKeeper(() => 0);
-	readonly #watchers = new Map<string, Watcher>();
+	readonly #latest = new VirtualConfiguration(() => 0);
+	readonly #pollers = new Map<string, Poller>();
 
 	/**
 	 * @param network - The peers that read the table and the list.
@@ -30,60 +30,60 @@
 		this.#network = network;
 		this.#endpoints = endpoints;
 		network.onStep = peer => {
-			this.#watch(peer);
+			this.#poll(peer);
 		};
 	}
 
 	/** The latest version in the table. */
 	get version(): number {
-		return this.#newest.state.version;
+		return this.#latest.state.version;
 	}
 
 	/** Adds a change to the table. */
 	accept(): void {
-		const change = changeOf(this.#newest.state, this.version);
-		this.#newest.offerChange(change);
+		const change = changeOf(this.#latest.state, this.version);
+		this.#latest.offerChange(change);
 		this.#changes.push(change);
 	}
 
 	/** Returns the maximum number of reads within any second after a time. */
-	mostReadsPerSecond(reads: readonly number[], from: number): number {
+	maxReadsPerSecond(reads: readonly number[], from: number): number {
 		const later = reads.filter(at => at >= from);
 		return Math.max(0, ...later.map(at => later.filter(other => other >= at && other < at + 1000).length));
 	}
 
-	#watch(peer: VirtualPeer): void {
+	#poll(peer: VirtualPeer): void {
 		const {now} = this.#network;
-		const watcher = this.#watchers.get(peer.listed.name) ?? this.#newWatcher(peer.listed.name);
-		const isReached = !this.isDown && peer.cut === '';
-		if (now >= watcher.nextListAt) {
-			watcher.nextListAt = now + (listMilliseconds * (1 - (0.2 * watcher.random())));
+		const poller = this.#pollers.get(peer.listed.name) ?? this.#newPoller(peer.listed.name);
+		const isReachable = !this.isDown && peer.partition === '';
+		if (now >= poller.nextListAt) {
+			poller.nextListAt = now + (listMilliseconds * (1 - (0.2 * poller.random())));
 			this.listReads.push(now);
-			if (isReached) {
+			if (isReachable) {
 				peer.node.applyList(this.#list(), now);
 			}
 		}
 
-		if (watcher.schedule.isDue(peer.node.isReader, now)) {
+		if (poller.schedule.isDue(peer.node.isReader, now)) {
 			this.reads.push(now);
-			watcher.schedule.notePoll(isReached, now);
-			if (isReached) {
+			poller.schedule.notePoll(isReachable, now);
+			if (isReachable) {
 				this.#read(peer);
 			}
 		}
 	}
 
-	#newWatcher(name: string): Watcher {
+	#newPoller(name: string): Poller {
 		const random = seededRandom(hashOfText(name));
-		const watcher = {schedule: new PollSchedule(pollMilliseconds, random), nextListAt: 0, random};
-		this.#watchers.set(name, watcher);
-		return watcher;
+		const poller = {schedule: new PollSchedule(pollMilliseconds, random), nextListAt: 0, random};
+		this.#pollers.set(name, poller);
+		return poller;
 	}
 
 	#read(peer: VirtualPeer): void {
-		for (const change of this.#changes.filter(({version}) => version > peer.keeper.state.version)) {
-			if (peer.keeper.offerChange(change) === undefined) {
-				this.#network.carry(peer, peer.node.announceChange(change));
+		for (const change of this.#changes.filter(({version}) => version > peer.configuration.state.version)) {
+			if (peer.configuration.offerChange(change) === undefined) {
+				this.#network.send(peer, peer.node.announceChange(change));
 			}
 		}
 	}
--- a/src/bench/weigh/entry-kill-run.ts
+++ b/src/bench/weigh/entry-kill-run.ts
@@ -17,7 +17,7 @@
 const settleMilliseconds = 8000;
 const afterMilliseconds = 9000;
 const pauseMilliseconds = 150;
-const lookMilliseconds = 100;
+const pollIntervalMilliseconds = 100;
 
 /** The measurements; times are in milliseconds since the kill. */
 export type EntryKillResult = {
@@ -105,7 +105,7 @@
 		const isOneView = overviews.every(({members}) => members.filter(({status}) => status === 'alive' || status === 'suspect').length === survivors.length);
 		seen.ownedAgain = isOwned ? seen.ownedAgain ?? at : undefined;
 		seen.oneView = isOneView ? seen.oneView ?? at : undefined;
-		await delay(lookMilliseconds);
+		await delay(pollIntervalMilliseconds);
 	}
 
 	return seen;
--- a/src/bench/weigh/failures.ts
+++ b/src/bench/weigh/failures.ts
@@ -55,7 +55,7 @@
 		lastGone: Math.max(...gone.map(({at}) => at)) - diedAt,
 		live: network.running()[0]!.node.membership.ownLive().length,
 		calledGoneWrongly: gone.filter(({text}) => network.peers.get(text.split(' ')[0]!)!.state === 'running').length,
-		mostTableReadsPerSecond: platform.mostReadsPerSecond(platform.reads, diedAt),
+		mostTableReadsPerSecond: platform.maxReadsPerSecond(platform.reads, diedAt),
 		timeLine: timeLineOf(events, diedAt),
 	};
 }
@@ -102,14 +102,14 @@
 	network.run(3000);
 	const cutPeers = inside.map(({name}) => network.peers.get(name)!);
 	const outcome = {
-		versionInside: cutPeers[0]!.keeper.state.version,
+		versionInside: cutPeers[0]!.configuration.state.version,
 		versionOutside: platform.version,
 		membersInside: cutPeers[0]!.node.membership.allLive().length,
 		ownedInside: cutPeers.reduce((sum, {node}) => sum + node.loadGossip.owned().filter(name => name.startsWith('trogir')).length, 0),
 	};
 	network.cut(inside.map(({name}) => name), '');
 	const endedAt = network.now;
-	const newestAgain = network.runUntil(() => cutPeers.every(({keeper}) => keeper.state.version === platform.version), limitMilliseconds);
+	const newestAgain = network.runUntil(() => cutPeers.every(({configuration: configuration}) => configuration.state.version === platform.version), limitMilliseconds);
 	const isWhole = (): boolean => network.running().every(({node}) => node.membership.allLive().length === 15);
 	const membersAgain = network.runUntil(isWhole, limitMilliseconds);
 	return {...outcome, newestAgain, membersAgain: membersAgain === undefined ? undefined : network.now - endedAt};
@@ -140,13 +140,13 @@
 	platform.isDown = false;
 	const backAt = network.now;
 	platform.accept();
-	const newestAfter = network.runUntil(() => peers.every(({keeper}) => keeper.state.version === 1), limitMilliseconds);
+	const newestAfter = network.runUntil(() => peers.every(({configuration: configuration}) => configuration.state.version === 1), limitMilliseconds);
 	network.run(20_000);
 	return {
 		readsPerSecondBefore,
 		readsPerSecondDuring,
-		mostReadsPerSecondAfter: platform.mostReadsPerSecond(platform.reads, backAt),
-		mostListReadsPerSecondAfter: platform.mostReadsPerSecond(platform.listReads, backAt),
+		mostReadsPerSecondAfter: platform.maxReadsPerSecond(platform.reads, backAt),
+		mostListReadsPerSecondAfter: platform.maxReadsPerSecond(platform.listReads, backAt),
 		newestAfter,
 		liveDuring,
 	};
--- a/src/bench/weigh/fanout.ts
+++ b/src/bench/weigh/fanout.ts
@@ -14,7 +14,7 @@
 const limitMilliseconds = 20_000;
 
 /** One strategy to distribute changes, and the network that it is tested on. */
-export type FanoutWay = {mode: FanoutMode; backoffMilliseconds: number; loss: number; latencyMilliseconds: number};
+export type FanoutStrategy = {mode: FanoutMode; backoffMilliseconds: number; loss: number; latencyMilliseconds: number};
 
 /** The cost of a strategy per daemon and change, and the times until a change is in force everywhere. */
 export type FanoutCost = {
@@ -29,13 +29,13 @@
 /**
  * Simulates one strategy.
  *
- * @param way - The strategy and the network.
+ * @param strategy - The strategy and the network.
  * @param seed - Seed of all random choices.
  * @returns Its cost, without the heartbeats, which are measured in an idle run and subtracted.
  */
-export function playFanout(way: FanoutWay, seed: number): FanoutCost {
-	const idle = play(way, seed, 0);
-	const busy = play(way, seed, changes);
+export function playFanout(strategy: FanoutStrategy, seed: number): FanoutCost {
+	const idle = play(strategy, seed, 0);
+	const busy = play(strategy, seed, changes);
 	const perChange = (value: number): number => value / daemons / changes;
 	const times = busy.times.toSorted((left, right) => left - right);
 	return {
@@ -48,12 +48,12 @@
 	};
 }
 
-function play(way: FanoutWay, seed: number, count: number): {bytes: number; messages: number; asks: number; duplicates: number; times: number[]} {
-	const network = new VirtualPeers(seed, way.mode, way.backoffMilliseconds);
-	network.latencyMilliseconds = way.latencyMilliseconds;
+function play(strategy: FanoutStrategy, seed: number, count: number): {bytes: number; messages: number; asks: number; duplicates: number; times: number[]} {
+	const network = new VirtualPeers(seed, strategy.mode, strategy.backoffMilliseconds);
+	network.latencyMilliseconds = strategy.latencyMilliseconds;
 	const peers = network.startAll(Array.from({length: daemons}, (_, index) => ({name: `entry-${index}`, dataCentre: 'split'})));
 	network.run(settleMilliseconds);
-	network.loss = way.loss;
+	network.loss = strategy.loss;
 	const sum = (value: (peer: typeof peers[number]) => number): number => peers.reduce((total, peer) => total + value(peer), 0);
 	const before = {bytes: sum(({bytesOut}) => bytesOut), messages: sum(({messagesOut}) => messagesOut)};
 	const times: number[] = [];
@@ -61,10 +61,10 @@
 		const startedAt = network.now;
 		if (version <= count) {
 			const reader = peers[version % 2]!;
-			const change = changeOf(reader.keeper.state, version);
-			reader.keeper.offerChange(change);
-			network.carry(reader, reader.node.announceChange(change));
-			times.push(network.runUntil(() => peers.every(({keeper}) => keeper.state.version === version), limitMilliseconds) ?? limitMilliseconds);
+			const change = changeOf(reader.configuration.state, version);
+			reader.configuration.offerChange(change);
+			network.send(reader, reader.node.announceChange(change));
+			times.push(network.runUntil(() => peers.every(({configuration: configuration}) => configuration.state.version === version), limitMilliseconds) ?? limitMilliseconds);
 		}
 
 		network.run(Math.max(0, startedAt + betweenChangesMilliseconds - network.now));
--- a/src/bench/weigh/kill-run.ts
+++ b/src/bench/weigh/kill-run.ts
@@ -11,7 +11,7 @@
 const daemonsPerWorker = 16;
 const endpoints = 96;
 const settleMilliseconds = 7000;
-const lookMilliseconds = 50;
+const pollIntervalMilliseconds = 50;
 const limitMilliseconds = 20_000;
 
 /** The measurements; times are in milliseconds since the kill. */
@@ -39,14 +39,14 @@
 }
 
 async function start(processes: readonly WorkerProcess[]): Promise<void> {
-	const answers = await Promise.all(processes.map(async (worker, index) => worker.ask({
+	const answers = await Promise.all(processes.map(async (worker, index) => worker.request({
 		kind: 'start', names: Array.from({length: daemonsPerWorker}, (_, number) => `entry-${index}-${number}`), dataCentre: 'split', reportsPerSecond: 1,
 	}, 'started')));
 	const servers: ListedInstance[] = Array.from({length: endpoints}, (_, index) => ({
 		name: `engine-${index}`, role: 'model-engine', dataCentre: 'split', service: 'permits', address: '', peerAddress: '', state: 'live',
 	}));
 	const instances = [...answers.flatMap(answer => answer.instances), ...servers];
-	await Promise.all(processes.map(async worker => worker.ask({kind: 'list', instances}, 'done')));
+	await Promise.all(processes.map(async worker => worker.request({kind: 'list', instances}, 'done')));
 }
 
 async function watch(survivors: readonly WorkerProcess[], diedAt: number): Promise<KillResult> {
@@ -55,7 +55,7 @@
 	};
 	const survivorCount = survivors.length * daemonsPerWorker;
 	while (Date.now() - diedAt < limitMilliseconds && (result.ownedAgain === undefined || result.oneView === undefined)) {
-		const measures = await Promise.all(survivors.map(async worker => worker.ask({kind: 'measure'}, 'measured')));
+		const measures = await Promise.all(survivors.map(async worker => worker.request({kind: 'measure'}, 'measured')));
 		const at = Date.now() - diedAt;
 		const seen = seenIn(measures.map(({measure}) => measure));
 		const last = result.timeLine.at(-1);
@@ -66,7 +66,7 @@
 		result.ownedAgain ??= seen.owned === endpoints ? at : undefined;
 		result.oneView ??= seen.leastLive === survivorCount && seen.mostLive === survivorCount ? at : undefined;
 		result.readers = measures.reduce((sum, {measure}) => sum + measure.readers, 0);
-		await delay(lookMilliseconds);
+		await delay(pollIntervalMilliseconds);
 	}
 
 	return result;
--- a/src/bench/weigh/knowledge.ts
+++ b/src/bench/weigh/knowledge.ts
@@ -12,7 +12,7 @@
  * cell only; a query to the owners of two endpoints for each request; none. `all` and `cell` choose the least loaded
  * endpoint, `all-two` and `cell-two` the less loaded of two random ones.
  */
-export type KnowledgeWay = 'perfect' | 'all' | 'all-two' | 'cell' | 'cell-two' | 'ask-two' | 'none';
+export type KnowledgeStrategy = 'perfect' | 'all' | 'all-two' | 'cell' | 'cell-two' | 'ask-two' | 'none';
 
 const targetEndpointsPerDaemon = 16;
 const slots = 16;
@@ -22,21 +22,21 @@
 const longShare = 0.05;
 const longFactor = 8;
 const warmUpMilliseconds = 30_000;
-const lengthMilliseconds = 60_000;
+const durationMilliseconds = 60_000;
 const stepMilliseconds = 10;
 
 /** Number of daemons and endpoints, and the interval of load reports in each strategy (0: no reports). */
 export type KnowledgeSize = {
 	daemons: number;
 	endpoints: number;
-	tellMilliseconds: Record<KnowledgeWay, number>;
+	publishIntervalMilliseconds: Record<KnowledgeStrategy, number>;
 };
 
 /** Half of a data centre of the target size. */
 export const targetSize: KnowledgeSize = {
 	daemons: 48,
 	endpoints: 768,
-	tellMilliseconds: {
+	publishIntervalMilliseconds: {
 		perfect: 0, all: 1000, 'all-two': 1000, cell: 1600, 'cell-two': 1600, 'ask-two': 1000, none: 0,
 	},
 };
@@ -45,7 +45,7 @@
 export const todaySize: KnowledgeSize = {
 	daemons: 18,
 	endpoints: 17,
-	tellMilliseconds: {
+	publishIntervalMilliseconds: {
 		perfect: 0, all: 500, 'all-two': 500, cell: 500, 'cell-two': 500, 'ask-two': 500, none: 0,
 	},
 };
@@ -63,25 +63,25 @@
 /**
  * Simulates one strategy.
  *
- * @param way - The strategy.
+ * @param strategy - The strategy.
  * @param size - The deployment.
  * @param seed - Seed of all random choices.
  * @returns Mean and 95th percentile of the wait, and the share of requests that waited.
  */
-export function playKnowledge(way: KnowledgeWay, size: KnowledgeSize, seed: number): KnowledgeCost {
+export function playKnowledge(strategy: KnowledgeStrategy, size: KnowledgeSize, seed: number): KnowledgeCost {
 	const random = seededRandom(seed);
-	const tellEvery = size.tellMilliseconds[way];
+	const publishInterval = size.publishIntervalMilliseconds[strategy];
 	const endpoints: Endpoint[] = Array.from({length: size.endpoints}, () => ({ends: [], queue: []}));
 	const reported = endpoints.map(() => 0);
 	const sent = Array.from({length: size.daemons}, () => new Map<number, number>());
 	const meanService = serviceMilliseconds * (1 + (longShare * (longFactor - 1)));
-	const perStep = endpoints.length * slots * busyShare * stepMilliseconds / meanService;
+	const arrivalsPerStep = endpoints.length * slots * busyShare * stepMilliseconds / meanService;
 	const waits: number[] = [];
-	let toCome = 0;
-	for (let now = 0; now < warmUpMilliseconds + lengthMilliseconds; now += stepMilliseconds) {
+	let pendingArrivals = 0;
+	for (let now = 0; now < warmUpMilliseconds + durationMilliseconds; now += stepMilliseconds) {
 		for (const [index, endpoint] of endpoints.entries()) {
 			serve(endpoint, now, now > warmUpMilliseconds ? waits : []);
-			if (tellEvery > 0 && (now + (index * 37 * stepMilliseconds)) % tellEvery === 0) {
+			if (publishInterval > 0 && (now + (index * 37 * stepMilliseconds)) % publishInterval === 0) {
 				reported[index] = loadOf(endpoint);
 				for (const own of sent) {
 					own.delete(index);
@@ -89,9 +89,9 @@
 			}
 		}
 
-		for (toCome += perStep; toCome >= 1; toCome--) {
+		for (pendingArrivals += arrivalsPerStep; pendingArrivals >= 1; pendingArrivals--) {
 			const daemon = Math.floor(random() * size.daemons);
-			const chosen = choose(way, {
+			const chosen = choose(strategy, {
 				daemon, endpoints, reported, sent: sent[daemon]!, random,
 			});
 			sent[daemon]!.set(chosen, (sent[daemon]!.get(chosen) ?? 0) + 1);
@@ -109,25 +109,25 @@
 }
 
 /** Returns the bytes a second that a daemon sends with a strategy, in a data centre of the target size. */
-export function bytesOf(way: KnowledgeWay): number {
-	const ask = encodeMessage({kind: 'ask-changes', after: 1}).length;
-	const told = encodeMessage({
+export function bytesOf(strategy: KnowledgeStrategy): number {
+	const queryBytes = encodeMessage({kind: 'ask-changes', after: 1}).length;
+	const reportBytes = encodeMessage({
 		kind: 'loads', loads: [], updates: [], age: 1000,
 	}).length;
 	const requestsPerSecond = 16;
-	switch (way) {
+	switch (strategy) {
 		case 'all':
 		case 'all-two': {
-			return ((targetEndpointsPerDaemon * packedUpdateBytes) + told) * 94 * 1000 / targetSize.tellMilliseconds.all;
+			return ((targetEndpointsPerDaemon * packedUpdateBytes) + reportBytes) * 94 * 1000 / targetSize.publishIntervalMilliseconds.all;
 		}
 
 		case 'cell':
 		case 'cell-two': {
-			return ((targetEndpointsPerDaemon * packedUpdateBytes) + told) * (cellDaemons - 1) * 1000 / targetSize.tellMilliseconds.cell;
+			return ((targetEndpointsPerDaemon * packedUpdateBytes) + reportBytes) * (cellDaemons - 1) * 1000 / targetSize.publishIntervalMilliseconds.cell;
 		}
 
 		case 'ask-two': {
-			return requestsPerSecond * 2 * (ask + told + packedUpdateBytes);
+			return requestsPerSecond * 2 * (queryBytes + reportBytes + packedUpdateBytes);
 		}
 
 		case 'perfect':
@@ -139,33 +139,33 @@
 
 type Choice = {daemon: number; endpoints: readonly Endpoint[]; reported: readonly number[]; sent: ReadonlyMap<number, number>; random: () => number};
 
-function choose(way: KnowledgeWay, choice: Choice): number {
+function choose(strategy: KnowledgeStrategy, choice: Choice): number {
 	const {daemon, endpoints, reported, sent, random} = choice;
-	const believed = (index: number): number => way === 'perfect' ? loadOf(endpoints[index]!) : reported[index]! + (sent.get(index) ?? 0);
-	const isCell = way === 'cell' || way === 'cell-two';
+	const estimatedLoad = (index: number): number => strategy === 'perfect' ? loadOf(endpoints[index]!) : reported[index]! + (sent.get(index) ?? 0);
+	const isCell = strategy === 'cell' || strategy === 'cell-two';
 	const cellEndpoints = cellDaemons * targetEndpointsPerDaemon;
-	const isCells = isCell && endpoints.length > cellEndpoints;
-	const first = isCells ? Math.floor(daemon / cellDaemons) * cellEndpoints : 0;
-	const count = isCells ? cellEndpoints : endpoints.length;
+	const isSplitIntoCells = isCell && endpoints.length > cellEndpoints;
+	const first = isSplitIntoCells ? Math.floor(daemon / cellDaemons) * cellEndpoints : 0;
+	const count = isSplitIntoCells ? cellEndpoints : endpoints.length;
 	const any = (): number => first + Math.floor(random() * count);
-	if (way === 'none') {
+	if (strategy === 'none') {
 		return any();
 	}
 
-	if (way === 'ask-two' || way === 'all-two' || way === 'cell-two') {
+	if (strategy === 'ask-two' || strategy === 'all-two' || strategy === 'cell-two') {
 		const [left, right] = [any(), any()];
-		return believed(left) <= believed(right) ? left : right;
+		return estimatedLoad(left) <= estimatedLoad(right) ? left : right;
 	}
 
-	return leastFrom(first, count, Math.floor(random() * count), believed);
+	return leastLoadedFrom(first, count, Math.floor(random() * count), estimatedLoad);
 }
 
 /** Returns the least loaded endpoint, searched from a random offset, so that equally loaded ones are chosen equally often. */
-function leastFrom(first: number, count: number, offset: number, believed: (index: number) => number): number {
+function leastLoadedFrom(first: number, count: number, offset: number, estimatedLoad: (index: number) => number): number {
 	let best = first + offset;
 	for (let step = 1; step < count; step++) {
 		const index = first + ((offset + step) % count);
-		if (believed(index) < believed(best)) {
+		if (estimatedLoad(index) < estimatedLoad(best)) {
 			best = index;
 		}
 	}
--- a/src/bench/weigh/main.ts
+++ b/src/bench/weigh/main.ts
@@ -4,9 +4,9 @@
 import {runKill} from './kill-run.js';
 import {runOutage} from './outage-run.js';
 import {playCut, playOutage, playThirdKilled} from './failures.js';
-import {type FanoutWay, playFanout} from './fanout.js';
+import {type FanoutStrategy, playFanout} from './fanout.js';
 import {
-	bytesOf, type KnowledgeWay, playKnowledge, targetSize, todaySize,
+	bytesOf, type KnowledgeStrategy, playKnowledge, targetSize, todaySize,
 } from './knowledge.js';
 
 const seeds = [1, 2];
@@ -17,28 +17,28 @@
 }
 
 if (wanted === undefined || wanted === 'fanout') {
-	const ways: FanoutWay[] = [];
+	const strategies: FanoutStrategy[] = [];
 	for (const loss of [0, 0.02]) {
 		for (const [mode, backoffMilliseconds] of [['push', 0], ['announce', 0], ['announce', 20], ['announce', 100]] as const) {
-			ways.push({
+			strategies.push({
 				mode, backoffMilliseconds, loss, latencyMilliseconds: 1,
 			});
 		}
 	}
 
-	for (const way of ways) {
+	for (const way of strategies) {
 		console.log(`fanout ${way.mode}, wait up to ${way.backoffMilliseconds} ms, ${way.loss * 100}% lost, seed 1: ${shown(playFanout(way, 1))}`);
 	}
 }
 
 if (wanted === undefined || wanted === 'knowledge') {
-	for (const way of ['perfect', 'all', 'all-two', 'none'] satisfies KnowledgeWay[]) {
+	for (const way of ['perfect', 'all', 'all-two', 'none'] satisfies KnowledgeStrategy[]) {
 		for (const seed of seeds) {
 			console.log(`knowledge ${way}, today's size, seed ${seed}: ${shown(playKnowledge(way, todaySize, seed))}`);
 		}
 	}
 
-	for (const way of ['perfect', 'all', 'all-two', 'cell', 'cell-two', 'ask-two', 'none'] satisfies KnowledgeWay[]) {
+	for (const way of ['perfect', 'all', 'all-two', 'cell', 'cell-two', 'ask-two', 'none'] satisfies KnowledgeStrategy[]) {
 		for (const seed of seeds) {
 			console.log(`knowledge ${way}, seed ${seed}: ${shown(playKnowledge(way, targetSize, seed))}, bytes a second one way ${bytesOf(way).toFixed(0)}`);
 		}
--- a/src/bench/weigh/outage-run.ts
+++ b/src/bench/weigh/outage-run.ts
@@ -13,7 +13,7 @@
 import {OperatorClient} from '../../operator/operator-client.js';
 
 const outageMilliseconds = 10_000;
-const lookMilliseconds = 20;
+const pollIntervalMilliseconds = 20;
 const limitMilliseconds = 20_000;
 const calls = 20;
 
@@ -120,7 +120,7 @@
 			return Date.now() - startedAt;
 		}
 
-		await delay(lookMilliseconds);
+		await delay(pollIntervalMilliseconds);
 	}
 
 	return undefined;
--- a/src/load/compare/compare-policies.test.ts
+++ b/src/load/compare/compare-policies.test.ts
@@ -11,13 +11,13 @@
 };
 
 test('equal seeds give equal figures, and the progress of every run is reported', async () => {
-	const told: Progress[] = [];
+	const reported: Progress[] = [];
 	const first = await comparePolicies(comparison, progress => {
-		told.push(progress);
+		reported.push(progress);
 	}, new AbortController().signal);
 	const second = await comparePolicies(comparison, () => undefined, new AbortController().signal);
 	assert.deepEqual(second, first);
-	assert.deepEqual(told.map(({done, of}) => `${done}/${of}`), ['1/4', '2/4', '3/4', '4/4']);
+	assert.deepEqual(reported.map(({done, of}) => `${done}/${of}`), ['1/4', '2/4', '3/4', '4/4']);
 	assert.match(formatTable(first), /urgent p95 .* ± /v);
 	assert.match(formatReport(first), /<svg/v);
 });
--- a/src/load/compare/compare-policies.ts
+++ b/src/load/compare/compare-policies.ts
@@ -47,7 +47,7 @@
 			break;
 		}
 
-		summaries.get(policy)!.set(seed, playOnce(workload, {policy, seed, loadFactor}));
+		summaries.get(policy)!.set(seed, runWithBaseline(workload, {policy, seed, loadFactor}));
 		onProgress({
 			done: index + 1, of: plans.length, policy, seed,
 		});
@@ -63,10 +63,10 @@
 }
 
 /** Runs the workload, and its urgent requests alone at load 1: their time to first token is the baseline of the loaded run. */
-function playOnce(workload: Workload, run: {policy: string; seed: number; loadFactor: number}): RunSummary {
+function runWithBaseline(workload: Workload, run: {policy: string; seed: number; loadFactor: number}): RunSummary {
 	const summary = summariseRun(workload, runSimulation({workload, ...run}));
 	const alone = summariseRun(workload, runSimulation({
-		workload, ...run, loadFactor: 1, only: request => request.priority === 'urgent',
+		workload, ...run, loadFactor: 1, includes: request => request.priority === 'urgent',
 	}));
 	const unloaded = alone['urgent p95']!;
 	return {
--- a/src/load/compare/format-report.ts
+++ b/src/load/compare/format-report.ts
@@ -33,8 +33,8 @@
 }
 
 function chartOf(name: string, bars: readonly Bar[]): string {
-	const most = Math.max(...bars.map(({mean, halfWidth}) => mean + halfWidth), 1e-9);
-	const scale = (value: number): number => Math.max(0, value) / most * chartWidth;
+	const maxValue = Math.max(...bars.map(({mean, halfWidth}) => mean + halfWidth), 1e-9);
+	const scale = (value: number): number => Math.max(0, value) / maxValue * chartWidth;
 	const lines = bars.map(({policy, mean, halfWidth}, index) => {
 		const top = index * barHeight;
 		const middle = top + ((barHeight - 6) / 2);
--- a/src/load/decision-cost/main.ts
+++ b/src/load/decision-cost/main.ts
@@ -15,10 +15,10 @@
 const warmUps = 3000;
 const decisions = 10_000;
 const prefixes = 2000;
-const piecesInPrompt = 18;
+const blocksPerPrompt = 18;
 const servicesInView = 2;
 /** Load reports that arrive between two decisions: 1,500 reports and 16 requests a second make about 90. */
-const renewedPerDecision = 90;
+const reportsPerDecision = 90;
 const waitingRequests = 200;
 const workspaces = 40;
 
@@ -59,8 +59,8 @@
 		service: `service-${prefix % servicesInView}`,
 		weightVersion: 'v1',
 		priority: random.fraction() < 0.5 ? 'urgent' : 'overnight',
-		promptTokens: (piecesInPrompt * 2048) + 300,
-		pieceKeys: Array.from({length: piecesInPrompt}, (_, piece) => `prefix-${prefix}-${piece}`),
+		promptTokens: (blocksPerPrompt * 2048) + 300,
+		pieceKeys: Array.from({length: blocksPerPrompt}, (_, piece) => `prefix-${prefix}-${piece}`),
 		avoid: [],
 		deadline: Number.POSITIVE_INFINITY,
 	};
@@ -68,8 +68,8 @@
 
 function routingCost(endpoints: number): Cost {
 	const random = new Random(1);
-	const kept = new CachedPrefixes();
-	const policy = new ExpectedFirstTokenPolicy(kept, {
+	const cachedPrefixes = new CachedPrefixes();
+	const policy = new ExpectedFirstTokenPolicy(cachedPrefixes, {
 		dataCentre: 'centre-0', links: new Map([['store-0', new LinkEstimate(40)]]), blockTokens: 2048,
 	});
 	let views = Array.from({length: endpoints}, (_, index) => viewOf(index, 0, random));
@@ -77,8 +77,8 @@
 	for (let index = 0; index < warmUps + decisions; index++) {
 		const now = index * 60;
 		views = [...views];
-		for (let renewed = 0; renewed < Math.min(endpoints, renewedPerDecision); renewed++) {
-			const place = ((index * renewedPerDecision) + renewed) % endpoints;
+		for (let renewed = 0; renewed < Math.min(endpoints, reportsPerDecision); renewed++) {
+			const place = ((index * reportsPerDecision) + renewed) % endpoints;
 			views[place] = viewOf(place, now, random);
 		}
 
--- a/src/load/measure/fair-shares.ts
+++ b/src/load/measure/fair-shares.ts
@@ -11,12 +11,12 @@
  */
 export function fairShares(demands: readonly Demand[], total: number): Map<string, number> {
 	const fair = new Map<string, number>();
-	let left = total;
+	let remaining = total;
 	let weight = demands.reduce((sum, {share}) => sum + share, 0);
 	for (const {workspace, tokens, share} of demands.toSorted((first, second) => (first.tokens / first.share) - (second.tokens / second.share))) {
-		const part = Math.min(tokens, left * share / weight);
-		fair.set(workspace, part);
-		left -= part;
+		const allotted = Math.min(tokens, remaining * share / weight);
+		fair.set(workspace, allotted);
+		remaining -= allotted;
 		weight -= share;
 	}
 
--- a/src/load/measure/summarise-run.ts
+++ b/src/load/measure/summarise-run.ts
@@ -20,7 +20,7 @@
 		'share unavoidable': unavoidableShare(workload, result.outcomes, start),
 		'link gigabytes': result.linkBytes / 1e9,
 		'goodput tokens/s': goodput(result.outcomes, start, end),
-		'least fair share': leastFairShare(counted, end),
+		'least fair share': minFairShare(counted, end),
 		...refusals(counted),
 		unanswered: counted.filter(({endedAt, refusal}) => endedAt === undefined && refusal === undefined).length,
 	};
@@ -44,8 +44,8 @@
 
 function unavoidableShare(workload: Workload, outcomes: readonly Outcome[], start: number): number {
 	const {services, stores} = workload;
-	const room = services.reduce((sum, {engines, engine}) => sum + (engines * engine.cachePieces), 0) + (stores.count * (stores.memoryPieces + stores.diskPieces));
-	const least = unavoidableRecompute(outcomes.map(({request}) => request), room);
+	const capacityBlocks = services.reduce((sum, {engines, engine}) => sum + (engines * engine.cachePieces), 0) + (stores.count * (stores.memoryPieces + stores.diskPieces));
+	const least = unavoidableRecompute(outcomes.map(({request}) => request), capacityBlocks);
 	const served = outcomes
 		.map(({request, firstTokenMilliseconds}, index) => ({request, firstTokenMilliseconds, least: least[index]!}))
 		.filter(({request, firstTokenMilliseconds}) => request.arrivesAt >= start && firstTokenMilliseconds !== undefined);
@@ -59,7 +59,7 @@
 	return sumOf(good, workOf) * 1000 / (end - start);
 }
 
-function leastFairShare(counted: readonly Outcome[], end: number): number {
+function minFairShare(counted: readonly Outcome[], end: number): number {
 	const workspaces = new Map<string, {workspace: string; tokens: number; share: number; served: number}>();
 	for (const outcome of counted) {
 		const {workspace, share} = outcome.request;
--- a/src/load/measure/unavoidable-recompute.ts
+++ b/src/load/measure/unavoidable-recompute.ts
@@ -3,43 +3,43 @@
  * blocks that Belady's algorithm (evict the block whose next use is furthest in the future) evicts if all tiers together
  * are one cache. The algorithm knows the future requests, so no policy does better.
  */
-import {pieceTokens} from '../simulation/fake-engine.js';
+import {blockTokens} from '../simulation/fake-engine.js';
 import {type WorkloadRequest} from '../workload/generate-requests.js';
 
 /**
  * Computes the minimum number of prompt tokens that have to be recomputed for each request.
  *
  * @param requests - In order of arrival.
- * @param roomPieces - Capacity of all tiers together, in blocks.
+ * @param capacityBlocks - Capacity of all tiers together, in blocks.
  * @returns Numbers of tokens, in the order of the requests.
  */
-export function unavoidableRecompute(requests: readonly WorkloadRequest[], roomPieces: number): number[] {
+export function unavoidableRecompute(requests: readonly WorkloadRequest[], capacityBlocks: number): number[] {
 	const nextUses = nextUsesOf(requests);
-	const kept = new Map<string, number>();
+	const cached = new Map<string, number>();
 	for (const {pieceKeys} of requests.filter(({isUsedBefore}) => isUsedBefore)) {
 		for (const key of pieceKeys) {
-			kept.set(key, 0);
+			cached.set(key, 0);
 		}
 	}
 
 	return requests.map((request, index) => {
-		const reused = request.pieceKeys.filter(key => kept.has(key)).length;
+		const reused = request.pieceKeys.filter(key => cached.has(key)).length;
 		for (const [position, key] of request.pieceKeys.entries()) {
-			kept.set(key, nextUses[index]![position]!);
+			cached.set(key, nextUses[index]![position]!);
 		}
 
-		while (kept.size > roomPieces) {
-			kept.delete(lastUsed(kept));
+		while (cached.size > capacityBlocks) {
+			cached.delete(furthestNextUse(cached));
 		}
 
-		return request.promptTokens - (reused * pieceTokens);
+		return request.promptTokens - (reused * blockTokens);
 	});
 }
 
-function lastUsed(kept: ReadonlyMap<string, number>): string {
+function furthestNextUse(cached: ReadonlyMap<string, number>): string {
 	let last = '';
 	let latest = -1;
-	for (const [key, use] of kept) {
+	for (const [key, use] of cached) {
 		if (use > latest) {
 			last = key;
 			latest = use;
--- a/src/load/overhead/main.ts
+++ b/src/load/overhead/main.ts
@@ -12,7 +12,7 @@
 	type EntryUsage, type LatencyFigures, measureLatency, measureThroughput, type ThroughputFigures, withUsage,
 } from './overhead-phases.js';
 
-const engineAtOnce = ['--prefill-tokens-per-second', '1000000000', '--batch-limit', '1000'];
+const instantEngineArguments = ['--prefill-tokens-per-second', '1000000000', '--batch-limit', '1000'];
 const latencyPlan = {perSecond: 200, seconds: 10, tokens: 16};
 const shortPlan = {callers: 64, seconds: 5, tokens: 8};
 const streamPlan = {callers: 160, seconds: 6, tokens: 500};
@@ -25,16 +25,16 @@
 	streamedTokens: {direct: ThroughputFigures; entry: ThroughputFigures; usage: EntryUsage};
 };
 
-type Load<Value> = (parts: {direct: LoadClient; entry: LoadClient; entryPid: number}) => Promise<Value>;
+type Measurement<Value> = (parts: {direct: LoadClient; entry: LoadClient; entryPid: number}) => Promise<Value>;
 
-async function withDeployment<Value>(millisecondsPerToken: number, load: Load<Value>): Promise<Value> {
+async function withDeployment<Value>(millisecondsPerToken: number, load: Measurement<Value>): Promise<Value> {
 	const deployment = new Deployment({
 		dataCentres: ['split-riva'],
 		entriesPerDataCentre: 1,
 		enginesPerDataCentre: 3,
 		modelServices: [permitsModelService],
 		plainService: 'bookings',
-		engineArguments: [...engineAtOnce, '--milliseconds-per-token', String(millisecondsPerToken)],
+		engineArguments: [...instantEngineArguments, '--milliseconds-per-token', String(millisecondsPerToken)],
 	});
 	try {
 		await deployment.start();
@@ -54,7 +54,7 @@
 }
 
 async function measure(): Promise<OverheadReport> {
-	const atOnce = await withDeployment(0, async ({direct, entry, entryPid}) => {
+	const instantFigures = await withDeployment(0, async ({direct, entry, entryPid}) => {
 		const {value: [directLatency, entryLatency], usage} = await withUsage(entryPid, async () => measureLatency([direct, entry], latencyPlan));
 		const shortDirect = await measureThroughput(direct, shortPlan);
 		const shortEntry = await withUsage(entryPid, async () => measureThroughput(entry, shortPlan));
@@ -75,7 +75,7 @@
 		const {value, usage} = await withUsage(entryPid, async () => measureThroughput(entry, streamPlan));
 		return {direct: directFigures, entry: value, usage};
 	});
-	return {...atOnce, streamedTokens};
+	return {...instantFigures, streamedTokens};
 }
 
 function printReport({latency, shortRequests, streamedTokens}: OverheadReport): void {
--- a/src/load/overhead/overhead-phases.ts
+++ b/src/load/overhead/overhead-phases.ts
@@ -25,7 +25,7 @@
 };
 
 /** Returns the quantile of sorted values at a share from 0 to 1; 0 if there are no values. */
-function valueAt(sorted: readonly number[], share: number): number {
+function quantileOfSorted(sorted: readonly number[], share: number): number {
 	return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
 }
 
@@ -37,8 +37,8 @@
 	return {
 		requests: results.length,
 		notWhole: results.length - sorted.length,
-		medianMilliseconds: valueAt(sorted, 0.5),
-		p99Milliseconds: valueAt(sorted, 0.99),
+		medianMilliseconds: quantileOfSorted(sorted, 0.5),
+		p99Milliseconds: quantileOfSorted(sorted, 0.99),
 	};
 }
 
--- a/src/load/policies.ts
+++ b/src/load/policies.ts
@@ -12,34 +12,34 @@
 import {RoundRobinPolicy} from '../decision/routing/round-robin-policy.js';
 import {type RoutingPolicy} from '../decision/routing/routing-policy.js';
 import {StickyPolicy} from '../decision/routing/sticky-policy.js';
-import {pieceTokens} from './simulation/fake-engine.js';
+import {blockTokens} from './simulation/fake-engine.js';
 
 /** The policies of one entry instance. */
 export type EntryPolicies = {
 	prefixes: CachedPrefixes;
 	routing: RoutingPolicy;
 	admission: AdmissionPolicy;
-	keeping: SavePolicy;
+	saving: SavePolicy;
 	/** Estimates of the stores' links by store name; empty for policies that don't use them. */
 	links: ReadonlyMap<string, LinkEstimate>;
 	/** Whether fetches for requests that are not urgent pause while a link is congested. */
-	isPolite: boolean;
+	shouldPauseFetches: boolean;
 };
 
 /** The instance that the policies decide for, and the deployment around it. */
-export type EntryPlace = {index: number; dataCentre: string; stores: readonly string[]; pieceBytes: number; linkBytesPerSecond: number; instances: number};
+export type EntryContext = {index: number; dataCentre: string; stores: readonly string[]; pieceBytes: number; linkBytesPerSecond: number; instances: number};
 
-export const policies: Readonly<Record<string, (place: EntryPlace) => EntryPolicies>> = {
+export const policies: Readonly<Record<string, (context: EntryContext) => EntryPolicies>> = {
 	'round-robin': ({index}) => ({
-		prefixes: new CachedPrefixes(), routing: new RoundRobinPolicy(index), admission: new BoundedQueueAdmission(), keeping: new SaveNothingPolicy(), isPolite: false, links: new Map(),
+		prefixes: new CachedPrefixes(), routing: new RoundRobinPolicy(index), admission: new BoundedQueueAdmission(), saving: new SaveNothingPolicy(), shouldPauseFetches: false, links: new Map(),
 	}),
 	'least-loaded': () => ({
-		prefixes: new CachedPrefixes(), routing: new LeastLoadedPolicy(), admission: new BoundedQueueAdmission(), keeping: new SaveNothingPolicy(), isPolite: false, links: new Map(),
+		prefixes: new CachedPrefixes(), routing: new LeastLoadedPolicy(), admission: new BoundedQueueAdmission(), saving: new SaveNothingPolicy(), shouldPauseFetches: false, links: new Map(),
 	}),
 	sticky({stores}) {
 		const prefixes = new CachedPrefixes();
 		return {
-			prefixes, routing: new StickyPolicy(prefixes, stores), admission: new BoundedQueueAdmission(), keeping: new SaveAllPolicy(prefixes, stores), isPolite: false, links: new Map(),
+			prefixes, routing: new StickyPolicy(prefixes, stores), admission: new BoundedQueueAdmission(), saving: new SaveAllPolicy(prefixes, stores), shouldPauseFetches: false, links: new Map(),
 		};
 	},
 	chosen({dataCentre, stores, pieceBytes, linkBytesPerSecond}) {
@@ -48,10 +48,10 @@
 		const links = new Map(stores.map(name => [name, new LinkEstimate(idleMilliseconds)]));
 		return {
 			prefixes,
-			routing: new ExpectedFirstTokenPolicy(prefixes, {dataCentre, links, blockTokens: pieceTokens}),
+			routing: new ExpectedFirstTokenPolicy(prefixes, {dataCentre, links, blockTokens: blockTokens}),
 			admission: new FairShareAdmission(),
-			keeping: new SaveAllPolicy(prefixes, stores),
-			isPolite: true,
+			saving: new SaveAllPolicy(prefixes, stores),
+			shouldPauseFetches: true,
 			links,
 		};
 	},
--- a/src/load/simulation/fake-engine.ts
+++ b/src/load/simulation/fake-engine.ts
@@ -6,9 +6,9 @@
 import {type CacheEvent, type LoadReport} from '../../ports/model-engine.js';
 import {type PriorityClass} from '../../shared/types.js';
 import {type EventQueue} from './event-queue.js';
-import {RecencySet} from './recency-set.js';
+import {LruSet} from './lru-set.js';
 
-export const pieceTokens = 2048;
+export const blockTokens = 2048;
 const priorityRank: Record<PriorityClass, number> = {urgent: 0, normal: 1, overnight: 2};
 
 /** Speed and capacity of an engine. */
@@ -40,30 +40,30 @@
 	readonly dataCentre: string;
 	readonly service: string;
 	/** Factor by which the duration of each step is multiplied. */
-	slowness = 1;
-	isDead = false;
+	slowdownFactor = 1;
+	isDown = false;
 	readonly #queue: EventQueue;
 	readonly #speed: EngineSpeed;
-	readonly #cache: RecencySet;
+	readonly #cache: LruSet;
 	readonly #publish: (event: CacheEvent) => void;
 	#waiting: EngineJob[] = [];
 	#batch: BatchMember[] = [];
 	#isStepping = false;
 	#sequence = 0;
 
-	constructor(identity: {name: string; dataCentre: string; service: string}, speed: EngineSpeed, surroundings: {queue: EventQueue; publish: (event: CacheEvent) => void}) {
+	constructor(identity: {name: string; dataCentre: string; service: string}, speed: EngineSpeed, dependencies: {queue: EventQueue; publish: (event: CacheEvent) => void}) {
 		this.name = identity.name;
 		this.dataCentre = identity.dataCentre;
 		this.service = identity.service;
 		this.#speed = speed;
-		this.#queue = surroundings.queue;
-		this.#publish = surroundings.publish;
-		this.#cache = new RecencySet(speed.cachePieces);
+		this.#queue = dependencies.queue;
+		this.#publish = dependencies.publish;
+		this.#cache = new LruSet(speed.cachePieces);
 	}
 
 	/** Accepts a prompt; an engine that is down ends it as failed at once. */
 	submit(job: EngineJob): void {
-		if (this.isDead) {
+		if (this.isDown) {
 			job.end(false);
 			return;
 		}
@@ -74,9 +74,9 @@
 	}
 
 	/** Adds cache blocks that were fetched from a store. */
-	importPieces(pieceKeys: readonly string[]): void {
+	importBlocks(pieceKeys: readonly string[]): void {
 		for (const key of pieceKeys) {
-			this.#keep(key);
+			this.#addToCache(key);
 		}
 	}
 
@@ -86,8 +86,8 @@
 	}
 
 	/** Crashes: the cache is lost, and all waiting and running prompts end as failed. */
-	die(): void {
-		this.isDead = true;
+	crash(): void {
+		this.isDown = true;
 		const jobs = [...this.#waiting, ...this.#batch.map(({job}) => job)];
 		this.#waiting = [];
 		this.#batch = [];
@@ -100,7 +100,7 @@
 	/** Returns the current load. */
 	report(): LoadReport {
 		const toPrefill = this.#batch.reduce((sum, member) => sum + member.toPrefill, 0);
-		const waiting = this.#waiting.reduce((sum, job) => sum + job.promptTokens - (this.#cachedPieces(job) * pieceTokens), 0);
+		const waiting = this.#waiting.reduce((sum, job) => sum + job.promptTokens - (this.#cachedBlocks(job) * blockTokens), 0);
 		return {
 			model: this.service,
 			weightVersion: 'v1',
@@ -112,13 +112,13 @@
 			decodeTokensPerSecond: 1000 / this.#speed.stepMilliseconds,
 			batchLimit: this.#speed.batchLimit,
 			kvTokensUsed: this.#tokensInUse(),
-			kvTokensCapacity: this.#speed.cachePieces * pieceTokens,
+			kvTokensCapacity: this.#speed.cachePieces * blockTokens,
 			measuredAt: this.#queue.now,
 		};
 	}
 
 	#startStep(): void {
-		if (this.#isStepping || this.isDead) {
+		if (this.#isStepping || this.isDown) {
 			return;
 		}
 
@@ -131,7 +131,7 @@
 		const decoding = this.#batch.filter(member => member.toPrefill === 0);
 		const prefilled = this.#prefillChunk();
 		const milliseconds = this.#speed.stepMilliseconds + (1000 * prefilled / this.#speed.prefillTokensPerSecond);
-		this.#queue.after(milliseconds * this.slowness, () => {
+		this.#queue.after(milliseconds * this.slowdownFactor, () => {
 			this.#isStepping = false;
 			this.#endStep(decoding);
 			this.#startStep();
@@ -141,17 +141,17 @@
 	#fillBatch(): void {
 		while (this.#batch.length < this.#speed.batchLimit && this.#waiting.length > 0) {
 			const job = this.#waiting[0]!;
-			if (this.#batch.length > 0 && this.#tokensInUse() + job.promptTokens + job.outputTokens > this.#speed.cachePieces * pieceTokens) {
+			if (this.#batch.length > 0 && this.#tokensInUse() + job.promptTokens + job.outputTokens > this.#speed.cachePieces * blockTokens) {
 				break;
 			}
 
 			this.#waiting.shift();
-			const pieces = this.#cachedPieces(job);
-			for (const key of job.pieceKeys.slice(0, pieces).toReversed()) {
+			const cachedBlocks = this.#cachedBlocks(job);
+			for (const key of job.pieceKeys.slice(0, cachedBlocks).toReversed()) {
 				this.#cache.touch(key);
 			}
 
-			const cachedTokens = pieces * pieceTokens;
+			const cachedTokens = cachedBlocks * blockTokens;
 			this.#batch.push({
 				job, cachedTokens, toPrefill: Math.max(1, job.promptTokens - cachedTokens), toDecode: job.outputTokens,
 			});
@@ -163,20 +163,20 @@
 	}
 
 	#prefillChunk(): number {
-		let room = this.#speed.chunkTokens;
-		const inOrder = this.#batch
+		let remainingTokens = this.#speed.chunkTokens;
+		const byPriority = this.#batch
 			.filter(member => member.toPrefill > 0)
 			.toSorted((left, right) => priorityRank[left.job.priority] - priorityRank[right.job.priority]);
-		for (const member of inOrder) {
-			const part = Math.min(room, member.toPrefill);
-			member.toPrefill -= part;
-			room -= part;
-			if (room === 0) {
+		for (const member of byPriority) {
+			const prefilledTokens = Math.min(remainingTokens, member.toPrefill);
+			member.toPrefill -= prefilledTokens;
+			remainingTokens -= prefilledTokens;
+			if (remainingTokens === 0) {
 				break;
 			}
 		}
 
-		return this.#speed.chunkTokens - room;
+		return this.#speed.chunkTokens - remainingTokens;
 	}
 
 	#endStep(decoding: readonly BatchMember[]): void {
@@ -184,7 +184,7 @@
 			if (member.toPrefill === 0 && !decoding.includes(member)) {
 				// Last block first, so that the end of a prefix, useless without its start, is evicted before it.
 				for (const key of member.job.pieceKeys.toReversed()) {
-					this.#keep(key);
+					this.#addToCache(key);
 				}
 
 				member.job.firstToken(member.cachedTokens);
@@ -202,19 +202,19 @@
 		}
 	}
 
-	#cachedPieces(job: EngineJob): number {
+	#cachedBlocks(job: EngineJob): number {
 		const missing = job.pieceKeys.findIndex(key => !this.#cache.has(key));
 		return missing === -1 ? job.pieceKeys.length : missing;
 	}
 
-	#keep(key: string): void {
+	#addToCache(key: string): void {
 		const isNew = !this.#cache.has(key);
-		const gone = this.#cache.keep(key);
+		const evicted = this.#cache.add(key);
 		if (isNew) {
 			this.#publish({sequence: ++this.#sequence, kind: 'stored', pieceKey: key});
 		}
 
-		for (const pieceKey of gone) {
+		for (const pieceKey of evicted) {
 			this.#publish({sequence: ++this.#sequence, kind: 'evicted', pieceKey});
 		}
 	}
--- a/src/load/simulation/load-patterns.test.ts
+++ b/src/load/simulation/load-patterns.test.ts
@@ -89,17 +89,17 @@
 
 function checkCallers(outcomes: readonly Outcome[]): void {
 	for (const {request, endedAt, refusal, ran, attempts, wholeAnswers, retryAfterMilliseconds, refusedAt} of outcomes) {
-		const told = `${request.requestId} (${request.className})`;
-		assert.ok(wholeAnswers <= 1, `${told} was answered twice`);
-		assert.ok(endedAt === undefined || refusal === undefined, `${told} was answered and refused`);
-		assert.ok(ran !== 'not-run' || attempts === 0, `${told} was refused as not run after ${attempts} attempts`);
+		const label = `${request.requestId} (${request.className})`;
+		assert.ok(wholeAnswers <= 1, `${label} was answered twice`);
+		assert.ok(endedAt === undefined || refusal === undefined, `${label} was answered and refused`);
+		assert.ok(ran !== 'not-run' || attempts === 0, `${label} was refused as not run after ${attempts} attempts`);
 		if (refusal === 'deadline' || refusal === 'overloaded') {
-			assert.ok((retryAfterMilliseconds ?? 0) >= 1000, `${told} was refused without a retry delay`);
-			assert.ok(refusedAt! <= request.deadline + 200, `${told} was refused after its deadline`);
+			assert.ok((retryAfterMilliseconds ?? 0) >= 1000, `${label} was refused without a retry delay`);
+			assert.ok(refusedAt! <= request.deadline + 200, `${label} was refused after its deadline`);
 		}
 
 		if (request.priority === 'urgent') {
-			assert.ok(endedAt !== undefined || refusal !== undefined, `${told} was neither answered nor refused`);
+			assert.ok(endedAt !== undefined || refusal !== undefined, `${label} was neither answered nor refused`);
 		}
 	}
 }
--- a/src/load/simulation/recency-set.ts
+++ b/src/load/simulation/lru-set.ts
@@ -1,10 +1,10 @@
 /** A set of bounded capacity that evicts its least recently used members. */
-export class RecencySet {
+export class LruSet {
 	readonly #members = new Set<string>();
-	#room: number;
+	#capacity: number;
 
-	constructor(room: number) {
-		this.#room = room;
+	constructor(capacity: number) {
+		this.#capacity = capacity;
 	}
 
 	get size(): number {
@@ -12,8 +12,8 @@
 	}
 
 	/** Changes the capacity; members in excess of it are evicted when the next one is added. */
-	setRoom(room: number): void {
-		this.#room = room;
+	setCapacity(capacity: number): void {
+		this.#capacity = capacity;
 	}
 
 	has(key: string): boolean {
@@ -28,17 +28,17 @@
 	}
 
 	/** Adds a member, or marks it as the most recently used, and returns the members that were evicted for it. */
-	keep(key: string): string[] {
+	add(key: string): string[] {
 		this.#members.delete(key);
 		this.#members.add(key);
-		const gone: string[] = [];
-		while (this.#members.size > this.#room) {
+		const evicted: string[] = [];
+		while (this.#members.size > this.#capacity) {
 			const oldest = this.#members.values().next().value!;
 			this.#members.delete(oldest);
-			gone.push(oldest);
+			evicted.push(oldest);
 		}
 
-		return gone;
+		return evicted;
 	}
 
 	clear(): void {
--- a/src/load/simulation/run-simulation.ts
+++ b/src/load/simulation/run-simulation.ts
@@ -6,7 +6,7 @@
 import {Random} from '../workload/random.js';
 import {type Workload} from '../workload/workload-schema.js';
 import {EventQueue} from './event-queue.js';
-import {FakeEngine, pieceTokens} from './fake-engine.js';
+import {FakeEngine, blockTokens} from './fake-engine.js';
 import {FakeStore} from './fake-store.js';
 import {type Fault} from './fault.js';
 import {type Outcome} from './outcome.js';
@@ -23,7 +23,7 @@
 	loadFactor: number;
 	faults?: readonly Fault[];
 	/** Selects the requests that are part of the run; all when absent. */
-	only?: (request: WorkloadRequest) => boolean;
+	includes?: (request: WorkloadRequest) => boolean;
 	/** Transforms the generated requests into a load pattern that a workload file can't express. */
 	reshape?: (requests: readonly WorkloadRequest[]) => readonly WorkloadRequest[];
 };
@@ -46,10 +46,10 @@
 	readonly #engines = new Map<string, FakeEngine>();
 	readonly #stores = new Map<string, FakeStore>();
 	readonly #entries: SimulatedEntry[];
-	readonly #published = new Map<string, CacheEvent[]>();
+	readonly #pendingEvents = new Map<string, CacheEvent[]>();
 	#views: readonly EndpointView[] = [];
 	#reportLagMilliseconds: number;
-	#cutDataCentre = '';
+	#isolatedDataCentre = '';
 
 	constructor(plan: SimulationPlan) {
 		this.#plan = plan;
@@ -61,8 +61,8 @@
 	}
 
 	run(): SimulationResult {
-		const {workload, seed, loadFactor, only, reshape, faults = []} = this.#plan;
-		const generated = generateRequests(workload, seed, loadFactor).filter(request => only?.(request) ?? true);
+		const {workload, seed, loadFactor, includes: includes, reshape, faults = []} = this.#plan;
+		const generated = generateRequests(workload, seed, loadFactor).filter(request => includes?.(request) ?? true);
 		const requests = reshape?.(generated) ?? generated;
 		const outcomes = requests.map(request => ({
 			request, fetchMilliseconds: 0, recomputedTokens: 0, attempts: 0, wholeAnswers: 0,
@@ -80,7 +80,7 @@
 		});
 		this.#preload(requests);
 		for (const fault of faults) {
-			this.#schedule(fault);
+			this.#scheduleFault(fault);
 		}
 
 		for (const outcome of outcomes) {
@@ -99,7 +99,7 @@
 		const prompts = new Map(requests.filter(({isUsedBefore, pieceKeys}) => isUsedBefore && pieceKeys.length > 0).map(request => [request.pieceKeys[0]!, request]));
 		const [entry] = this.#entries;
 		for (const {workspace, pieceKeys} of prompts.values()) {
-			for (const action of entry!.policies.keeping.prefilled({
+			for (const action of entry!.policies.saving.prefilled({
 				workspace, endpoint: '', pieceKeys, reusedBlocks: 0,
 			}, 0)) {
 				this.#stores.get(action.store)?.preload(action.pieceKeys);
@@ -143,14 +143,14 @@
 				index, dataCentre, stores: [...this.#stores.keys()], pieceBytes: workload.stores.pieceBytes, linkBytesPerSecond: workload.stores.linkBytesPerSecond, instances: workload.entries,
 			});
 			for (const engine of this.#engines.values()) {
-				own.prefixes.setCapacity(engine.name, Math.floor(engine.report().kvTokensCapacity / pieceTokens));
+				own.prefixes.setCapacity(engine.name, Math.floor(engine.report().kvTokensCapacity / blockTokens));
 			}
 
 			return new SimulatedEntry({name: `entry-${index}`, dataCentre}, own, {
 				queue: this.#queue,
 				engines: this.#engines,
 				stores: this.#stores,
-				views: () => this.#cutDataCentre === '' ? this.#views : this.#views.filter(view => (view.dataCentre === this.#cutDataCentre) === (dataCentre === this.#cutDataCentre)),
+				views: () => this.#isolatedDataCentre === '' ? this.#views : this.#views.filter(view => (view.dataCentre === this.#isolatedDataCentre) === (dataCentre === this.#isolatedDataCentre)),
 				latencyTo: target => target === dataCentre ? 0.2 : workload.betweenDataCentresMilliseconds,
 				clientMilliseconds: workload.clientMilliseconds,
 				services: workload.services.map(({name}) => name),
@@ -161,27 +161,27 @@
 
 	#publisher(name: string): (event: CacheEvent) => void {
 		return event => {
-			const events = this.#published.get(name) ?? [];
+			const events = this.#pendingEvents.get(name) ?? [];
 			events.push(event);
-			this.#published.set(name, events);
+			this.#pendingEvents.set(name, events);
 		};
 	}
 
 	#publishLoad(): void {
-		const reports = [...this.#engines.values()].filter(({isDead}) => !isDead).map(engine => ({engine, report: engine.report()}));
+		const reports = [...this.#engines.values()].filter(({isDown: isDead}) => !isDead).map(engine => ({engine, report: engine.report()}));
 		this.#queue.after(this.#reportLagMilliseconds, () => {
 			const fresh = new Map(reports.map(({engine, report}) => [engine.name, viewOf(engine, report, this.#queue.now)]));
 			this.#views = this.#views.map(view => fresh.get(view.name) ?? view);
 			for (const entry of this.#entries) {
-				entry.takeReports();
+				entry.applyReports();
 			}
 		});
 	}
 
 	#deliverCacheEvents(): void {
 		const {lagMilliseconds, lostShare} = this.#plan.workload.cacheEvents;
-		const batches = [...this.#published.entries()];
-		this.#published.clear();
+		const batches = [...this.#pendingEvents.entries()];
+		this.#pendingEvents.clear();
 		this.#queue.after(lagMilliseconds, () => {
 			for (const {policies: {prefixes}} of this.#entries) {
 				for (const [name, events] of batches) {
@@ -191,7 +191,7 @@
 		});
 	}
 
-	#schedule(fault: Fault): void {
+	#scheduleFault(fault: Fault): void {
 		this.#queue.after(fault.from, () => {
 			this.#setFault(fault, true);
 		});
@@ -206,21 +206,21 @@
 		switch (kind) {
 			case 'engine-dies': {
 				if (isOn) {
-					engine!.die();
+					engine!.crash();
 				} else {
-					engine!.isDead = false;
+					engine!.isDown = false;
 				}
 
 				break;
 			}
 
 			case 'engine-slow': {
-				engine!.slowness = isOn ? factor : 1;
+				engine!.slowdownFactor = isOn ? factor : 1;
 				break;
 			}
 
 			case 'link-slow': {
-				store!.slowness = isOn ? factor : 1;
+				store!.slowdownFactor = isOn ? factor : 1;
 				break;
 			}
 
@@ -230,12 +230,12 @@
 			}
 
 			case 'store-dies': {
-				store!.isDead = isOn;
+				store!.isDown = isOn;
 				break;
 			}
 
 			case 'data-centre-cut': {
-				this.#cutDataCentre = isOn ? target : '';
+				this.#isolatedDataCentre = isOn ? target : '';
 				break;
 			}
 
--- a/src/load/simulation/simulated-entry.ts
+++ b/src/load/simulation/simulated-entry.ts
@@ -6,14 +6,14 @@
 import {hashOf} from '../../shared/hash-of.js';
 import {type EntryPolicies} from '../policies.js';
 import {type EventQueue} from './event-queue.js';
-import {type FakeEngine, pieceTokens} from './fake-engine.js';
+import {type FakeEngine, blockTokens} from './fake-engine.js';
 import {type FakeStore} from './fake-store.js';
 import {type Outcome} from './outcome.js';
 
 const attemptLimit = 4;
 
 /** The components around an entry, and the latencies to them. */
-export type EntrySurroundings = {
+export type EntryDependencies = {
 	queue: EventQueue;
 	engines: ReadonlyMap<string, FakeEngine>;
 	stores: ReadonlyMap<string, FakeStore>;
@@ -26,23 +26,23 @@
 	instances: number;
 };
 
-type FetchRun = {endpoint: EndpointView; fetch: FetchPlan; sentAt: number; linkMilliseconds: number};
+type FetchProgress = {endpoint: EndpointView; fetch: FetchPlan; sentAt: number; linkMilliseconds: number};
 type Run = {outcome: Outcome; route: RouteRequest; isAdmitted: boolean};
 
 export class SimulatedEntry {
 	readonly name: string;
 	readonly dataCentre: string;
 	readonly policies: EntryPolicies;
-	readonly #around: EntrySurroundings;
+	readonly #dependencies: EntryDependencies;
 	readonly #windows: ReadonlyMap<string, AdmissionWindow>;
 	readonly #runs = new Map<string, Run>();
 
-	constructor(identity: {name: string; dataCentre: string}, policies: EntryPolicies, around: EntrySurroundings) {
+	constructor(identity: {name: string; dataCentre: string}, policies: EntryPolicies, dependencies: EntryDependencies) {
 		this.name = identity.name;
 		this.dataCentre = identity.dataCentre;
 		this.policies = policies;
-		this.#around = around;
-		this.#windows = new Map(around.services.map(service => [service, new AdmissionWindow(service)]));
+		this.#dependencies = dependencies;
+		this.#windows = new Map(dependencies.services.map(service => [service, new AdmissionWindow(service)]));
 	}
 
 	/** Handles the arrival of a caller's request. */
@@ -52,56 +52,56 @@
 			...request, weightVersion: 'v1', avoid: [], pieceKeys: request.pieceKeys,
 		};
 		this.#runs.set(request.requestId, {outcome, route, isAdmitted: false});
-		this.#carryOut(this.policies.admission.arrive(route, this.#around.queue.now));
+		this.#execute(this.policies.admission.arrive(route, this.#dependencies.queue.now));
 	}
 
 	/** Lets the admission policy act on the time that has passed. */
 	advance(): void {
-		this.#carryOut(this.policies.admission.advance(this.#around.queue.now));
+		this.#execute(this.policies.admission.advance(this.#dependencies.queue.now));
 	}
 
 	/** Recomputes the admission capacity of each service from new load reports. */
-	takeReports(): void {
-		const {queue, views, instances} = this.#around;
+	applyReports(): void {
+		const {queue, views, instances} = this.#dependencies;
 		const dither = hashOf(`${this.name}|${queue.now}`) / (2 ** 32);
 		const endpoints = views();
 		const linkSlowness = Math.max(1, ...[...this.policies.links.values()].map(link => link.slownessAt(queue.now)));
 		for (const [service, window] of this.#windows) {
-			let underWay = 0;
+			let inFlight = 0;
 			for (const {isAdmitted, route} of this.#runs.values()) {
-				underWay += isAdmitted && route.service === service && route.priority !== 'urgent' ? 1 : 0;
+				inFlight += isAdmitted && route.service === service && route.priority !== 'urgent' ? 1 : 0;
 			}
 
 			const capacity = window.applyReports(endpoints, {
-				inFlight: underWay, instances, dither, linkSlowness,
+				inFlight: inFlight, instances, dither, linkSlowness,
 			}, queue.now);
-			this.#carryOut(this.policies.admission.setCapacity(service, capacity, queue.now));
+			this.#execute(this.policies.admission.setCapacity(service, capacity, queue.now));
 		}
 	}
 
-	#carryOut(actions: readonly AdmissionAction[]): void {
+	#execute(actions: readonly AdmissionAction[]): void {
 		for (const action of actions) {
 			const run = this.#runs.get(action.requestId)!;
 			if (action.kind === 'admit') {
 				run.isAdmitted = true;
-				run.outcome.admittedAt = this.#around.queue.now;
+				run.outcome.admittedAt = this.#dependencies.queue.now;
 				this.#attempt(run);
 			} else {
 				const {reason, ran, retryAfterMilliseconds} = action.refusal;
 				this.#runs.delete(action.requestId);
 				Object.assign(run.outcome, {
-					refusal: reason, ran, retryAfterMilliseconds, refusedAt: this.#around.queue.now,
+					refusal: reason, ran, retryAfterMilliseconds, refusedAt: this.#dependencies.queue.now,
 				});
 			}
 		}
 	}
 
 	#attempt(run: Run): void {
-		const {queue, stores, views} = this.#around;
+		const {queue, stores, views} = this.#dependencies;
 		const choice = this.policies.routing.choose(run.route, views(), queue.now);
 		if (choice.kind === 'none' || run.outcome.attempts >= attemptLimit) {
 			Object.assign(run.outcome, {refusal: choice.kind === 'none' ? 'no-endpoint' : 'endpoint-failed', ran: run.outcome.attempts === 0 ? 'not-run' : 'unknown', refusedAt: queue.now});
-			this.#leave(run);
+			this.#finish(run);
 			return;
 		}
 
@@ -124,12 +124,12 @@
 	 * Fetches the blocks of a plan. An urgent request fetches all of them in one transfer, so that it queues at the link only
 	 * once. Other requests fetch one block at a time and pause between blocks while the link is congested.
 	 */
-	#fetchFrom(store: FakeStore, run: Run, plan: FetchRun, done: number): void {
-		const {queue, engines} = this.#around;
+	#fetchFrom(store: FakeStore, run: Run, plan: FetchProgress, done: number): void {
+		const {queue, engines} = this.#dependencies;
 		const {endpoint, fetch, sentAt} = plan;
 		const isUrgent = run.route.priority === 'urgent';
 		const pieces = fetch.pieceKeys.slice(done, isUrgent ? undefined : done + 1);
-		const askedAt = queue.now;
+		const requestedAt = queue.now;
 		if (pieces.length === 0) {
 			run.outcome.fetchMilliseconds += queue.now - sentAt;
 			this.policies.routing.observe({
@@ -147,9 +147,9 @@
 		}
 
 		store.fetch(pieces, found => {
-			engines.get(endpoint.name)!.importPieces(found);
-			plan.linkMilliseconds += queue.now - askedAt;
-			const pause = this.policies.isPolite ? fetchPause(run.route.priority, queue.now - askedAt, store.idleMillisecondsPerPiece) : 0;
+			engines.get(endpoint.name)!.importBlocks(found);
+			plan.linkMilliseconds += queue.now - requestedAt;
+			const pause = this.policies.shouldPauseFetches ? fetchPause(run.route.priority, queue.now - requestedAt, store.idleMillisecondsPerBlock) : 0;
 			const isAllFound = found.length === pieces.length;
 			queue.after(pause, () => {
 				this.#fetchFrom(store, run, isAllFound ? plan : {...plan, fetch: {...fetch, pieceKeys: fetch.pieceKeys.slice(0, done + found.length)}}, done + found.length);
@@ -158,40 +158,40 @@
 	}
 
 	#send(run: Run, endpoint: EndpointView, sentAt: number): void {
-		const {queue, engines, latencyTo, clientMilliseconds} = this.#around;
+		const {queue, engines, latencyTo, clientMilliseconds} = this.#dependencies;
 		const {routing} = this.policies;
 		const {outcome, route} = run;
-		const back = latencyTo(endpoint.dataCentre);
+		const latencyMilliseconds = latencyTo(endpoint.dataCentre);
 		let cachedTokens = 0;
-		queue.after(back, () => {
+		queue.after(latencyMilliseconds, () => {
 			engines.get(endpoint.name)!.submit({
 				...outcome.request,
 				firstToken: cached => {
 					cachedTokens = cached;
-					queue.after(back, () => {
+					queue.after(latencyMilliseconds, () => {
 						outcome.firstTokenMilliseconds ??= queue.now + clientMilliseconds - outcome.request.arrivesAt;
 						outcome.recomputedTokens += route.promptTokens - cached;
 						routing.observe({
 							kind: 'first-token', endpoint: endpoint.name, request: route, afterMilliseconds: queue.now - sentAt,
 						}, queue.now);
 						this.policies.admission.firstToken(route.requestId, queue.now);
-						this.#keep(route, endpoint.name, cached);
+						this.#saveBlocks(route, endpoint.name, cached);
 					});
 				},
 				end: isWhole => {
-					queue.after(back, () => {
+					queue.after(latencyMilliseconds, () => {
 						routing.observe({
 							kind: 'ended', endpoint: endpoint.name, request: route, outcome: isWhole ? 'whole' : 'failed', cachedTokens,
 						}, queue.now);
-						this.#ended(run, {endpoint: endpoint.name, isWhole, cachedTokens});
+						this.#handleEnd(run, {endpoint: endpoint.name, isWhole, cachedTokens});
 					});
 				},
 			});
 		});
 	}
 
-	#ended(run: Run, {endpoint, isWhole, cachedTokens}: {endpoint: string; isWhole: boolean; cachedTokens: number}): void {
-		const {queue, clientMilliseconds} = this.#around;
+	#handleEnd(run: Run, {endpoint, isWhole, cachedTokens}: {endpoint: string; isWhole: boolean; cachedTokens: number}): void {
+		const {queue, clientMilliseconds} = this.#dependencies;
 		const {outcome, route} = run;
 		if (!isWhole) {
 			run.route = {...route, avoid: [...route.avoid, endpoint]};
@@ -201,13 +201,13 @@
 
 		outcome.wholeAnswers++;
 		outcome.endedAt = queue.now + clientMilliseconds;
-		this.#leave(run);
+		this.#finish(run);
 	}
 
-	#keep(route: RouteRequest, endpoint: string, cachedTokens: number): void {
-		const {queue, engines, stores} = this.#around;
-		const actions = this.policies.keeping.prefilled({
-			workspace: route.workspace, endpoint, pieceKeys: route.pieceKeys, reusedBlocks: cachedTokens / pieceTokens,
+	#saveBlocks(route: RouteRequest, endpoint: string, cachedTokens: number): void {
+		const {queue, engines, stores} = this.#dependencies;
+		const actions = this.policies.saving.prefilled({
+			workspace: route.workspace, endpoint, pieceKeys: route.pieceKeys, reusedBlocks: cachedTokens / blockTokens,
 		}, queue.now);
 		for (const action of actions) {
 			const engine = engines.get(action.endpoint)!;
@@ -215,8 +215,8 @@
 		}
 	}
 
-	#leave({route}: Run): void {
+	#finish({route}: Run): void {
 		this.#runs.delete(route.requestId);
-		this.#carryOut(this.policies.admission.finish(route.requestId, this.#around.queue.now));
+		this.#execute(this.policies.admission.finish(route.requestId, this.#dependencies.queue.now));
 	}
 }
--- a/src/load/workload/generate-requests.ts
+++ b/src/load/workload/generate-requests.ts
@@ -1,5 +1,5 @@
 /** Generates the requests of one run from a workload and a seed. */
-import {pieceTokens} from '../simulation/fake-engine.js';
+import {blockTokens} from '../simulation/fake-engine.js';
 import {type PriorityClass} from '../../shared/types.js';
 import {Random} from './random.js';
 import {type Workload, type WorkloadClass} from './workload-schema.js';
@@ -47,14 +47,14 @@
 		const count = Math.max(1, Math.round(kind.contextsPerWeight * weight));
 		return Array.from({length: count}, (_, index) => {
 			const tokens = kind.contextsPerWeight === 0 ? 0 : Math.round(random.between(kind.contextTokens));
-			const pieces = Math.floor(tokens / pieceTokens);
+			const blockCount = Math.floor(tokens / blockTokens);
 			return {
 				workspace: name,
 				share,
 				popularity: weight / count / ((index + 1) ** kind.skew),
 				tokens,
 				isUsedBefore: random.fraction() < workload.usedBeforeShare,
-				pieceKeys: Array.from({length: pieces}, (_piece, piece) => `${kind.name}/${name}/${index}/${piece}`),
+				pieceKeys: Array.from({length: blockCount}, (_piece, piece) => `${kind.name}/${name}/${index}/${piece}`),
 			};
 		});
 	});
@@ -64,9 +64,9 @@
 
 function requestsOf({workload, kind, contexts, loadFactor}: ClassPlan, random: Random): WorkloadRequest[] {
 	const requests: WorkloadRequest[] = [];
-	const meanWait = 1000 / (kind.requestsPerSecond * loadFactor);
+	const meanInterval = 1000 / (kind.requestsPerSecond * loadFactor);
 	const total = contexts.reduce((sum, {popularity}) => sum + popularity, 0);
-	for (let at = random.wait(meanWait); at < workload.seconds * 1000; at += random.wait(meanWait)) {
+	for (let at = random.exponential(meanInterval); at < workload.seconds * 1000; at += random.exponential(meanInterval)) {
 		const {workspace, share, tokens, pieceKeys, isUsedBefore} = pick(contexts, random.fraction() * total);
 		requests.push({
 			requestId: '',
--- a/src/load/workload/random.ts
+++ b/src/load/workload/random.ts
@@ -25,7 +25,7 @@
 	}
 
 	/** Returns the time to the next event of a Poisson process: exponentially distributed, in the unit of the mean. */
-	wait(mean: number): number {
+	exponential(mean: number): number {
 		return -Math.log(1 - this.fraction()) * mean;
 	}
 }
--- a/src/peer/link/peer-service.test.ts
+++ b/src/peer/link/peer-service.test.ts
@@ -7,7 +7,7 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {systemClock} from '../../adapters/system-clock.js';
 import {changeOf} from '../../bench/bench-changes.js';
-import {VirtualKeeper} from '../../bench/virtual-peers.js';
+import {VirtualConfiguration} from '../../bench/virtual-peers.js';
 import {encodeFrame, frameLimitBytes} from '../framing/frame-codec.js';
 import {createMessageReader, encodeMessage} from '../message/message-codec.js';
 import {type Hello, supportedVersions, type VersionRange} from '../message/peer-message.js';
@@ -20,7 +20,7 @@
 const limitMilliseconds = 10_000;
 
 class RunningPeer {
-	readonly keeper = new VirtualKeeper(() => Date.now());
+	readonly keeper = new VirtualConfiguration(() => Date.now());
 	readonly closed: string[] = [];
 	readonly service: PeerService;
 	address = '';
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -44,7 +44,7 @@
 	const keys = Array.from({length: 1000}, (_, index) => `shard-${index}`);
 	const [first, leaving] = peers as [VirtualPeer, VirtualPeer];
 	const before = new Map(keys.map(key => [key, first.node.ownerOf(key)]));
-	network.carry(leaving, leaving.node.leave());
+	network.send(leaving, leaving.node.leave());
 	network.kill(leaving.listed.name);
 	const stayed = peers.filter(peer => peer !== leaving);
 	const took = network.runUntil(() => stayed.every(({node}) => node.membership.ownLive().length === 49), 5000);
@@ -78,13 +78,13 @@
 	network.run(5000);
 	network.cut(names(4, 'trogir').map(({name}) => name), 'alone');
 	network.run(120_000);
-	const change = changeOf(peers[0]!.keeper.state, 1);
-	peers[0]!.keeper.offerChange(change);
-	network.carry(peers[0]!, peers[0]!.node.announceChange(change));
+	const change = changeOf(peers[0]!.configuration.state, 1);
+	peers[0]!.configuration.offerChange(change);
+	network.send(peers[0]!, peers[0]!.node.announceChange(change));
 	network.run(3000);
-	assert.equal(peers.filter(({keeper}) => keeper.state.version === 1).length, 10);
+	assert.equal(peers.filter(({configuration: keeper}) => keeper.state.version === 1).length, 10);
 	network.cut(names(4, 'trogir').map(({name}) => name), '');
-	const back = network.runUntil(() => peers.every(({keeper, node}) => keeper.state.version === 1 && node.membership.allLive().length === 14), 20_000);
+	const back = network.runUntil(() => peers.every(({configuration: keeper, node}) => keeper.state.version === 1 && node.membership.allLive().length === 14), 20_000);
 	assert.notEqual(back, undefined);
 });
 
@@ -95,10 +95,10 @@
 	network.run(5000);
 	network.loss = 0.1;
 	for (let version = 1; version <= 3; version++) {
-		const change = changeOf(peers[5]!.keeper.state, version);
-		peers[5]!.keeper.offerChange(change);
-		network.carry(peers[5]!, peers[5]!.node.announceChange(change));
-		const took = network.runUntil(() => peers.every(({keeper}) => keeper.state.version === version), 5000);
+		const change = changeOf(peers[5]!.configuration.state, version);
+		peers[5]!.configuration.offerChange(change);
+		network.send(peers[5]!, peers[5]!.node.announceChange(change));
+		const took = network.runUntil(() => peers.every(({configuration: keeper}) => keeper.state.version === version), 5000);
 		assert.ok(took !== undefined && took <= 3000, `in force after ${took} ms`);
 	}
 });
@@ -109,17 +109,17 @@
 	const peers = network.startAll(names(5));
 	network.run(3000);
 	for (let version = 1; version <= 1100; version++) {
-		const change = changeOf(peers[0]!.keeper.state, version);
-		peers[0]!.keeper.offerChange(change);
-		network.carry(peers[0]!, peers[0]!.node.announceChange(change));
+		const change = changeOf(peers[0]!.configuration.state, version);
+		peers[0]!.configuration.offerChange(change);
+		network.send(peers[0]!, peers[0]!.node.announceChange(change));
 		network.run(5);
 	}
 
-	assert.notEqual(network.runUntil(() => peers.every(({keeper}) => keeper.state.version === 1100), 5000), undefined);
+	assert.notEqual(network.runUntil(() => peers.every(({configuration: keeper}) => keeper.state.version === 1100), 5000), undefined);
 	const late = network.start('split-entry-late', 'split');
 	network.announce();
-	assert.notEqual(network.runUntil(() => late.keeper.state.version === 1100, 3000), undefined);
-	assert.deepEqual(late.keeper.state.workspaces, peers[0]!.keeper.state.workspaces);
+	assert.notEqual(network.runUntil(() => late.configuration.state.version === 1100, 3000), undefined);
+	assert.deepEqual(late.configuration.state.workspaces, peers[0]!.configuration.state.workspaces);
 });
 
 test('the leaving of an endpoint is known at all instances within a second', () => {
@@ -131,9 +131,9 @@
 	network.run(5000);
 	const owner = peers.find(({node}) => node.loadGossip.ownedCount > 0)!;
 	const [leaving] = owner.node.loadGossip.owned();
-	network.carry(owner, owner.node.handleReport(leaving!, {...idleReport, state: 'leaving'}, network.now));
+	network.send(owner, owner.node.handleReport(leaving!, {...idleReport, state: 'leaving'}, network.now));
 	const others = peers.filter(peer => peer !== owner);
-	const took = network.runUntil(() => others.every(({learned}) => learned.get(leaving!)?.summary.state === 'leaving'), 3000);
+	const took = network.runUntil(() => others.every(({receivedLoads: receivedLoads}) => receivedLoads.get(leaving!)?.summary.state === 'leaving'), 3000);
 	assert.ok(took !== undefined && took <= 1000, `known after ${took} ms`);
 });
 
@@ -144,9 +144,9 @@
 	const peers = network.startAll(Array.from({length: 8}, (_, index) => names(9, `centre-${index}`)).flat());
 	network.run(6000);
 	assert.ok(peers.every(({node}) => node.overlay.neighbours.size < 30));
-	const change = changeOf(peers[4]!.keeper.state, 1);
-	peers[4]!.keeper.offerChange(change);
-	network.carry(peers[4]!, peers[4]!.node.announceChange(change));
-	const took = network.runUntil(() => peers.every(({keeper}) => keeper.state.version === 1), 5000);
+	const change = changeOf(peers[4]!.configuration.state, 1);
+	peers[4]!.configuration.offerChange(change);
+	network.send(peers[4]!, peers[4]!.node.announceChange(change));
+	const took = network.runUntil(() => peers.every(({configuration: keeper}) => keeper.state.version === 1), 5000);
 	assert.ok(took !== undefined && took <= 2000, `everywhere after ${took} ms`);
 });
