--- a/src/adapters/answer-size.test.ts
+++ b/src/adapters/answer-size.test.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import {type Socket} from 'node:net';
 import {test} from 'node:test';
-import {drip, flood, startScriptedServer} from '../test/scripted-server.js';
+import {writeRepeatedly, flood, startScriptedServer} from '../test/scripted-server.js';
 import {exchangeJson} from './http-client.js';
 import {HttpCacheStore} from './http-cache-store.js';
 import {HttpObjectStore} from './http-object-store.js';
@@ -31,7 +31,7 @@
 	'answers 200 and drips': {
 		status: 200,
 		write(socket) {
-			drip(socket, '5\r\nfull \r\n', 50);
+			writeRepeatedly(socket, '5\r\nfull \r\n', 50);
 		},
 	},
 };
@@ -55,7 +55,7 @@
 			const startedAt = performance.now();
 			await call(server.address);
 			assert.ok(performance.now() - startedAt < maxCallMilliseconds);
-			assert.equal(await server.isReleasedWithin(3000), true);
+			assert.equal(await server.allClosedWithin(3000), true);
 			assert.ok(sent < maxSentBytes, `${sent} bytes were read`);
 		});
 	}
--- a/src/adapters/unfinished-engine-answer.test.ts
+++ b/src/adapters/unfinished-engine-answer.test.ts
@@ -2,7 +2,7 @@
 import {type Socket} from 'node:net';
 import {test} from 'node:test';
 import {type EngineCall, type EngineEvent, type EngineFailure} from '../ports/model-engine.js';
-import {drip, flood, startScriptedServer} from '../test/scripted-server.js';
+import {writeRepeatedly, flood, startScriptedServer} from '../test/scripted-server.js';
 import {HttpModelEngine} from './http-model-engine.js';
 
 const engine = new HttpModelEngine();
@@ -18,7 +18,7 @@
 		// Nothing follows.
 	},
 	drips(socket) {
-		drip(socket, '5\r\nfull \r\n', 50);
+		writeRepeatedly(socket, '5\r\nfull \r\n', 50);
 	},
 	floods(socket) {
 		flood(socket, `8000\r\n${'f'.repeat(0x80_00)}\r\n`);
@@ -48,13 +48,13 @@
 			kind: 'refused', status: 429, detail: '', retryAfterMilliseconds: 2000,
 		}]);
 		assert.ok(waited < maxReportMilliseconds, `reported after ${waited} ms`);
-		assert.equal(await server.isReleasedWithin(releaseMilliseconds), true);
+		assert.equal(await server.allClosedWithin(releaseMilliseconds), true);
 	});
 }
 
 for (const [name, writeRest] of Object.entries({
 	...serverBehaviours, comments(socket: Socket) {
-		drip(socket, '4\r\n:ok\n\r\n', 50);
+		writeRepeatedly(socket, '4\r\n:ok\n\r\n', 50);
 	},
 })) {
 	test(`the connection of an engine whose answer continues after [DONE] is closed (${name})`, async t => {
@@ -66,6 +66,6 @@
 		});
 		const seen = await collect(server.address);
 		assert.deepEqual(seen.map(({kind}) => kind), ['started', 'tokens', 'finished']);
-		assert.equal(await server.isReleasedWithin(releaseMilliseconds), true);
+		assert.equal(await server.allClosedWithin(releaseMilliseconds), true);
 	});
 }
--- a/src/bench/slopes/poll-run.ts
+++ b/src/bench/slopes/poll-run.ts
@@ -2,7 +2,7 @@
 import {type Socket} from 'node:net';
 import {createInstanceListStandIn} from '../../stand-in/instance-list-stand-in.js';
 import {ModelEngineStandIn} from '../../stand-in/model-engine-stand-in.js';
-import {type StandInKind, startStandIn} from '../../stand-in/stand-in-server.js';
+import {type StandInDefinition, startStandIn} from '../../stand-in/stand-in-server.js';
 import {exchangeJson} from '../../adapters/http-client.js';
 import {type ListedInstance} from '../../shared/types.js';
 import {createTableServiceStandIn} from '../../stand-in/table-service-stand-in.js';
@@ -37,7 +37,7 @@
 	}));
 }
 
-async function countPolls(kind: StandInKind, path: PollPath, polls: number, prepare: (address: string) => Promise<unknown>): Promise<PollCost> {
+async function countPolls(kind: StandInDefinition, path: PollPath, polls: number, prepare: (address: string) => Promise<unknown>): Promise<PollCost> {
 	const standIn = await startStandIn(kind, {host: '127.0.0.1', port: 0});
 	const worker = new WorkerProcess();
 	try {
--- a/src/check/bookings-over-processes.ts
+++ b/src/check/bookings-over-processes.ts
@@ -9,11 +9,11 @@
 import {type DeployedProcess, Deployment} from '../demo/deployment.js';
 import {Choices} from './choices.js';
 
-const standstillMilliseconds = 6500;
+const pauseMilliseconds = 6500;
 const callerTimeoutMilliseconds = 4000;
-const repeatMilliseconds = 200;
-const tryLimit = 60;
-const callersAtOnce = 8;
+const retryDelayMilliseconds = 200;
+const maxAttempts = 60;
+const concurrentCallers = 8;
 
 /** The counts of a run. Every member but the first five must be 0. */
 export type BookingsReport = {
@@ -29,8 +29,8 @@
 	withoutFinalWord: number;
 };
 
-type Word = 'answered' | 'not-run' | 'unknown' | 'nothing';
-type Booked = {name: string; words: Word[]; bodies: string[]};
+type AttemptOutcome = 'answered' | 'not-run' | 'unknown' | 'nothing';
+type SentBooking = {name: string; outcomes: AttemptOutcome[]; bodies: string[]};
 
 /**
  * Sends bookings under faults.
@@ -58,8 +58,8 @@
 class BookingsRun {
 	readonly #deployment: Deployment;
 	readonly #choices: Choices;
-	readonly #booked: Booked[] = [];
-	readonly #standstills: Array<Promise<void>> = [];
+	readonly #sentBookings: SentBooking[] = [];
+	readonly #pauses: Array<Promise<void>> = [];
 	#kills = 0;
 
 	constructor(deployment: Deployment, choices: Choices) {
@@ -73,15 +73,15 @@
 			while (next < bookings) {
 				const number = next++;
 				if (number % 8 === 7) {
-					await this.#break();
+					await this.#injectFault();
 				}
 
-				await this.#book(`pitch-${number}`);
+				await this.#sendUntilFinal(`pitch-${number}`);
 			}
 		};
 
-		await Promise.all(Array.from({length: callersAtOnce}, caller));
-		await Promise.all(this.#standstills);
+		await Promise.all(Array.from({length: concurrentCallers}, caller));
+		await Promise.all(this.#pauses);
 		return this.#report();
 	}
 
@@ -89,7 +89,7 @@
 		return this.#deployment.withRole('entry');
 	}
 
-	async #break(): Promise<void> {
+	async #injectFault(): Promise<void> {
 		const fault = this.#choices.oneOf(['lose table answers', 'lose service answers', 'kill', 'stand still'] as const);
 		const entries = this.#entries;
 		if (entries.length === 0) {
@@ -120,7 +120,7 @@
 
 			case 'stand still': {
 				entry.process.child.kill('SIGSTOP');
-				this.#standstills.push(delay(standstillMilliseconds).then(() => {
+				this.#pauses.push(delay(pauseMilliseconds).then(() => {
 					entry.process.child.kill('SIGCONT');
 				}));
 				break;
@@ -129,25 +129,25 @@
 	}
 
 	/** Sends one booking with one idempotency key to changing entries until its outcome is final. */
-	async #book(name: string): Promise<void> {
-		const booked: Booked = {name, words: [], bodies: []};
-		this.#booked.push(booked);
-		let unknownWords = 0;
-		for (let count = 0; count < tryLimit; count++) {
+	async #sendUntilFinal(name: string): Promise<void> {
+		const booking: SentBooking = {name, outcomes: [], bodies: []};
+		this.#sentBookings.push(booking);
+		let unknownOutcomes = 0;
+		for (let count = 0; count < maxAttempts; count++) {
 			const entries = this.#entries;
 			// Seed 424242 killed all four entries before the first replacement had started, so the list can be empty for a while.
 			const entry = entries[this.#choices.between(0, Math.max(0, entries.length - 1))];
-			const word = entry === undefined ? 'again' : await ask(entry.listed.address, booked);
+			const outcome = entry === undefined ? 'again' : await sendOnce(entry.listed.address, booking);
 			// A caller that gets "outcome unknown" sends the booking once more, which must not run it again.
-			unknownWords += word === 'unknown' ? 1 : 0;
-			if (word === 'answered' || unknownWords > 1) {
+			unknownOutcomes += outcome === 'unknown' ? 1 : 0;
+			if (outcome === 'answered' || unknownOutcomes > 1) {
 				return;
 			}
 
-			await delay(repeatMilliseconds);
+			await delay(retryDelayMilliseconds);
 		}
 
-		booked.words.push('nothing');
+		booking.outcomes.push('nothing');
 	}
 
 	async #report(): Promise<BookingsReport> {
@@ -159,18 +159,18 @@
 			}
 		}
 
-		const count = (is: (booked: Booked, runs: number) => boolean): number => this.#booked.filter(booked => is(booked, runs.get(booked.name) ?? 0)).length;
+		const count = (is: (booked: SentBooking, runs: number) => boolean): number => this.#sentBookings.filter(booked => is(booked, runs.get(booked.name) ?? 0)).length;
 		return {
-			bookings: this.#booked.length,
-			answered: count(({words}) => words.at(-1) === 'answered'),
-			unknown: count(({words}) => words.at(-1) === 'unknown'),
+			bookings: this.#sentBookings.length,
+			answered: count(({outcomes: words}) => words.at(-1) === 'answered'),
+			unknown: count(({outcomes: words}) => words.at(-1) === 'unknown'),
 			kills: this.#kills,
-			standstills: this.#standstills.length,
+			standstills: this.#pauses.length,
 			duplicateRuns: count((_booked, ran) => ran > 1),
-			falseNotRun: count(({words}, ran) => ran > 0 && words.every(word => word === 'not-run')),
+			falseNotRun: count(({outcomes: words}, ran) => ran > 0 && words.every(word => word === 'not-run')),
 			crossedAnswers: count(({name, bodies}) => bodies.some(body => body !== `confirmed-${name}`)),
-			answeredButNotRun: count(({words}, ran) => ran === 0 && words.includes('answered')),
-			withoutFinalWord: count(({words}) => words.at(-1) !== 'answered' && words.at(-1) !== 'unknown'),
+			answeredButNotRun: count(({outcomes: words}, ran) => ran === 0 && words.includes('answered')),
+			withoutFinalWord: count(({outcomes: words}) => words.at(-1) !== 'answered' && words.at(-1) !== 'unknown'),
 		};
 	}
 }
@@ -178,25 +178,25 @@
 type BookingAnswer = {confirmation?: string; error?: {code: string; ran: string}};
 
 /** Sends a booking once. Neither `in-progress` nor a broken connection is a final outcome. */
-async function ask(address: string, booked: Booked): Promise<'answered' | 'unknown' | 'again'> {
+async function sendOnce(address: string, booking: SentBooking): Promise<'answered' | 'unknown' | 'again'> {
 	try {
 		const answer = await request(`http://${address}/services/bookings/bookings`, {
 			method: 'POST',
-			headers: {authorization: 'Bearer quay-demo-key', 'content-type': 'application/json', 'idempotency-key': `key-of-${booked.name}`},
-			body: JSON.stringify({booking: booked.name}),
+			headers: {authorization: 'Bearer quay-demo-key', 'content-type': 'application/json', 'idempotency-key': `key-of-${booking.name}`},
+			body: JSON.stringify({booking: booking.name}),
 			signal: AbortSignal.timeout(callerTimeoutMilliseconds),
 		});
 		const body = await answer.body.json() as BookingAnswer;
 		if (body.error === undefined) {
-			booked.words.push('answered');
-			booked.bodies.push(body.confirmation ?? '');
+			booking.outcomes.push('answered');
+			booking.bodies.push(body.confirmation ?? '');
 			return 'answered';
 		}
 
-		booked.words.push(body.error.ran === 'not-run' ? 'not-run' : 'unknown');
+		booking.outcomes.push(body.error.ran === 'not-run' ? 'not-run' : 'unknown');
 		return body.error.code === 'outcome-unknown' ? 'unknown' : 'again';
 	} catch {
-		booked.words.push('nothing');
+		booking.outcomes.push('nothing');
 		return 'again';
 	}
 }
--- a/src/check/choices.ts
+++ b/src/check/choices.ts
@@ -20,7 +20,7 @@
 		return new Choices(index => choices[index] ?? 0);
 	}
 
-	readonly #taken: number[] = [];
+	readonly #made: number[] = [];
 	readonly #next: (index: number) => number;
 
 	private constructor(next: (index: number) => number) {
@@ -28,8 +28,8 @@
 	}
 
 	/** All choices made so far. */
-	get taken(): readonly number[] {
-		return this.#taken;
+	get made(): readonly number[] {
+		return this.#made;
 	}
 
 	/** Returns true with a probability in percent. */
@@ -38,8 +38,8 @@
 	}
 
 	/** Returns an integer from `minimum` up to and including `maximum`. */
-	between(least: number, most: number): number {
-		return least + Math.floor(this.#draw() * (most - least + 1) / choiceRange);
+	between(minimum: number, maximum: number): number {
+		return minimum + Math.floor(this.#draw() * (maximum - minimum + 1) / choiceRange);
 	}
 
 	/** Returns one of the values; the first must be the one without a fault. */
@@ -48,8 +48,8 @@
 	}
 
 	#draw(): number {
-		const choice = this.#next(this.#taken.length);
-		this.#taken.push(choice);
+		const choice = this.#next(this.#made.length);
+		this.#made.push(choice);
 		return choice;
 	}
 }
--- a/src/check/claim-scenario.ts
+++ b/src/check/claim-scenario.ts
@@ -16,13 +16,13 @@
 import {type ConfigurationChange, type Refusal} from '../shared/types.js';
 import {FaultyTable, TableRows} from './faulty-table.js';
 import {type Scenario} from './scenario.js';
-import {virtualProcess, type VirtualProcess, type VirtualWorld} from './virtual-world.js';
+import {createProcess, type SimulatedProcess, type FaultSimulation} from './simulation.js';
 
 const claimKey = 'quay/bookings/one';
 /** The longest time that a call may take, not counting pauses of its instance. */
-const longestOutcomeMilliseconds = 60_000;
+const maxOutcomeMilliseconds = 60_000;
 
-type Instance = {process: VirtualProcess; runner: AtMostOnceRunner; configuration: ConfigurationHolder};
+type Instance = {process: SimulatedProcess; runner: AtMostOnceRunner; configuration: ConfigurationHolder};
 type Caller = {name: string; body: string; instance: Instance; arrivedAt: number; outcome?: Either<Refusal, PlainAnswer>};
 
 export class ClaimScenario implements Scenario {
@@ -32,82 +32,82 @@
 	#rows!: TableRows;
 	#changes: ConfigurationChange[] = [];
 
-	play(world: VirtualWorld): void {
-		const {choices} = world;
+	start(simulation: FaultSimulation): void {
+		const {choices} = simulation;
 		this.#rows = new TableRows(row => {
-			this.#check(world, row);
+			this.#checkClaim(simulation, row);
 		});
-		this.#accept(world, false);
-		const instances = ['entry-1', 'entry-2', 'entry-3'].map(name => this.#startInstance(world, name));
+		this.#acceptChange(simulation, false);
+		const instances = ['entry-1', 'entry-2', 'entry-3'].map(name => this.#startInstance(simulation, name));
 		const callers = choices.between(2, 6);
 		for (let index = 0; index < callers; index++) {
-			world.after(choices.between(0, 20_000), () => {
-				this.#call(world, index, choices.oneOf(instances));
+			simulation.schedule(choices.between(0, 20_000), () => {
+				this.#call(simulation, index, choices.oneOf(instances));
 			});
 		}
 
-		this.#planFaults(world, instances);
+		this.#planFaults(simulation, instances);
 	}
 
-	judge(world: VirtualWorld): void {
+	verify(simulation: FaultSimulation): void {
 		if (this.#runs.length > 1) {
-			world.violate(`the call ran ${this.#runs.length} times`);
+			simulation.reportViolation(`the call ran ${this.#runs.length} times`);
 		}
 
 		for (const caller of this.#callers) {
 			if (caller.outcome === undefined) {
-				if (!caller.instance.process.killed) {
-					world.violate(`${caller.name} never got an outcome`);
+				if (!caller.instance.process.isKilled) {
+					simulation.reportViolation(`${caller.name} never got an outcome`);
 				}
 
 				continue;
 			}
 
-			this.#judgeOutcome(world, caller, caller.outcome);
+			this.#verifyOutcome(simulation, caller, caller.outcome);
 		}
 	}
 
-	#judgeOutcome(world: VirtualWorld, caller: Caller, outcome: Either<Refusal, PlainAnswer>): void {
+	#verifyOutcome(simulation: FaultSimulation, caller: Caller, outcome: Either<Refusal, PlainAnswer>): void {
 		outcome.caseOf({
 			Left: refusal => {
 				if (refusal.ran === 'not-run' && this.#runs.includes(caller)) {
-					world.violate(`${caller.name} got "not-run" (${refusal.reason}), but its call ran`);
+					simulation.reportViolation(`${caller.name} got "not-run" (${refusal.reason}), but its call ran`);
 				}
 			},
 			Right: answer => {
 				const [run] = this.#runs;
 				if (run === undefined || answer.body.toString() !== answerTo(run) || run.body !== caller.body) {
-					world.violate(`${caller.name} got an answer that does not belong to the first run of its call`);
+					simulation.reportViolation(`${caller.name} got an answer that does not belong to the first run of its call`);
 				}
 			},
 		});
 	}
 
-	#startInstance(world: VirtualWorld, name: string): Instance {
-		const process = virtualProcess(name);
+	#startInstance(simulation: FaultSimulation, name: string): Instance {
+		const process = createProcess(name);
 		const configuration = new ConfigurationHolder();
 		configuration.offer(this.#changes[0]!);
 		const runner = new AtMostOnceRunner({
-			clock: world.clockOf(process), table: new FaultyTable(world, this.#rows, process), configuration, settings: {instance: name}, endpoints: {entryCount: 3},
+			clock: simulation.clockOf(process), table: new FaultyTable(simulation, this.#rows, process), configuration, settings: {instance: name}, endpoints: {entryCount: 3},
 		});
 		return {process, runner, configuration};
 	}
 
-	#call(world: VirtualWorld, index: number, instance: Instance): void {
-		if (instance.process.killed) {
+	#call(simulation: FaultSimulation, index: number, instance: Instance): void {
+		if (instance.process.isKilled) {
 			return;
 		}
 
-		const body = world.choices.oneOf(['tuesday', 'tuesday', 'tuesday', 'friday']);
+		const body = simulation.choices.oneOf(['tuesday', 'tuesday', 'tuesday', 'friday']);
 		const caller: Caller = {
-			name: `caller-${index}`, body, instance, arrivedAt: world.now,
+			name: `caller-${index}`, body, instance, arrivedAt: simulation.now,
 		};
 		this.#callers.push(caller);
-		world.note(`${caller.name} calls ${instance.process.name} with ${body}`);
-		void this.#run(world, caller);
+		simulation.log(`${caller.name} calls ${instance.process.name} with ${body}`);
+		void this.#run(simulation, caller);
 	}
 
-	async #run(world: VirtualWorld, caller: Caller): Promise<void> {
+	async #run(simulation: FaultSimulation, caller: Caller): Promise<void> {
 		const {runner, configuration, process} = caller.instance;
 		const outcome = await runner.run({
 			claimKey,
@@ -115,85 +115,85 @@
 			askAt: '/v1/calls/bookings/one',
 			configurationVersion: configuration.state.version,
 			refuseByConfiguration: () => isPaused(configuration) ? {reason: 'paused', ran: 'not-run', message: 'paused'} : undefined,
-			send: async () => this.#send(world, caller),
+			send: async () => this.#send(simulation, caller),
 		});
 		if (caller.outcome !== undefined) {
-			world.violate(`${caller.name} got two outcomes`);
+			simulation.reportViolation(`${caller.name} got two outcomes`);
 		}
 
 		caller.outcome = outcome;
-		world.note(`${caller.name} gets ${outcome.caseOf({Left: refusal => `${refusal.reason} ${refusal.ran}`, Right: answer => answer.body.toString()})}`);
-		const took = world.now - caller.arrivedAt - process.pausedMilliseconds;
-		if (took > longestOutcomeMilliseconds) {
-			world.violate(`${caller.name} waited ${took} ms for its outcome`);
+		simulation.log(`${caller.name} gets ${outcome.caseOf({Left: refusal => `${refusal.reason} ${refusal.ran}`, Right: answer => answer.body.toString()})}`);
+		const elapsed = simulation.now - caller.arrivedAt - process.pausedMilliseconds;
+		if (elapsed > maxOutcomeMilliseconds) {
+			simulation.reportViolation(`${caller.name} waited ${elapsed} ms for its outcome`);
 		}
 	}
 
-	async #send(world: VirtualWorld, caller: Caller): Promise<Either<PlainFailure, PlainAnswer>> {
-		const {choices} = world;
+	async #send(simulation: FaultSimulation, caller: Caller): Promise<Either<PlainFailure, PlainAnswer>> {
+		const {choices} = simulation;
 		const {process} = caller.instance;
-		await world.step(process);
+		await simulation.pauseOrStop(process);
 		const fate = choices.oneOf(['well', 'well', 'well', 'well', 'not-sent', 'lost-after', 'lost-before', 'late'] as const);
-		world.note(`${process.name} sends for ${caller.name} (${fate})`);
-		await world.delay(choices.between(1, 500));
+		simulation.log(`${process.name} sends for ${caller.name} (${fate})`);
+		await simulation.delay(choices.between(1, 500));
 		if (fate === 'not-sent') {
 			return Left({kind: 'not-sent', detail: 'refused'});
 		}
 
 		if (fate === 'late') {
-			world.after(choices.between(1, 90_000), () => {
+			simulation.schedule(choices.between(1, 90_000), () => {
 				this.#runs.push(caller);
 			});
 		} else if (fate !== 'lost-before') {
 			this.#runs.push(caller);
 		}
 
-		await world.delay(fate === 'well' ? choices.between(1, 20) : 30_000);
-		await world.step(process);
+		await simulation.delay(fate === 'well' ? choices.between(1, 20) : 30_000);
+		await simulation.pauseOrStop(process);
 		return fate === 'well'
 			? Right({status: 201, headers: {}, body: Buffer.from(answerTo(caller))})
 			: Left({kind: 'outcome-unknown', detail: fate});
 	}
 
-	#planFaults(world: VirtualWorld, instances: readonly Instance[]): void {
-		const {choices} = world;
+	#planFaults(simulation: FaultSimulation, instances: readonly Instance[]): void {
+		const {choices} = simulation;
 		if (choices.chance(30)) {
-			world.after(choices.between(0, 30_000), () => {
+			simulation.schedule(choices.between(0, 30_000), () => {
 				const {process} = choices.oneOf(instances);
-				process.killed = true;
-				world.note(`${process.name} is killed`);
+				process.isKilled = true;
+				simulation.log(`${process.name} is killed`);
 			});
 		}
 
 		if (choices.chance(30)) {
-			world.after(choices.between(0, 20_000), () => {
+			simulation.schedule(choices.between(0, 20_000), () => {
 				this.#rows.isDown = true;
-				world.note('the platform goes down');
-				world.after(choices.between(100, 20_000), () => {
+				simulation.log('the platform goes down');
+				simulation.schedule(choices.between(100, 20_000), () => {
 					this.#rows.isDown = false;
-					world.note('the platform is back');
+					simulation.log('the platform is back');
 				});
 			});
 		}
 
 		for (const paused of [true, false]) {
 			if (choices.chance(30)) {
-				world.after(choices.between(0, 20_000), () => {
-					this.#accept(world, paused);
+				simulation.schedule(choices.between(0, 20_000), () => {
+					this.#acceptChange(simulation, paused);
 				});
 			}
 		}
 	}
 
 	/** Accepts an operator's change at the table. Instances are not notified: they learn of it when they write a claim. */
-	#accept(world: VirtualWorld, paused: boolean): void {
+	#acceptChange(simulation: FaultSimulation, paused: boolean): void {
 		const last = this.#changes.at(-1);
 		const draft = {
 			version: (last?.version ?? 0) + 1,
 			previousDigest: last?.digest ?? emptyDigest,
 			author: 'operator',
 			reason: 'check',
-			acceptedAt: world.now,
+			acceptedAt: simulation.now,
 			edits: [{
 				action: 'set' as const, kind: 'service' as const, item: {
 					name: 'bookings', kind: 'plain' as const, neverTwice: [], fencing: 'ignored' as const, paused,
@@ -202,7 +202,7 @@
 		};
 		const change = {...draft, digest: changeDigest(draft)};
 		this.#changes = [...this.#changes, change];
-		world.note(`version ${change.version} is accepted: ${paused ? 'paused' : 'open'}`);
+		simulation.log(`version ${change.version} is accepted: ${paused ? 'paused' : 'open'}`);
 		this.#rows.apply({
 			conditions: [],
 			writes: [
@@ -213,7 +213,7 @@
 	}
 
 	/** Checks that a claim enters the stage `sending` only under the newest configuration version. */
-	#check(world: VirtualWorld, row: Row): void {
+	#checkClaim(simulation: FaultSimulation, row: Row): void {
 		if (row.table !== claimTable) {
 			return;
 		}
@@ -221,7 +221,7 @@
 		const claim = row.value as unknown as ClaimRow;
 		const newest = this.#changes.at(-1)!.version;
 		if (claim.stage === 'sending' && claim.configurationVersion !== newest) {
-			world.violate(`a call was started under version ${claim.configurationVersion} while ${newest} was accepted`);
+			simulation.reportViolation(`a call was started under version ${claim.configurationVersion} while ${newest} was accepted`);
 		}
 	}
 }
--- a/src/check/configuration-over-processes.ts
+++ b/src/check/configuration-over-processes.ts
@@ -13,8 +13,8 @@
 import {seededRandom} from '../peer/random/seeded-random.js';
 import {CuttableLink} from './cuttable-link.js';
 
-const lookMilliseconds = 20;
-const giveUpMilliseconds = 15_000;
+const pollIntervalMilliseconds = 20;
+const timeoutMilliseconds = 15_000;
 const boundMilliseconds = 3000;
 
 /** The counts of a run. `late` and `wentBack` must be 0. */
@@ -86,16 +86,16 @@
 	}
 
 	async run(faults: number): Promise<ConfigurationReport> {
-		await this.#change();
+		await this.#acceptChange();
 		for (let count = 0; count < faults; count++) {
-			await this.#fault();
-			await this.#change();
+			await this.#injectFault();
+			await this.#acceptChange();
 		}
 
 		return this.#report;
 	}
 
-	async #fault(): Promise<void> {
+	async #injectFault(): Promise<void> {
 		const entries = this.#deployment.withRole('entry');
 		const entry = entries[Math.floor(this.#random() * entries.length)]!;
 		const link = this.#links.get(entry.listed.name)!;
@@ -104,7 +104,7 @@
 			await this.#deployment.replaceEntry(entry);
 		} else if (link.isCut) {
 			this.#report.mends++;
-			link.mend();
+			link.restore();
 		} else if ([...this.#links.values()].filter(({isCut}) => !isCut).length > 1) {
 			this.#report.cuts++;
 			link.cut();
@@ -112,7 +112,7 @@
 	}
 
 	/** Accepts a change and waits until it is in force on every entry. */
-	async #change(): Promise<void> {
+	async #acceptChange(): Promise<void> {
 		const head = await readHead(this.#table);
 		const accepted = await acceptProposal(this.#table, {
 			plannedAgainst: head.unsafeCoerce().version,
@@ -123,12 +123,12 @@
 		this.#report.changes++;
 		const {version} = accepted.unsafeCoerce();
 		const acceptedAt = performance.now();
-		while (!await this.#isEverywhere(version)) {
-			if (performance.now() - acceptedAt > giveUpMilliseconds) {
+		while (!await this.#isInForceEverywhere(version)) {
+			if (performance.now() - acceptedAt > timeoutMilliseconds) {
 				break;
 			}
 
-			await delay(lookMilliseconds);
+			await delay(pollIntervalMilliseconds);
 		}
 
 		const took = performance.now() - acceptedAt;
@@ -136,13 +136,13 @@
 		this.#report.late += took > boundMilliseconds ? 1 : 0;
 	}
 
-	async #isEverywhere(version: number): Promise<boolean> {
-		const seen = await Promise.all(this.#deployment.withRole('entry').map(async ({listed}) => this.#look(listed.name, listed.address)));
+	async #isInForceEverywhere(version: number): Promise<boolean> {
+		const seen = await Promise.all(this.#deployment.withRole('entry').map(async ({listed}) => this.#readVersion(listed.name, listed.address)));
 		return seen.every(found => found >= version);
 	}
 
 	/** Returns the version that an entry reports, and counts it if it is lower than before. */
-	async #look(name: string, address: string): Promise<number> {
+	async #readVersion(name: string, address: string): Promise<number> {
 		const answer = await request(`http://${address}/readyz`);
 		const {ready, configurationVersion} = await answer.body.json() as {ready: boolean; configurationVersion: number};
 		const before = this.#highest.get(name) ?? 0;
--- a/src/check/configuration-scenario.ts
+++ b/src/check/configuration-scenario.ts
@@ -13,15 +13,15 @@
 import {type ConfigurationChange} from '../shared/types.js';
 import {FaultyTable, TableRows} from './faulty-table.js';
 import {type Scenario} from './scenario.js';
-import {virtualProcess, type VirtualProcess, type VirtualWorld} from './virtual-world.js';
+import {createProcess, type SimulatedProcess, type FaultSimulation} from './simulation.js';
 
 const durationMilliseconds = 40_000;
-const lookMilliseconds = 250;
-const gossipMilliseconds = 300;
-const pollMilliseconds = 500;
+const checkIntervalMilliseconds = 250;
+const gossipIntervalMilliseconds = 300;
+const pollIntervalMilliseconds = 500;
 
-type Instance = {process: VirtualProcess; holder: ConfigurationHolder; life: number; served: number; isCutFromPeers: boolean};
-type Answered = {change: {author: string; reason: string}; isAccepted: boolean};
+type Instance = {process: SimulatedProcess; holder: ConfigurationHolder; life: number; served: number; isCutFromPeers: boolean};
+type ProposalAnswer = {change: {author: string; reason: string}; isAccepted: boolean};
 
 export class ConfigurationScenario implements Scenario {
 	readonly name = 'configuration';
@@ -29,87 +29,87 @@
 	/** The accepted states by version, starting with version 0. */
 	readonly #accepted: ConfigurationState[] = [emptyConfiguration];
 	readonly #changes: ConfigurationChange[] = [];
-	readonly #answered: Answered[] = [];
+	readonly #proposalAnswers: ProposalAnswer[] = [];
 	#rows!: TableRows;
 	#endsAt = 0;
 
-	play(world: VirtualWorld): void {
-		this.#endsAt = world.now + durationMilliseconds;
+	start(simulation: FaultSimulation): void {
+		this.#endsAt = simulation.now + durationMilliseconds;
 		this.#rows = new TableRows(row => {
-			this.#follow(world, row);
+			this.#recordAccepted(simulation, row);
 		});
 		for (const name of ['entry-1', 'entry-2', 'entry-3']) {
 			const instance = {
-				process: virtualProcess(name), holder: new ConfigurationHolder(), life: 0, served: 0, isCutFromPeers: false,
+				process: createProcess(name), holder: new ConfigurationHolder(), life: 0, served: 0, isCutFromPeers: false,
 			};
 			this.#instances.push(instance);
-			this.#startLife(world, instance);
-			this.#gossip(world, instance);
+			this.#restart(simulation, instance);
+			this.#gossip(simulation, instance);
 		}
 
-		this.#look(world);
+		this.#checkServedVersions(simulation);
 		for (const name of ['operator-1', 'operator-2']) {
-			void this.#operate(world, virtualProcess(name));
+			void this.#proposeChanges(simulation, createProcess(name));
 		}
 
-		this.#planFaults(world);
+		this.#planFaults(simulation);
 	}
 
-	judge(world: VirtualWorld): void {
-		for (const {change, isAccepted} of this.#answered) {
+	verify(simulation: FaultSimulation): void {
+		for (const {change, isAccepted} of this.#proposalAnswers) {
 			const stands = this.#changes.some(({author, reason}) => author === change.author && reason === change.reason);
 			if (stands !== isAccepted) {
-				world.violate(`${change.author} got the answer that ${change.reason} was ${isAccepted ? '' : 'not '}accepted, which is wrong`);
+				simulation.reportViolation(`${change.author} got the answer that ${change.reason} was ${isAccepted ? '' : 'not '}accepted, which is wrong`);
 			}
 		}
 	}
 
 	/** Records each change that the table accepts, and checks that the versions are consecutive. */
-	#follow(world: VirtualWorld, row: Row): void {
+	#recordAccepted(simulation: FaultSimulation, row: Row): void {
 		if (row.table !== configurationTable || row.key === headKey) {
 			return;
 		}
 
 		const change = row.value as unknown as ConfigurationChange;
 		if (change.version !== this.#accepted.length) {
-			world.violate(`version ${change.version} was accepted in place of version ${this.#accepted.length}`);
+			simulation.reportViolation(`version ${change.version} was accepted in place of version ${this.#accepted.length}`);
 			return;
 		}
 
 		this.#changes.push(change);
 		this.#accepted.push(applyChange(this.#accepted.at(-1)!, change).unsafeCoerce());
-		world.note(`version ${change.version} of ${change.author} is accepted`);
+		simulation.log(`version ${change.version} of ${change.author} is accepted`);
 	}
 
-	#startLife(world: VirtualWorld, instance: Instance): void {
+	#restart(simulation: FaultSimulation, instance: Instance): void {
 		instance.life++;
 		instance.holder = new ConfigurationHolder();
 		const {process} = instance;
 		const watcher = new ConfigurationWatcher({
-			clock: world.clockOf(process),
-			table: new FaultyTable(world, this.#rows, process),
+			clock: simulation.clockOf(process),
+			table: new FaultyTable(simulation, this.#rows, process),
 			configuration: instance.holder,
-			settings: {configurationPollMilliseconds: pollMilliseconds},
+			settings: {configurationPollMilliseconds: pollIntervalMilliseconds},
 			logger: {
 				warn() {
 					// The watcher warns of changes that it drops; the check does not read its log.
 				},
 			},
 		}, {isReader: true, random: () => 0});
-		void this.#watch(world, instance, watcher);
+		void this.#watch(simulation, instance, watcher);
 	}
 
-	async #watch(world: VirtualWorld, instance: Instance, watcher: ConfigurationWatcher): Promise<void> {
+	async #watch(simulation: FaultSimulation, instance: Instance, watcher: ConfigurationWatcher): Promise<void> {
 		const {life} = instance;
-		while (world.now < this.#endsAt && instance.life === life) {
+		while (simulation.now < this.#endsAt && instance.life === life) {
 			await watcher.pollOnce();
-			await world.delay(pollMilliseconds);
+			await simulation.delay(pollIntervalMilliseconds);
 		}
 	}
 
 	/** Sends each peer the changes that it lacks, at times late, twice or damaged. */
-	#gossip(world: VirtualWorld, instance: Instance): void {
-		const {choices} = world;
+	#gossip(simulation: FaultSimulation, instance: Instance): void {
+		const {choices} = simulation;
 		for (const peer of this.#instances) {
 			if (peer === instance || peer.isCutFromPeers || instance.isCutFromPeers) {
 				continue;
@@ -118,7 +118,7 @@
 			for (const change of this.#changes.slice(peer.holder.state.version, instance.holder.state.version)) {
 				const isDamaged = choices.chance(5);
 				const {life} = peer;
-				world.after(choices.between(1, 200), () => {
+				simulation.schedule(choices.between(1, 200), () => {
 					if (peer.life === life) {
 						peer.holder.offer(isDamaged ? {...change, edits: []} : change);
 					}
@@ -126,14 +126,14 @@
 			}
 		}
 
-		if (world.now < this.#endsAt) {
-			world.after(gossipMilliseconds, () => {
-				this.#gossip(world, instance);
+		if (simulation.now < this.#endsAt) {
+			simulation.schedule(gossipIntervalMilliseconds, () => {
+				this.#gossip(simulation, instance);
 			});
 		}
 	}
 
-	#look(world: VirtualWorld): void {
+	#checkServedVersions(simulation: FaultSimulation): void {
 		for (const instance of this.#instances) {
 			const {startGate, state} = instance.holder;
 			if (!startGate.isOpen || state.version === 0) {
@@ -141,78 +141,78 @@
 			}
 
 			const {name} = instance.process;
-			if (state.version < instance.served && this.#couldKnow(instance)) {
-				world.violate(`${name} reverted from version ${instance.served} to ${state.version}`);
+			if (state.version < instance.served && this.#canReachServedVersion(instance)) {
+				simulation.reportViolation(`${name} reverted from version ${instance.served} to ${state.version}`);
 			}
 
 			if (JSON.stringify([...state.limits]) !== JSON.stringify([...this.#accepted[state.version]!.limits])) {
-				world.violate(`${name} serves other content as version ${state.version} than was accepted`);
+				simulation.reportViolation(`${name} serves other content as version ${state.version} than was accepted`);
 			}
 
 			instance.served = state.version;
 		}
 
-		if (world.now < this.#endsAt) {
-			world.after(lookMilliseconds, () => {
-				this.#look(world);
+		if (simulation.now < this.#endsAt) {
+			simulation.schedule(checkIntervalMilliseconds, () => {
+				this.#checkServedVersions(simulation);
 			});
 		}
 	}
 
 	/** Returns false only if neither the platform nor any reachable peer has the version that the instance served before. */
-	#couldKnow(instance: Instance): boolean {
+	#canReachServedVersion(instance: Instance): boolean {
 		const peerKnows = !instance.isCutFromPeers && this.#instances.some(peer => peer !== instance && !peer.isCutFromPeers && peer.holder.state.version >= instance.served);
 		return peerKnows || !(instance.process.isCutOff || this.#rows.isDown);
 	}
 
-	async #operate(world: VirtualWorld, process: VirtualProcess): Promise<void> {
-		const {choices} = world;
-		const table = new FaultyTable(world, this.#rows, process);
+	async #proposeChanges(simulation: FaultSimulation, process: SimulatedProcess): Promise<void> {
+		const {choices} = simulation;
+		const table = new FaultyTable(simulation, this.#rows, process);
 		const proposals = choices.between(3, 10);
 		for (let index = 0; index < proposals; index++) {
-			await world.delay(choices.between(1, 5000));
+			await simulation.delay(choices.between(1, 5000));
 			const change = {author: process.name, reason: `change ${index}`};
 			const result = await acceptProposal(table, {
 				...change,
 				plannedAgainst: this.#changes.length,
 				edits: [{action: 'set', kind: 'limit', item: {name: 'open-requests', value: choices.between(1, 10_000)}}],
-			}, world.now);
+			}, simulation.now);
 			result.caseOf({
 				Left: failure => {
-					world.note(`${process.name} gets ${failure.kind} for ${change.reason}`);
+					simulation.log(`${process.name} gets ${failure.kind} for ${change.reason}`);
 					if (failure.kind !== 'outcome-unknown') {
-						this.#answered.push({change, isAccepted: false});
+						this.#proposalAnswers.push({change, isAccepted: false});
 					}
 				},
 				Right: () => {
-					this.#answered.push({change, isAccepted: true});
+					this.#proposalAnswers.push({change, isAccepted: true});
 				},
 			});
 		}
 	}
 
-	#planFaults(world: VirtualWorld): void {
-		const {choices} = world;
+	#planFaults(simulation: FaultSimulation): void {
+		const {choices} = simulation;
 		const faults = choices.between(0, 8);
 		for (let index = 0; index < faults; index++) {
-			world.after(choices.between(0, durationMilliseconds), () => {
-				this.#break(world, choices.oneOf(this.#instances));
+			simulation.schedule(choices.between(0, durationMilliseconds), () => {
+				this.#injectFault(simulation, choices.oneOf(this.#instances));
 			});
 		}
 	}
 
-	#break(world: VirtualWorld, instance: Instance): void {
-		const {choices} = world;
+	#injectFault(simulation: FaultSimulation, instance: Instance): void {
+		const {choices} = simulation;
 		const fault = choices.oneOf(['restart', 'restart', 'cut from the platform', 'cut from peers', 'platform down'] as const);
 		const milliseconds = choices.between(100, 15_000);
-		world.note(`${instance.process.name}: ${fault}, ${milliseconds} ms`);
+		simulation.log(`${instance.process.name}: ${fault}, ${milliseconds} ms`);
 		if (fault === 'restart') {
-			this.#startLife(world, instance);
+			this.#restart(simulation, instance);
 			return;
 		}
 
 		this.#setFault(instance, fault, true);
-		world.after(milliseconds, () => {
+		simulation.schedule(milliseconds, () => {
 			this.#setFault(instance, fault, false);
 		});
 	}
--- a/src/check/cuttable-link.ts
+++ b/src/check/cuttable-link.ts
@@ -38,7 +38,7 @@
 		this.#destroyAll();
 	}
 
-	mend(): void {
+	restore(): void {
 		this.#isCut = false;
 	}
 
--- a/src/check/faults-main.ts
+++ b/src/check/faults-main.ts
@@ -1,7 +1,7 @@
 /** `npm run check:faults -- --seed N --runs M`: runs every scenario with M seeds, from seed N on, and prints violations. */
 import process from 'node:process';
 import {Command} from 'commander';
-import {playSeed} from './scenario.js';
+import {runSeed} from './scenario.js';
 import {scenarios} from './scenarios.js';
 
 const command = new Command('check:faults')
@@ -13,7 +13,7 @@
 const firstSeed = Number(options.seed);
 const runs = Number(options.runs);
 let total = 0;
-let broken = 0;
+let failedRuns = 0;
 for (const make of scenarios) {
 	const {name} = make();
 	if (options.scenario !== undefined && options.scenario !== name) {
@@ -22,7 +22,7 @@
 
 	let violations = 0;
 	for (let run = 0; run < runs; run++) {
-		const failing = await playSeed(make, firstSeed + run);
+		const failing = await runSeed(make, firstSeed + run);
 		if (failing !== undefined) {
 			violations++;
 			if (violations === 1) {
@@ -33,9 +33,9 @@
 	}
 
 	total += runs;
-	broken += violations;
+	failedRuns += violations;
 	console.log(`${name}: ${runs} runs from seed ${firstSeed}, ${violations} with violations`);
 }
 
-console.log(`${total} runs, ${broken} with violations`);
-process.exitCode = broken === 0 && total > 0 ? 0 : 1;
+console.log(`${total} runs, ${failedRuns} with violations`);
+process.exitCode = failedRuns === 0 && total > 0 ? 0 : 1;
--- a/src/check/faulty-table.ts
+++ b/src/check/faulty-table.ts
@@ -7,10 +7,10 @@
 import {
 	type Row, type RowName, type TableFailure, type TableService, type Transaction,
 } from '../ports/table-service.js';
-import {type VirtualProcess, type VirtualWorld} from './virtual-world.js';
+import {type SimulatedProcess, type FaultSimulation} from './simulation.js';
 
 const timeoutMilliseconds = 1500;
-const longestLateMilliseconds = 90_000;
+const maxLatenessMilliseconds = 90_000;
 
 export class TableRows {
 	isDown = false;
@@ -52,70 +52,70 @@
 const commitFates = ['well', 'well', 'well', 'well', 'well', 'well', 'lost-after', 'lost-before', 'late', 'refused'] as const;
 
 export class FaultyTable implements TableService {
-	readonly #world: VirtualWorld;
+	readonly #simulation: FaultSimulation;
 	readonly #rows: TableRows;
-	readonly #process: VirtualProcess;
+	readonly #process: SimulatedProcess;
 
-	constructor(world: VirtualWorld, rows: TableRows, process: VirtualProcess) {
-		this.#world = world;
+	constructor(simulation: FaultSimulation, rows: TableRows, process: SimulatedProcess) {
+		this.#simulation = simulation;
 		this.#rows = rows;
 		this.#process = process;
 	}
 
-	get #isAway(): boolean {
+	get #isUnavailable(): boolean {
 		return this.#rows.isDown || this.#process.isCutOff;
 	}
 
 	async read(name: RowName): Promise<Either<TableFailure, Row | undefined>> {
-		return this.#answer(() => this.#rows.read(name));
+		return this.#readWithFaults(() => this.#rows.read(name));
 	}
 
 	async scan({table, prefix, after, limit}: {table: string; prefix: string; after: string; limit: number}): Promise<Either<TableFailure, Row[]>> {
-		return this.#answer(() => this.#rows.all(table).filter(({key}) => key.startsWith(prefix) && key > after).slice(0, limit));
+		return this.#readWithFaults(() => this.#rows.all(table).filter(({key}) => key.startsWith(prefix) && key > after).slice(0, limit));
 	}
 
 	async commit(transaction: Transaction): Promise<Either<TableFailure, void>> {
-		const {choices} = this.#world;
-		await this.#world.step(this.#process);
-		await this.#world.delay(choices.between(1, 20));
-		const fate = this.#isAway ? choices.oneOf(['refused', 'lost-before'] as const) : choices.oneOf(commitFates);
-		const written = await this.#meet(fate, transaction);
-		this.#world.note(`${this.#process.name} writes ${describe(transaction)}: ${written.isRight() ? 'applied' : written.extract()!.kind}${fate === 'well' ? '' : ` (${fate})`}`);
-		await this.#world.step(this.#process);
+		const {choices} = this.#simulation;
+		await this.#simulation.pauseOrStop(this.#process);
+		await this.#simulation.delay(choices.between(1, 20));
+		const fate = this.#isUnavailable ? choices.oneOf(['refused', 'lost-before'] as const) : choices.oneOf(commitFates);
+		const written = await this.#applyFate(fate, transaction);
+		this.#simulation.log(`${this.#process.name} writes ${describe(transaction)}: ${written.isRight() ? 'applied' : written.extract()!.kind}${fate === 'well' ? '' : ` (${fate})`}`);
+		await this.#simulation.pauseOrStop(this.#process);
 		return written;
 	}
 
-	async #meet(fate: typeof commitFates[number], transaction: Transaction): Promise<Either<TableFailure, void>> {
+	async #applyFate(fate: typeof commitFates[number], transaction: Transaction): Promise<Either<TableFailure, void>> {
 		if (fate === 'refused') {
 			return Left({kind: 'unavailable', detail: 'down'});
 		}
 
 		if (fate === 'well') {
 			const result = this.#rows.apply(transaction);
-			await this.#world.delay(this.#world.choices.between(1, 20));
+			await this.#simulation.delay(this.#simulation.choices.between(1, 20));
 			return result;
 		}
 
 		if (fate === 'lost-after') {
 			this.#rows.apply(transaction);
 		} else if (fate === 'late') {
-			this.#world.after(this.#world.choices.between(1, longestLateMilliseconds), () => {
+			this.#simulation.schedule(this.#simulation.choices.between(1, maxLatenessMilliseconds), () => {
 				this.#rows.apply(transaction);
 			});
 		}
 
-		await this.#world.delay(timeoutMilliseconds);
+		await this.#simulation.delay(timeoutMilliseconds);
 		return Left({kind: 'outcome-unknown', detail: fate});
 	}
 
-	async #answer<Value>(look: () => Value): Promise<Either<TableFailure, Value>> {
-		const {choices} = this.#world;
-		await this.#world.step(this.#process);
-		await this.#world.delay(choices.between(1, 20));
+	async #readWithFaults<Value>(readRows: () => Value): Promise<Either<TableFailure, Value>> {
+		const {choices} = this.#simulation;
+		await this.#simulation.pauseOrStop(this.#process);
+		await this.#simulation.delay(choices.between(1, 20));
 		const isLost = choices.chance(5);
-		const result: Either<TableFailure, Value> = this.#isAway || isLost ? Left({kind: 'unavailable', detail: 'down'}) : Right(look());
-		await this.#world.delay(isLost ? timeoutMilliseconds : choices.between(1, 20));
-		await this.#world.step(this.#process);
+		const result: Either<TableFailure, Value> = this.#isUnavailable || isLost ? Left({kind: 'unavailable', detail: 'down'}) : Right(readRows());
+		await this.#simulation.delay(isLost ? timeoutMilliseconds : choices.between(1, 20));
+		await this.#simulation.pauseOrStop(this.#process);
 		return result;
 	}
 }
--- a/src/check/models.ts
+++ b/src/check/models.ts
@@ -14,7 +14,7 @@
 const modelFolder = fileURLToPath(new URL('../../model', import.meta.url));
 /** The largest search takes half a minute on an idle processor and can take many times that on a busy one. */
 const timeoutMilliseconds = 300_000;
-const depthLimit = 1_000_000;
+const maxDepth = 1_000_000;
 const memoryLimitMegabytes = 3000;
 
 /** A specification or one of its mutants. */
@@ -57,10 +57,10 @@
  *
  * @param modelCase - The specification or mutant.
  * @param now - Returns the current time in milliseconds.
- * @param keepAt - The folder that the counter-example of a mutant is written to; not written by default.
+ * @param outputFolder - The folder that the counter-example of a mutant is written to; not written by default.
  * @returns The result of the search.
  */
-export async function checkModel(modelCase: ModelCase, now: () => number, keepAt?: string): Promise<ModelResult> {
+export async function checkModel(modelCase: ModelCase, now: () => number, outputFolder?: string): Promise<ModelResult> {
 	const folder = await mkdtemp(path.join(tmpdir(), 'savorygauge-model-'));
 	const startedAt = now();
 	const options = {
@@ -72,13 +72,13 @@
 		await copyFile(path.join(modelFolder, file), path.join(folder, file));
 		execFileSync('spin', [...defines, '-a', file], options);
 		execFileSync('gcc', ['-w', '-O2', '-DSAFETY', `-DMEMLIM=${memoryLimitMegabytes}`, '-o', 'pan', 'pan.c'], options);
-		const stdout = execFileSync('./pan', ['-E', `-m${depthLimit}`], options);
-		if (keepAt !== undefined && modelCase.broken !== '') {
+		const stdout = execFileSync('./pan', ['-E', `-m${maxDepth}`], options);
+		if (outputFolder !== undefined && modelCase.broken !== '') {
 			const replayed = execFileSync('spin', [...defines, '-t', '-p', '-g', file], options);
-			await keepCounterExample(modelCase, keepAt, replayed);
+			await saveCounterExample(modelCase, outputFolder, replayed);
 		}
 
-		return {...modelCase, ...judge(stdout), milliseconds: now() - startedAt};
+		return {...modelCase, ...parseSearchOutput(stdout), milliseconds: now() - startedAt};
 	} finally {
 		await rm(folder, {recursive: true});
 	}
@@ -89,18 +89,18 @@
 	return broken === '' ? errors === 0 && isComplete : errors > 0;
 }
 
-function judge(output: string): Pick<ModelResult, 'errors' | 'states' | 'isComplete' | 'violation'> {
-	const numberBehind = (pattern: RegExp): number => Number(pattern.exec(output)?.groups?.number ?? Number.NaN);
+function parseSearchOutput(output: string): Pick<ModelResult, 'errors' | 'states' | 'isComplete' | 'violation'> {
+	const numberAfter = (pattern: RegExp): number => Number(pattern.exec(output)?.groups?.number ?? Number.NaN);
 	const isCut = output.includes('Search not completed') || output.includes('max search depth too small') || output.includes('out of memory');
 	return {
-		errors: numberBehind(/errors: (?<number>\d+)/v),
-		states: numberBehind(/(?<number>[\d.e+]+) states, stored/v),
+		errors: numberAfter(/errors: (?<number>\d+)/v),
+		states: numberAfter(/(?<number>[\d.e+]+) states, stored/v),
 		isComplete: !isCut,
 		violation: /pan:1: (?<violation>.*) \(at depth/v.exec(output)?.groups?.violation ?? '',
 	};
 }
 
-async function keepCounterExample({model, broken}: ModelCase, folder: string, trail: string): Promise<void> {
+async function saveCounterExample({model, broken}: ModelCase, folder: string, trail: string): Promise<void> {
 	await mkdir(folder, {recursive: true});
 	await writeFile(path.join(folder, `${model}-${broken.toLowerCase()}.txt`), trail);
 }
--- a/src/check/order-scenario.ts
+++ b/src/check/order-scenario.ts
@@ -6,31 +6,31 @@
 import {allocateFencingNumber} from '../protocol/order/fencing-number.js';
 import {FaultyTable, TableRows} from './faulty-table.js';
 import {type Scenario} from './scenario.js';
-import {virtualProcess, type VirtualWorld} from './virtual-world.js';
+import {createProcess, type FaultSimulation} from './simulation.js';
 
 export class OrderScenario implements Scenario {
 	readonly name = 'order';
 	readonly #holders = new Map<number, string>();
 	readonly #rows = new TableRows(() => undefined);
-	#seen = 0;
+	#highestSeen = 0;
 
-	play(world: VirtualWorld): void {
+	start(simulation: FaultSimulation): void {
 		for (const name of ['entry-1', 'entry-2', 'entry-3', 'entry-4']) {
-			world.after(world.choices.between(0, 3000), () => {
-				void this.#order(world, name);
+			simulation.schedule(simulation.choices.between(0, 3000), () => {
+				void this.#sendOrder(simulation, name);
 			});
 		}
 	}
 
-	judge(world: VirtualWorld): void {
-		if (this.#seen > 0 && !this.#holders.has(this.#seen)) {
-			world.violate(`the endpoint follows number ${this.#seen}, which no holder was given`);
+	verify(simulation: FaultSimulation): void {
+		if (this.#highestSeen > 0 && !this.#holders.has(this.#highestSeen)) {
+			simulation.reportViolation(`the endpoint follows number ${this.#highestSeen}, which no holder was given`);
 		}
 	}
 
-	async #order(world: VirtualWorld, name: string): Promise<void> {
-		const process = virtualProcess(name);
-		const taken = await allocateFencingNumber(new FaultyTable(world, this.#rows, process), {endpoint: 'engine-1', holder: name}, world.now);
+	async #sendOrder(simulation: FaultSimulation, name: string): Promise<void> {
+		const process = createProcess(name);
+		const taken = await allocateFencingNumber(new FaultyTable(simulation, this.#rows, process), {endpoint: 'engine-1', holder: name}, simulation.now);
 		if (taken.isLeft()) {
 			return;
 		}
@@ -38,14 +38,14 @@
 		const {fencingNumber} = taken.unsafeCoerce();
 		const other = this.#holders.get(fencingNumber);
 		if (other !== undefined) {
-			world.violate(`${name} and ${other} both hold number ${fencingNumber}`);
+			simulation.reportViolation(`${name} and ${other} both hold number ${fencingNumber}`);
 		}
 
 		this.#holders.set(fencingNumber, name);
-		await world.step(process);
-		await world.delay(world.choices.between(1, 30_000));
-		const isStale = fencingNumber < this.#seen;
-		this.#seen = Math.max(this.#seen, fencingNumber);
-		world.note(`${name} orders with number ${fencingNumber}: ${isStale ? 'stale' : 'followed'}`);
+		await simulation.pauseOrStop(process);
+		await simulation.delay(simulation.choices.between(1, 30_000));
+		const isStale = fencingNumber < this.#highestSeen;
+		this.#highestSeen = Math.max(this.#highestSeen, fencingNumber);
+		simulation.log(`${name} orders with number ${fencingNumber}: ${isStale ? 'stale' : 'followed'}`);
 	}
 }
--- a/src/check/processes-main.ts
+++ b/src/check/processes-main.ts
@@ -18,5 +18,5 @@
 const {duplicateRuns, falseNotRun, crossedAnswers, answeredButNotRun, withoutFinalWord} = report;
 const configuration = await runConfigurationChanges({faults: Number(options.changes), seed: Number(options.seed)});
 console.log(JSON.stringify(configuration));
-const broken = duplicateRuns + falseNotRun + crossedAnswers + answeredButNotRun + withoutFinalWord + configuration.late + configuration.wentBack;
-process.exitCode = broken === 0 ? 0 : 1;
+const violations = duplicateRuns + falseNotRun + crossedAnswers + answeredButNotRun + withoutFinalWord + configuration.late + configuration.wentBack;
+process.exitCode = violations === 0 ? 0 : 1;
--- a/src/check/returning-over-processes.ts
+++ b/src/check/returning-over-processes.ts
@@ -15,10 +15,10 @@
 const answerTokens = 6;
 /** Engine blocks of 512 tokens that an engine's cache holds; a prompt of 40,000 characters has 19. */
 const cacheBlocks = '40';
-const wholePiecesOfPrompt = Math.floor(promptCharacters / blockCharacters);
-const settleMilliseconds = 20;
+const blocksPerPrompt = Math.floor(promptCharacters / blockCharacters);
+const savedPollMilliseconds = 20;
 /** Ten seconds in all: blocks are saved one prompt after the other, and each save is attempted for up to 1.4 s. */
-const settleTries = 500;
+const maxSavedPolls = 500;
 
 /** The figures of all rounds but the first, before which nothing was cached. */
 export type ReturningReport = {
@@ -57,7 +57,7 @@
 	}
 }
 
-type Answered = {isWhole: boolean; promptTokens: number; cachedTokens: number; firstToken: number};
+type PromptOutcome = {isWhole: boolean; promptTokens: number; cachedTokens: number; firstToken: number};
 
 class ReturningRun {
 	readonly #deployment: Deployment;
@@ -67,14 +67,14 @@
 	}
 
 	async run({rounds, stores, storesDie}: {rounds: number; stores: number; storesDie?: boolean}): Promise<ReturningReport> {
-		const answered: Answered[] = [];
+		const answered: PromptOutcome[] = [];
 		for (let round = 0; round < rounds; round++) {
 			for (let prompt = 0; prompt < prompts; prompt++) {
-				answered.push(await this.#ask(round, prompt));
+				answered.push(await this.#sendPrompt(round, prompt));
 			}
 
 			const haveDied = storesDie && round > 0;
-			await this.#settle(haveDied ? 0 : stores);
+			await this.#waitUntilSaved(haveDied ? 0 : stores);
 			if (storesDie && round === 0) {
 				for (const {process} of this.#deployment.withRole('cache-store')) {
 					process.child.kill('SIGKILL');
@@ -83,7 +83,7 @@
 		}
 
 		const counted = answered.slice(prompts);
-		const total = (of: (answer: Answered) => number): number => counted.map(answer => of(answer)).reduce((sum, value) => sum + value, 0);
+		const total = (of: (answer: PromptOutcome) => number): number => counted.map(answer => of(answer)).reduce((sum, value) => sum + value, 0);
 		const firstTokens = counted.map(({firstToken}) => firstToken);
 		return {
 			stores,
@@ -96,7 +96,7 @@
 		};
 	}
 
-	async #ask(round: number, prompt: number): Promise<Answered> {
+	async #sendPrompt(round: number, prompt: number): Promise<PromptOutcome> {
 		const entries = this.#deployment.withRole('entry');
 		const subject = `rulebook ${prompt} `;
 		const content = `${subject.repeat(Math.ceil(promptCharacters / subject.length))}\nQuestion ${round}`;
@@ -115,13 +115,13 @@
 	 * Waits until the stores hold every whole block of every prompt. The wait is limited: a prompt whose blocks are never
 	 * saved is recomputed, which shows in `shareRecomputed`.
 	 */
-	async #settle(stores: number): Promise<void> {
+	async #waitUntilSaved(stores: number): Promise<void> {
 		if (stores === 0) {
 			return;
 		}
 
-		for (let count = 0; count < settleTries && await this.#countAtStores('pieces') < prompts * wholePiecesOfPrompt; count++) {
-			await delay(settleMilliseconds);
+		for (let count = 0; count < maxSavedPolls && await this.#countAtStores('pieces') < prompts * blocksPerPrompt; count++) {
+			await delay(savedPollMilliseconds);
 		}
 	}
 
--- a/src/check/scenario.ts
+++ b/src/check/scenario.ts
@@ -1,13 +1,13 @@
 /** Runs scenarios with random choices from seeds, and shrinks a failing run to a smaller one that still fails. */
 import {Choices} from './choices.js';
-import {VirtualWorld} from './virtual-world.js';
+import {FaultSimulation} from './simulation.js';
 
 /** One kind of run. `start` starts the processes; violations are reported to the simulation. */
 export type Scenario = {
 	name: string;
-	play(world: VirtualWorld): void;
+	start(simulation: FaultSimulation): void;
 	/** Checks the final state, after the last scheduled event. */
-	judge(world: VirtualWorld): void;
+	verify(simulation: FaultSimulation): void;
 };
 
 /** A run with violations, after it was shrunk. */
@@ -18,66 +18,66 @@
 	trace: string[];
 };
 
-type MakeScenario = () => Scenario;
+type ScenarioFactory = () => Scenario;
 
-const shrinkRounds = 400;
+const maxShrinkRounds = 400;
 
 /**
  * Runs a scenario once.
  *
- * @param make - Creates a new scenario.
+ * @param createScenario - Creates a new scenario.
  * @param choices - The choices of the run.
  * @returns The simulation after its last event.
  */
-export async function playRun(make: MakeScenario, choices: Choices): Promise<VirtualWorld> {
-	const world = new VirtualWorld(choices);
-	const scenario = make();
-	scenario.play(world);
-	await world.run();
-	scenario.judge(world);
-	return world;
+export async function runOnce(createScenario: ScenarioFactory, choices: Choices): Promise<FaultSimulation> {
+	const simulation = new FaultSimulation(choices);
+	const scenario = createScenario();
+	scenario.start(simulation);
+	await simulation.run();
+	scenario.verify(simulation);
+	return simulation;
 }
 
 /**
  * Runs a scenario with one seed, and shrinks the run if it fails.
  *
- * @param make - Creates a new scenario.
+ * @param createScenario - Creates a new scenario.
  * @param seed - Any integer.
  * @returns The shrunk failing run, or `undefined` if there was no violation.
  */
-export async function playSeed(make: MakeScenario, seed: number): Promise<FailingRun | undefined> {
+export async function runSeed(createScenario: ScenarioFactory, seed: number): Promise<FailingRun | undefined> {
 	const choices = Choices.fromSeed(seed);
-	const world = await playRun(make, choices);
-	if (world.violations.length === 0) {
+	const simulation = await runOnce(createScenario, choices);
+	if (simulation.violations.length === 0) {
 		return undefined;
 	}
 
-	const small = await shrink(make, choices.taken);
+	const shrunk = await shrink(createScenario, choices.made);
 	return {
-		scenario: make().name, seed, violations: small.violations, trace: small.trace,
+		scenario: createScenario().name, seed, violations: shrunk.violations, trace: shrunk.trace,
 	};
 }
 
 /** Replaces shorter and shorter ranges of choices by 0 as long as the run still fails. */
-async function shrink(make: MakeScenario, taken: readonly number[]): Promise<VirtualWorld> {
-	let choices = taken;
-	let world = await playRun(make, Choices.replay(choices));
+async function shrink(createScenario: ScenarioFactory, recorded: readonly number[]): Promise<FaultSimulation> {
+	let choices = recorded;
+	let simulation = await runOnce(createScenario, Choices.replay(choices));
 	let rounds = 0;
 	for (let width = choices.length; width >= 1; width = Math.floor(width / 2)) {
-		for (let from = 0; from < choices.length && rounds < shrinkRounds; from += width) {
-			const candidate = withoutStretch(choices, from, from + width);
-			const tried = await playRun(make, Choices.replay(candidate));
+		for (let from = 0; from < choices.length && rounds < maxShrinkRounds; from += width) {
+			const candidate = zeroRange(choices, from, from + width);
+			const candidateRun = await runOnce(createScenario, Choices.replay(candidate));
 			rounds++;
-			if (tried.violations.length > 0) {
+			if (candidateRun.violations.length > 0) {
 				choices = candidate;
-				world = tried;
+				simulation = candidateRun;
 			}
 		}
 	}
 
-	return world;
+	return simulation;
 }
 
-function withoutStretch(choices: readonly number[], from: number, end: number): number[] {
+function zeroRange(choices: readonly number[], from: number, end: number): number[] {
 	return choices.map((choice, index) => index >= from && index < end ? 0 : choice);
 }
--- a/src/check/virtual-world.ts
+++ b/src/check/simulation.ts
@@ -7,14 +7,14 @@
 import {type Clock} from '../ports/clock.js';
 import {type Choices} from './choices.js';
 
-const eventLimit = 20_000;
+const maxEvents = 20_000;
 
-type Happening = {at: number; order: number; happen: () => void};
+type ScheduledEvent = {at: number; order: number; callback: () => void};
 
 /** One process of a run. */
-export type VirtualProcess = {
+export type SimulatedProcess = {
 	readonly name: string;
-	killed: boolean;
+	isKilled: boolean;
 	/** Cut off from the platform. */
 	isCutOff: boolean;
 	/** The total time of its pauses, in milliseconds. */
@@ -22,67 +22,67 @@
 };
 
 /** Creates a process without faults. */
-export function virtualProcess(name: string): VirtualProcess {
+export function createProcess(name: string): SimulatedProcess {
 	return {
-		name, killed: false, isCutOff: false, pausedMilliseconds: 0,
+		name, isKilled: false, isCutOff: false, pausedMilliseconds: 0,
 	};
 }
 
-export class VirtualWorld {
+export class FaultSimulation {
 	readonly trace: string[] = [];
 	readonly violations: string[] = [];
 	readonly choices: Choices;
 	now = 1_000_000;
-	#order = 0;
-	readonly #queue: Happening[] = [];
+	#scheduledCount = 0;
+	readonly #queue: ScheduledEvent[] = [];
 
 	constructor(choices: Choices) {
 		this.choices = choices;
 	}
 
-	note(text: string): void {
+	log(text: string): void {
 		this.trace.push(`${String(this.now - 1_000_000).padStart(7)} ms  ${text}`);
 	}
 
 	/** Reports that the system violated one of its guarantees. */
-	violate(text: string): void {
+	reportViolation(text: string): void {
 		this.violations.push(text);
-		this.note(`VIOLATION: ${text}`);
+		this.log(`VIOLATION: ${text}`);
 	}
 
 	/** Schedules a callback after a delay in virtual milliseconds. */
-	after(milliseconds: number, happen: () => void): void {
-		this.#queue.push({at: this.now + milliseconds, order: this.#order++, happen});
+	schedule(milliseconds: number, callback: () => void): void {
+		this.#queue.push({at: this.now + milliseconds, order: this.#scheduledCount++, callback: callback});
 	}
 
 	async delay(milliseconds: number): Promise<void> {
 		return new Promise(resolve => {
-			this.after(milliseconds, resolve);
+			this.schedule(milliseconds, resolve);
 		});
 	}
 
 	/** A point at which a process can pause or stop: at random it pauses, and it never resolves for a killed process. */
-	async step(process: VirtualProcess): Promise<void> {
+	async pauseOrStop(process: SimulatedProcess): Promise<void> {
 		if (this.choices.chance(3)) {
 			const milliseconds = this.choices.between(10, 60_000);
 			process.pausedMilliseconds += milliseconds;
-			this.note(`${process.name} pauses for ${milliseconds} ms`);
+			this.log(`${process.name} pauses for ${milliseconds} ms`);
 			await this.delay(milliseconds);
 		}
 
-		if (process.killed) {
+		if (process.isKilled) {
 			await new Promise<never>(() => {
 				// A killed process never continues.
 			});
 		}
 	}
 
-	clockOf(process: VirtualProcess): Clock {
+	clockOf(process: SimulatedProcess): Clock {
 		return {
 			now: () => this.now,
 			sleep: async milliseconds => {
 				await this.delay(milliseconds);
-				await this.step(process);
+				await this.pauseOrStop(process);
 			},
 		};
 	}
@@ -91,23 +91,23 @@
 	async run(): Promise<void> {
 		await afterPromises();
 		for (let count = 0; this.#queue.length > 0; count++) {
-			if (count > eventLimit) {
-				this.violate('the run does not end: too many events');
+			if (count > maxEvents) {
+				this.reportViolation('the run does not end: too many events');
 				return;
 			}
 
-			const next = this.#takeNext();
+			const next = this.#takeEarliest();
 			this.now = next.at;
-			next.happen();
+			next.callback();
 			await afterPromises();
 		}
 	}
 
-	#takeNext(): Happening {
+	#takeEarliest(): ScheduledEvent {
 		let earliest = 0;
-		for (const [index, happening] of this.#queue.entries()) {
+		for (const [index, event] of this.#queue.entries()) {
 			const known = this.#queue[earliest]!;
-			earliest = happening.at < known.at || (happening.at === known.at && happening.order < known.order) ? index : earliest;
+			earliest = event.at < known.at || (event.at === known.at && event.order < known.order) ? index : earliest;
 		}
 
 		return this.#queue.splice(earliest, 1)[0]!;
--- a/src/check/stream-scenario.ts
+++ b/src/check/stream-scenario.ts
@@ -8,37 +8,37 @@
 	beginAttempt, emptyAnswer, type RelayAction, relayEvent, type RelayState,
 } from '../protocol/stream/stream-relay.js';
 import {type Scenario} from './scenario.js';
-import {type VirtualWorld} from './virtual-world.js';
+import {type FaultSimulation} from './simulation.js';
 
-const attemptLimit = 4;
-const silenceMilliseconds = 2000;
+const maxAttempts = 4;
+const unresponsiveMilliseconds = 2000;
 
 export class StreamScenario implements Scenario {
 	readonly name = 'stream';
 	#relay: RelayState = emptyAnswer;
 	#text = '';
 	#tokens = 0;
-	#isCalledWhole = false;
+	#isReportedComplete = false;
 
-	play(world: VirtualWorld): void {
-		this.#tokens = world.choices.between(1, 30);
-		this.#attempt(world);
+	start(simulation: FaultSimulation): void {
+		this.#tokens = simulation.choices.between(1, 30);
+		this.#attempt(simulation);
 	}
 
-	judge(world: VirtualWorld): void {
+	verify(simulation: FaultSimulation): void {
 		const whole = textOf(0, this.#tokens);
 		if (!whole.startsWith(this.#text)) {
-			world.violate('the caller got text that is not a prefix of its answer');
+			simulation.reportViolation('the caller got text that is not a prefix of its answer');
 		}
 
-		if (this.#isCalledWhole && this.#text !== whole) {
-			world.violate('an incomplete answer was reported as complete');
+		if (this.#isReportedComplete && this.#text !== whole) {
+			simulation.reportViolation('an incomplete answer was reported as complete');
 		}
 	}
 
-	#attempt(world: VirtualWorld): void {
-		const {choices} = world;
-		if (this.#relay.attempt >= attemptLimit || this.#relay.isComplete) {
+	#attempt(simulation: FaultSimulation): void {
+		const {choices} = simulation;
+		if (this.#relay.attempt >= maxAttempts || this.#relay.isComplete) {
 			return;
 		}
 
@@ -52,45 +52,45 @@
 		for (let index = from; index < endsAt; index++) {
 			at += choices.between(1, 20) + (choices.chance(3) ? choices.between(1, 10_000) : 0);
 			if (!choices.chance(2)) {
-				this.#deliver(world, {attempt, at}, {
+				this.#scheduleEvent(simulation, {attempt, at}, {
 					kind: 'tokens', firstIndex: index, count: 1, text: textOf(index, index + 1),
 				});
 			}
 		}
 
 		if (endsAt === this.#tokens && !isBroken) {
-			this.#deliver(world, {attempt, at: at + 1}, {
+			this.#scheduleEvent(simulation, {attempt, at: at + 1}, {
 				kind: 'finished', finishReason: 'stop', promptTokens: 1, cachedTokens: 0, completionTokens: this.#tokens,
 			});
 		}
 
-		const givenUpAfter = isBroken || choices.chance(30) ? choices.between(1, at + 2) : at + silenceMilliseconds;
-		world.after(givenUpAfter, () => {
+		const cancelledAfter = isBroken || choices.chance(30) ? choices.between(1, at + 2) : at + unresponsiveMilliseconds;
+		simulation.schedule(cancelledAfter, () => {
 			if (attempt === this.#relay.attempt) {
-				world.note(`attempt ${attempt} is cancelled`);
-				this.#attempt(world);
+				simulation.log(`attempt ${attempt} is cancelled`);
+				this.#attempt(simulation);
 			}
 		});
 	}
 
-	#take(world: VirtualWorld, action: RelayAction): void {
+	#handleAction(simulation: FaultSimulation, action: RelayAction): void {
 		if (action.kind === 'pass-on') {
 			this.#text += action.text;
 		} else {
-			this.#isCalledWhole ||= action.kind === 'whole';
+			this.#isReportedComplete ||= action.kind === 'whole';
 		}
 
 		if (action.kind === 'restart') {
-			this.#attempt(world);
+			this.#attempt(simulation);
 		}
 	}
 
-	#deliver(world: VirtualWorld, {attempt, at}: {attempt: number; at: number}, event: EngineEvent): void {
-		world.after(at, () => {
+	#scheduleEvent(simulation: FaultSimulation, {attempt, at}: {attempt: number; at: number}, event: EngineEvent): void {
+		simulation.schedule(at, () => {
 			const {state, action} = relayEvent(this.#relay, attempt, event);
 			this.#relay = state;
-			world.note(`attempt ${attempt}: ${event.kind === 'tokens' ? `token ${event.firstIndex}` : event.kind} -> ${action.kind}`);
-			this.#take(world, action);
+			simulation.log(`attempt ${attempt}: ${event.kind === 'tokens' ? `token ${event.firstIndex}` : event.kind} -> ${action.kind}`);
+			this.#handleAction(simulation, action);
 		});
 	}
 }
--- a/src/demo/demo-report.ts
+++ b/src/demo/demo-report.ts
@@ -43,20 +43,20 @@
 };
 
 /** Computes the figures. */
-export function reportOf(observed: DemoObservations): DemoReport {
+export function createDemoReport(observed: DemoObservations): DemoReport {
 	const {prompts, bookings, ...counts} = observed;
 	const firstTokens = prompts
 		.map(({result}) => result.timeToFirstTokenMilliseconds)
 		.filter(value => value !== undefined);
 	const promptTokens = sum(prompts.map(({result}) => result.promptTokens));
 	const cachedTokens = sum(prompts.map(({result}) => result.cachedTokens));
-	const words = [...prompts.map(({result}) => result.ran), ...bookings.map(({ran}) => ran)];
+	const executionStates = [...prompts.map(({result}) => result.ran), ...bookings.map(({ran}) => ran)];
 	return {
 		...counts,
 		requests: prompts.length,
 		wholeAnswers: prompts.filter(({isWhole}) => isWhole).length,
-		refusedNotRun: words.filter(word => word === 'not-run').length,
-		unknown: words.filter(word => word === 'unknown').length,
+		refusedNotRun: executionStates.filter(word => word === 'not-run').length,
+		unknown: executionStates.filter(word => word === 'unknown').length,
 		timeToFirstTokenMedianMilliseconds: round(quantileOf(firstTokens, 0.5)),
 		timeToFirstTokenP95Milliseconds: round(quantileOf(firstTokens, 0.95)),
 		shareRecomputed: round(1 - (cachedTokens / Math.max(1, promptTokens))),
--- a/src/demo/deployment.ts
+++ b/src/demo/deployment.ts
@@ -13,10 +13,10 @@
 export const demoOperatorKey = 'operator-key-of-the-demo';
 const cacheSecret = 'cache-secret-of-the-demo';
 const requestTimeoutMilliseconds = 5000;
-const readyWaitMilliseconds = 50;
+const readyPollMilliseconds = 50;
 
 /** The processes to start and their arguments. */
-export type DeploymentPlan = {
+export type DeploymentOptions = {
 	dataCentres: readonly string[];
 	entriesPerDataCentre: number;
 	enginesPerDataCentre: number;
@@ -45,14 +45,14 @@
 export class Deployment {
 	readonly group = new ProcessGroup();
 	readonly instances: DeployedProcess[] = [];
-	readonly #plan: DeploymentPlan;
+	readonly #options: DeploymentOptions;
 	#table = '';
 	#objects = '';
 	#list = '';
 	#timeline: StartedProcess | undefined;
 
-	constructor(plan: DeploymentPlan) {
-		this.#plan = plan;
+	constructor(options: DeploymentOptions) {
+		this.#options = options;
 	}
 
 	/** Addresses of the platform's stand-ins. */
@@ -76,7 +76,7 @@
 		this.#objects = addressOf(objects);
 		this.#list = addressOf(list);
 		this.#timeline = timeline;
-		await Promise.all(this.#plan.dataCentres.map(async dataCentre => this.#startDataCentre(dataCentre)));
+		await Promise.all(this.#options.dataCentres.map(async dataCentre => this.#startDataCentre(dataCentre)));
 		await this.announce();
 	}
 
@@ -95,9 +95,9 @@
 	}
 
 	/** Applies a declaration file and waits until it is in force on every entry. Returns the configuration version. */
-	async apply(path: string, reason: string, say: (text: string) => void): Promise<number> {
+	async apply(path: string, reason: string, print: (text: string) => void): Promise<number> {
 		const client = this.operatorClient();
-		await runApply([path], {author: 'demo', reason}, client, {line: say, problem: say});
+		await runApply([path], {author: 'demo', reason}, client, {line: print, problem: print});
 		const {version} = await client.head();
 		await this.waitUntilReady(version);
 		return version;
@@ -113,7 +113,7 @@
 					break;
 				}
 
-				await delay(readyWaitMilliseconds);
+				await delay(readyPollMilliseconds);
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 
 	/** Starts another entry without announcing it. */
 	async startEntry(name: string, dataCentre: string): Promise<DeployedProcess> {
-		const table = await this.#plan.tableAddressFor?.(name, this.#table) ?? this.#table;
+		const table = await this.#options.tableAddressFor?.(name, this.#table) ?? this.#table;
 		const started = await this.group.start('entry/main.js', {
 			arguments: [
 				'--instance',
@@ -159,7 +159,7 @@
 				this.#list,
 				'--timeline-address',
 				addressOf(this.timeline),
-				...(this.#plan.entryArguments ?? []),
+				...(this.#options.entryArguments ?? []),
 			],
 			environment: {SAVORYGAUGE_OPERATOR_KEY: demoOperatorKey, SAVORYGAUGE_CACHE_SECRET: cacheSecret, SAVORYGAUGE_LOG_LEVEL: 'error'},
 		});
@@ -188,7 +188,7 @@
 	}
 
 	async #startDataCentre(dataCentre: string): Promise<void> {
-		const {entriesPerDataCentre, enginesPerDataCentre, modelServices, plainService, engineArguments = []} = this.#plan;
+		const {entriesPerDataCentre, enginesPerDataCentre, modelServices, plainService, engineArguments = []} = this.#options;
 		const entries = Array.from({length: entriesPerDataCentre}, async (_, index) => this.startEntry(`${dataCentre}-entry-${index + 1}`, dataCentre));
 		const engines = Array.from({length: enginesPerDataCentre}, async (_, index) => {
 			const {service, model, weightVersion} = modelServices[index % modelServices.length]!;
@@ -198,12 +198,12 @@
 				name, role: 'model-engine', dataCentre, service,
 			}, started);
 		});
-		const stores = Array.from({length: this.#plan.cacheStoresPerDataCentre ?? 1}, async (_, index) => {
+		const stores = Array.from({length: this.#options.cacheStoresPerDataCentre ?? 1}, async (_, index) => {
 			this.#add({
 				name: `${dataCentre}-cache-${index + 1}`, role: 'cache-store', dataCentre, service: '',
 			}, await this.#startStandIn('cache'));
 		});
-		const plain = Array.from({length: this.#plan.plainServicesPerDataCentre ?? 1}, async (_, index) => {
+		const plain = Array.from({length: this.#options.plainServicesPerDataCentre ?? 1}, async (_, index) => {
 			this.#add({
 				name: `${dataCentre}-plain-${index + 1}`, role: 'plain-service', dataCentre, service: plainService,
 			}, await this.#startStandIn('plain'));
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -4,7 +4,7 @@
 import {Command} from 'commander';
 import {changedDemoDeclarationPath, demoDeclarationPath, permitsModelService} from './demo-declaration.js';
 import {demoOperatorKey, Deployment} from './deployment.js';
-import {type DemoReport, reportOf} from './demo-report.js';
+import {type DemoReport, createDemoReport} from './demo-report.js';
 import {
 	demoCallers, promptsOfRound, sendAll, sendBookings, type SentPrompt,
 } from './demo-traffic.js';
@@ -16,7 +16,7 @@
 	.option('--json', 'print one JSON object as the last line')
 	.option('--hold', 'keep the deployment running until SIGINT or SIGTERM');
 const options: {json?: boolean; hold?: boolean} = command.parse().opts();
-const say = (text: string): void => {
+const print = (text: string): void => {
 	if (!options.json && !options.hold) {
 		console.log(text);
 	}
@@ -34,10 +34,10 @@
 });
 
 async function apply(path: string, reason: string): Promise<number> {
-	return deployment.apply(path, reason, say);
+	return deployment.apply(path, reason, print);
 }
 
-async function drive(): Promise<DemoReport> {
+async function runTraffic(): Promise<DemoReport> {
 	const entries = deployment.withRole('entry').map(({listed}) => listed.address);
 	const prompts: SentPrompt[] = [];
 	for (let round = 0; round < rounds / 2; round++) {
@@ -52,7 +52,7 @@
 
 	const counts = await Promise.all(deployment.withRole('plain-service').map(async ({listed}) => deployment.countsOf(listed.address)));
 	const total = (name: string): number => counts.map(count => Number(count[name])).reduce((sum, value) => sum + value, 0);
-	return reportOf({
+	return createDemoReport({
 		processes: deployment.group.size,
 		prompts,
 		bookings,
@@ -65,19 +65,19 @@
 }
 
 function printReport(report: DemoReport): void {
-	say(`${report.processes} processes; configuration version ${report.configurationVersion} in force on every entry`);
-	say(`prompts: ${report.requests} sent, ${report.wholeAnswers} answered completely`);
-	say(`time to first token: median ${report.timeToFirstTokenMedianMilliseconds} ms, p95 ${report.timeToFirstTokenP95Milliseconds} ms`);
-	say(`share of prompt tokens recomputed: ${report.shareRecomputed}`);
-	say(`bookings: ${report.bookingsAsked} sent three times each, ${report.bookingsRun} run, ${report.duplicateRuns} run more than once`);
-	say(`refused without running: ${report.refusedNotRun}; outcome unknown: ${report.unknown}; timeline events: ${report.timelineEvents}`);
-	say('the last timeline events:');
+	print(`${report.processes} processes; configuration version ${report.configurationVersion} in force on every entry`);
+	print(`prompts: ${report.requests} sent, ${report.wholeAnswers} answered completely`);
+	print(`time to first token: median ${report.timeToFirstTokenMedianMilliseconds} ms, p95 ${report.timeToFirstTokenP95Milliseconds} ms`);
+	print(`share of prompt tokens recomputed: ${report.shareRecomputed}`);
+	print(`bookings: ${report.bookingsAsked} sent three times each, ${report.bookingsRun} run, ${report.duplicateRuns} run more than once`);
+	print(`refused without running: ${report.refusedNotRun}; outcome unknown: ${report.unknown}; timeline events: ${report.timelineEvents}`);
+	print('the last timeline events:');
 	for (const line of deployment.timeline.lines.slice(-8)) {
-		say(`  ${line}`);
+		print(`  ${line}`);
 	}
 }
 
-async function hold(): Promise<void> {
+async function waitForSignal(): Promise<void> {
 	const [first] = deployment.withRole('entry');
 	console.log(JSON.stringify({
 		entries: deployment.withRole('entry').map(({listed}) => listed.address),
@@ -93,13 +93,13 @@
 
 let report: DemoReport | undefined;
 try {
-	say('starting two data centres …');
+	print('starting two data centres …');
 	await deployment.start();
 	await apply(demoDeclarationPath, 'the first declaration');
 	if (options.hold) {
-		await hold();
+		await waitForSignal();
 	} else {
-		report = await drive();
+		report = await runTraffic();
 		printReport(report);
 	}
 } finally {
@@ -111,6 +111,6 @@
 		console.log(JSON.stringify(report));
 	}
 
-	const isWell = report.wholeAnswers === report.requests && report.duplicateRuns === 0 && report.bookingsRun === report.bookingsAsked;
-	process.exitCode = isWell ? 0 : 1;
+	const isSuccess = report.wholeAnswers === report.requests && report.duplicateRuns === 0 && report.bookingsRun === report.bookingsAsked;
+	process.exitCode = isSuccess ? 0 : 1;
 }
--- a/src/entry/callers/at-most-once-runner.test.ts
+++ b/src/entry/callers/at-most-once-runner.test.ts
@@ -5,12 +5,12 @@
 import {type TableFailure, type TableService} from '../../ports/table-service.js';
 import {ConfigurationHolder} from '../configuration-holder.js';
 import {Choices} from '../../check/choices.js';
-import {virtualProcess, VirtualWorld} from '../../check/virtual-world.js';
+import {createProcess, FaultSimulation} from '../../check/simulation.js';
 import {AtMostOnceRunner} from './at-most-once-runner.js';
 
 const timeoutMilliseconds = 1500;
 
-function tableThatFails(world: VirtualWorld, failure: TableFailure, milliseconds: number): TableService {
+function tableThatFails(world: FaultSimulation, failure: TableFailure, milliseconds: number): TableService {
 	const fail = async () => {
 		await world.delay(milliseconds);
 		return Left(failure);
@@ -19,8 +19,8 @@
 	return {read: fail, scan: fail, commit: fail};
 }
 
-function startRunner(world: VirtualWorld, table: TableService): {run: (key: string) => Promise<number>; sent: () => number; told: string[]} {
-	const process = virtualProcess('entry-1');
+function startRunner(world: FaultSimulation, table: TableService): {run: (key: string) => Promise<number>; sent: () => number; told: string[]} {
+	const process = createProcess('entry-1');
 	const told: string[] = [];
 	let sent = 0;
 	const runner = new AtMostOnceRunner({
@@ -52,11 +52,11 @@
 	const down: TableFailure = {kind: 'unavailable', detail: 'refused'};
 	const silent: TableFailure = {kind: 'outcome-unknown', detail: 'timeout'};
 	for (const [failure, milliseconds] of [[down, 0], [silent, timeoutMilliseconds]] as const) {
-		const world = new VirtualWorld(Choices.replay([]));
+		const world = new FaultSimulation(Choices.replay([]));
 		const {run, sent, told} = startRunner(world, tableThatFails(world, failure, milliseconds));
 		const waits: number[] = [];
 		for (const [index, at] of [0, 1600, 1700, 1800].entries()) {
-			world.after(at, () => {
+			world.schedule(at, () => {
 				void run(`key-${index}`).then(waited => waits.push(waited));
 			});
 		}
@@ -72,10 +72,10 @@
 test('claims beyond the instance\'s share of the rate limit are refused instead of queued', async () => {
 	// 200 calls arrive together at one of 18 instances while the table service takes a second for each answer. A few start;
 	// all others are refused immediately, as not run and with the time after which to retry.
-	const world = new VirtualWorld(Choices.replay([]));
+	const world = new FaultSimulation(Choices.replay([]));
 	const {run, told} = startRunner(world, tableThatFails(world, {kind: 'unavailable', detail: 'slow'}, 1000));
 	for (let index = 0; index < 200; index++) {
-		world.after(0, () => {
+		world.schedule(0, () => {
 			void run(`key-${index}`);
 		});
 	}
--- a/src/entry/callers/completion-runner.test.ts
+++ b/src/entry/callers/completion-runner.test.ts
@@ -43,7 +43,7 @@
 
 function setUp(options: {streamed: boolean}) {
 	const entry = new TestEntry();
-	entry.know();
+	entry.initialize();
 	const {clock} = entry;
 	const caller = new AbortController();
 	const job = (): CompletionJob => ({
--- a/src/entry/callers/disconnected-caller.test.ts
+++ b/src/entry/callers/disconnected-caller.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {setTimeout as pause} from 'node:timers/promises';
 import {rawRequest} from '../../test/raw-http.js';
-import {connectCallers, standStill} from '../../test/separate-callers.js';
+import {connectCallers, blockEventLoop} from '../../test/separate-callers.js';
 import {TestEntry, testKey} from '../../test/test-entry.js';
 
 const calls = 10;
@@ -35,7 +35,7 @@
 		}));
 		await pause(100);
 		callers.send();
-		standStill(stallMilliseconds);
+		blockEventLoop(stallMilliseconds);
 		await pause(500);
 		await callers.stop();
 		await entry.stop();
--- a/src/gateway/coordinator/coordinator-client.test.ts
+++ b/src/gateway/coordinator/coordinator-client.test.ts
@@ -9,7 +9,7 @@
 import {type MomentClock} from '../../ports/moment-clock.js';
 import {encodeFrame, FrameReader} from '../../peer/framing/frame-codec.js';
 import {startScriptedServer} from '../../test/scripted-server.js';
-import {standStill} from '../../test/separate-callers.js';
+import {blockEventLoop} from '../../test/separate-callers.js';
 import {testFollower} from '../testing/test-follower.js';
 import {CoordinatorClient} from './coordinator-client.js';
 import {type FollowerFrame, type CoordinatorFrame, emptyQuery} from './coordinator-messages.js';
@@ -178,7 +178,7 @@
 		await hub.terminate();
 	});
 	await pause(600);
-	standStill(2000);
+	blockEventLoop(2000);
 	await pause(300);
 	assert.equal(client.isConnected, true);
 });
--- a/src/gateway/coordinator/coordinator-server.test.ts
+++ b/src/gateway/coordinator/coordinator-server.test.ts
@@ -8,7 +8,7 @@
 import {Worker} from 'node:worker_threads';
 import {systemMomentClock} from '../../adapters/system-moment-clock.js';
 import {encodeFrame, FrameReader} from '../../peer/framing/frame-codec.js';
-import {standStill} from '../../test/separate-callers.js';
+import {blockEventLoop} from '../../test/separate-callers.js';
 import {CoordinatorServer, type CoordinatorSource} from './coordinator-server.js';
 import {type FollowerFrame, type CoordinatorFrame, emptyQuery} from './coordinator-messages.js';
 
@@ -119,7 +119,7 @@
 		closed++;
 	});
 	await pause(600);
-	standStill(2000);
+	blockEventLoop(2000);
 	await pause(600);
 	assert.equal(closed, 0);
 });
--- a/src/gateway/data-path/disconnect-before-read.test.ts
+++ b/src/gateway/data-path/disconnect-before-read.test.ts
@@ -3,7 +3,7 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {type RouteKind} from '../../shared/routed-configuration.js';
 import {exchangeRaw, rawRequest, statusOf} from '../../test/raw-http.js';
-import {connectCallers, standStill} from '../../test/separate-callers.js';
+import {connectCallers, blockEventLoop} from '../../test/separate-callers.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
 import {answerSealed, TestGateway} from '../testing/test-gateway.js';
 import {ownWireNames as names} from './wire-names.js';
@@ -33,7 +33,7 @@
 		const callers = await connectCallers(gateway.address, calls);
 		await pause(100);
 		callers.send();
-		standStill(stallMilliseconds);
+		blockEventLoop(stallMilliseconds);
 		await pause(500);
 		await callers.stop();
 		await gateway.close();
--- a/src/gateway/data-path/paused-process.test.ts
+++ b/src/gateway/data-path/paused-process.test.ts
@@ -4,7 +4,7 @@
 import {setTimeout as pause} from 'node:timers/promises';
 import {Worker} from 'node:worker_threads';
 import {exchangeRaw, rawRequest} from '../../test/raw-http.js';
-import {standStill} from '../../test/separate-callers.js';
+import {blockEventLoop} from '../../test/separate-callers.js';
 import {testConfiguration, testRoute} from '../testing/test-configuration.js';
 import {testEndpoint} from '../testing/test-endpoint.js';
 import {TestGateway} from '../testing/test-gateway.js';
@@ -43,7 +43,7 @@
 		}, body: 'x',
 	}));
 	await firstRun;
-	standStill(1500);
+	blockEventLoop(1500);
 	const text = await answer;
 	await pause(300);
 	await Promise.all(endpoints.map(async endpoint => endpoint.terminate()));
--- a/src/stand-in/cache-store-stand-in.ts
+++ b/src/stand-in/cache-store-stand-in.ts
@@ -10,15 +10,15 @@
 	getQuery, getRouterParam, H3, HTTPError, readBody,
 } from 'h3';
 import {type BlockGeneration, type BlockSeal, type SealedBlock} from '../ports/cache-store.js';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
-type Held = {piece: BlockGeneration; content: Buffer; seal?: BlockSeal; usedAt: number};
+type StoredContent = {piece: BlockGeneration; content: Buffer; seal?: BlockSeal; usedAt: number};
 
-export class CacheStoreStandIn implements StandInKind {
+export class CacheStoreStandIn implements StandInDefinition {
 	readonly app = new H3();
 	readonly faults = {...noFaults, full: false, bytesPerSecond: 0};
 	readonly #capacityBytes: number;
-	readonly #held = new Map<string, Held>();
+	readonly #stored = new Map<string, StoredContent>();
 	#uses = 0;
 	#reads = 0;
 
@@ -27,55 +27,55 @@
 		this.#capacityBytes = capacityBytes;
 		this.app.put('/pieces/:key/:generation', async event => {
 			const content = Buffer.from(await event.req.arrayBuffer());
-			await this.#pass(content);
+			await this.#simulateTransfer(content);
 			if (this.faults.full || this.#usedBytes() + content.length > this.#capacityBytes) {
 				throw new HTTPError({status: 507, message: 'the store is full'});
 			}
 
-			const piece = pieceOf(event);
-			this.#held.set(nameOf(piece), {piece, content, usedAt: this.#uses++});
+			const piece = blockOf(event);
+			this.#stored.set(nameOf(piece), {piece, content, usedAt: this.#uses++});
 			event.res.status = 204;
 			return '';
 		});
 		this.app.post('/pieces/:key/:generation/seal', async event => {
-			this.#heldOf(pieceOf(event)).seal = (await readBody<BlockSeal>(event))!;
+			this.#storedContentOf(blockOf(event)).seal = (await readBody<BlockSeal>(event))!;
 			event.res.status = 204;
 			return '';
 		});
 		this.app.get('/pieces/:key/:generation', async event => {
-			const {content, seal} = this.#heldOf(pieceOf(event));
+			const {content, seal} = this.#storedContentOf(blockOf(event));
 			if (seal === undefined) {
 				throw new HTTPError({status: 404, message: 'the block is not sealed'});
 			}
 
 			this.#reads++;
-			await this.#pass(content);
+			await this.#simulateTransfer(content);
 			return new Response(new Uint8Array(content), {headers: {'x-length': String(seal.length), 'x-digest': seal.digest}});
 		});
 		this.app.delete('/pieces/:key/:generation', event => {
-			this.#held.delete(nameOf(pieceOf(event)));
+			this.#stored.delete(nameOf(blockOf(event)));
 			event.res.status = 204;
 			return '';
 		});
 		this.app.post('/find', async event => {
 			const {pieceKeys} = (await readBody<{pieceKeys: string[]}>(event))!;
-			return {pieces: this.#leading(pieceKeys)};
+			return {pieces: this.#leadingBlocks(pieceKeys)};
 		});
 		this.app.get('/oldest', event => {
 			const count = Number(getQuery(event).count ?? 1);
-			const sealed = [...this.#held.values()].filter(({seal}) => seal !== undefined);
+			const sealed = [...this.#stored.values()].filter(({seal}) => seal !== undefined);
 			return {pieces: sealed.toSorted((left, right) => left.usedAt - right.usedAt).slice(0, count).map(({piece, seal}) => ({piece, seal}))};
 		});
 	}
 
 	counts(): Record<string, number> {
-		return {pieces: this.#held.size, usedBytes: this.#usedBytes(), reads: this.#reads};
+		return {pieces: this.#stored.size, usedBytes: this.#usedBytes(), reads: this.#reads};
 	}
 
-	#leading(pieceKeys: readonly string[]): SealedBlock[] {
+	#leadingBlocks(pieceKeys: readonly string[]): SealedBlock[] {
 		const found: SealedBlock[] = [];
 		for (const pieceKey of pieceKeys) {
-			const held = [...this.#held.values()].find(({piece, seal}) => piece.pieceKey === pieceKey && seal !== undefined);
+			const held = [...this.#stored.values()].find(({piece, seal}) => piece.pieceKey === pieceKey && seal !== undefined);
 			if (held === undefined) {
 				break;
 			}
@@ -88,18 +88,18 @@
 	}
 
 	#usedBytes(): number {
-		return [...this.#held.values()].reduce((sum, {content}) => sum + content.length, 0);
+		return [...this.#stored.values()].reduce((sum, {content}) => sum + content.length, 0);
 	}
 
 	/** Waits for the time that a link with the limited bandwidth takes to transfer the content. */
-	async #pass(content: Buffer): Promise<void> {
+	async #simulateTransfer(content: Buffer): Promise<void> {
 		if (this.faults.bytesPerSecond > 0) {
 			await delay(1000 * content.length / this.faults.bytesPerSecond);
 		}
 	}
 
-	#heldOf(piece: BlockGeneration): Held {
-		const held = this.#held.get(nameOf(piece));
+	#storedContentOf(piece: BlockGeneration): StoredContent {
+		const held = this.#stored.get(nameOf(piece));
 		if (held === undefined) {
 			throw new HTTPError({status: 404, message: 'no such block'});
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-function pieceOf(event: Parameters<typeof getRouterParam>[0]): BlockGeneration {
+function blockOf(event: Parameters<typeof getRouterParam>[0]): BlockGeneration {
 	return {pieceKey: getRouterParam(event, 'key') ?? '', generation: getRouterParam(event, 'generation') ?? ''};
 }
 
--- a/src/stand-in/instance-list-stand-in.ts
+++ b/src/stand-in/instance-list-stand-in.ts
@@ -4,11 +4,11 @@
  */
 import {H3, readBody} from 'h3';
 import {type ListedInstance} from '../shared/types.js';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
 type Announcement = {instances: ListedInstance[]; visibleAt: number};
 
-export function createInstanceListStandIn(): StandInKind {
+export function createInstanceListStandIn(): StandInDefinition {
 	const app = new H3();
 	const faults = {...noFaults, lagMilliseconds: 0};
 	let announcements: Announcement[] = [{instances: [], visibleAt: 0}];
--- a/src/stand-in/main.ts
+++ b/src/stand-in/main.ts
@@ -6,14 +6,14 @@
 import {ModelEngineStandIn} from './model-engine-stand-in.js';
 import {createObjectStoreStandIn} from './object-store-stand-in.js';
 import {createPlainServiceStandIn} from './plain-service-stand-in.js';
-import {startStandIn, type StandInKind} from './stand-in-server.js';
+import {startStandIn, type StandInDefinition} from './stand-in-server.js';
 import {createTableServiceStandIn} from './table-service-stand-in.js';
 import {createWeightStoreStandIn} from './weight-store-stand-in.js';
 
 const defaultCapacityBytes = '67108864';
 
-async function serve(kind: StandInKind, options: {host: string; port: string}): Promise<void> {
-	const standIn = await startStandIn(kind, {host: options.host, port: Number(options.port)});
+async function serve(definition: StandInDefinition, options: {host: string; port: string}): Promise<void> {
+	const standIn = await startStandIn(definition, {host: options.host, port: Number(options.port)});
 	process.once('SIGTERM', () => {
 		process.exit(0);
 	});
--- a/src/stand-in/model-engine-stand-in.ts
+++ b/src/stand-in/model-engine-stand-in.ts
@@ -18,14 +18,14 @@
 import {type JsonValue} from '../shared/types.js';
 import {engineTokenAt} from './engine-token-at.js';
 import {readJson} from './read-json.js';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
 /** Tokens of one engine block. The engine reuses prefixes by these; its events and exports name whole prompt blocks. */
-const blockTokens = 512;
-const pieceBytes = 16_384;
-const blocksInPiece = blockCharacters / charactersPerToken / blockTokens;
+const engineBlockTokens = 512;
+const exportedBlockBytes = 16_384;
+const engineBlocksPerPromptBlock = blockCharacters / charactersPerToken / engineBlockTokens;
 const defaultCompletionTokens = 16;
-const recentCacheEvents = 1000;
+const maxRetainedEvents = 1000;
 
 /** How a stand-in engine behaves without faults. */
 export type EngineBehaviour = {
@@ -49,7 +49,7 @@
 
 type ChunkChoice = {text: string; finishReason: string | null};
 
-export class ModelEngineStandIn implements StandInKind {
+export class ModelEngineStandIn implements StandInDefinition {
 	readonly app = new H3();
 	readonly faults = {
 		...noFaults, leaving: false, cutAfterTokens: 0, cutCleanly: false, stallAfterTokens: 0, refuseSeconds: 0, ignoreFencing: false, loseCacheEvents: 0, loadLagMilliseconds: 0,
@@ -59,7 +59,7 @@
 	/** Cached engine blocks, least recently used first. The last one of a prompt block has that block's key as its value. */
 	readonly #cached = new Map<string, string | undefined>();
 	readonly #cacheEvents: CacheEvent[] = [];
-	readonly #blocksOfPiece = new Map<string, string[]>();
+	readonly #engineBlocksOf = new Map<string, string[]>();
 	#cacheSequence = 0;
 	#running = 0;
 	#waitingPrefillTokens = 0;
@@ -89,7 +89,7 @@
 			return {events: this.#cacheEvents.filter(cacheEvent => cacheEvent.sequence > after)};
 		});
 		this.app.post('/orders', async event => {
-			this.#obey((await readBody<EngineOrder>(event))!);
+			this.#followOrder((await readBody<EngineOrder>(event))!);
 			event.res.status = 202;
 			return {};
 		});
@@ -175,23 +175,23 @@
 
 	async #prefill(completion: Completion): Promise<{promptTokens: number; cachedTokens: number}> {
 		const promptTokens = Math.ceil(completion.prompt.length / charactersPerToken);
-		const keys = blockKeysOf(completion);
+		const keys = engineBlockKeysOf(completion);
 		const missing = keys.findIndex(key => !this.#cached.has(key));
-		const cachedTokens = (missing === -1 ? keys.length : missing) * blockTokens;
+		const cachedTokens = (missing === -1 ? keys.length : missing) * engineBlockTokens;
 		const work = promptTokens - cachedTokens;
 		this.#waitingPrefillTokens += work;
 		await delay(1000 * work / this.#behaviour.prefillTokensPerSecond);
 		this.#waitingPrefillTokens -= work;
 		const {salt, weightVersion, prompt} = completion;
-		const pieces = promptBlockKeysOf({salt, model: this.#behaviour.model, weightVersion}, prompt);
-		for (const [index, piece] of pieces.entries()) {
-			this.#blocksOfPiece.set(piece, keys.slice(index * blocksInPiece, (index + 1) * blocksInPiece));
+		const promptBlocks = promptBlockKeysOf({salt, model: this.#behaviour.model, weightVersion}, prompt);
+		for (const [index, promptBlock] of promptBlocks.entries()) {
+			this.#engineBlocksOf.set(promptBlock, keys.slice(index * engineBlocksPerPromptBlock, (index + 1) * engineBlocksPerPromptBlock));
 		}
 
 		// The last block is marked as used first, so that a prefix is evicted from its end, as in engines that store prefixes
 		// in a tree. If the first block were evicted first, the remaining blocks could not be reused.
 		for (const [index, key] of [...keys.entries()].toReversed()) {
-			this.#keep(key, (index + 1) % blocksInPiece === 0 ? pieces[Math.floor(index / blocksInPiece)] : undefined);
+			this.#addToCache(key, (index + 1) % engineBlocksPerPromptBlock === 0 ? promptBlocks[Math.floor(index / engineBlocksPerPromptBlock)] : undefined);
 		}
 
 		return {promptTokens, cachedTokens};
@@ -199,33 +199,33 @@
 
 	/** The content lists the engine blocks of the prompt block, and is padded so that its transfer takes a realistic time. */
 	#export(pieceKey: string): Response {
-		const blocks = this.#blocksOfPiece.get(pieceKey);
+		const blocks = this.#engineBlocksOf.get(pieceKey);
 		if (!blocks?.every(block => this.#cached.has(block))) {
 			throw new HTTPError({status: 404, message: 'the block is not in the cache'});
 		}
 
-		return new Response(JSON.stringify({blocks}).padEnd(pieceBytes, ' '));
+		return new Response(JSON.stringify({blocks}).padEnd(exportedBlockBytes, ' '));
 	}
 
 	#import(pieceKey: string, content: Buffer): void {
 		const {blocks} = JSON.parse(content.toString('utf8')) as {blocks: string[]};
-		this.#blocksOfPiece.set(pieceKey, blocks);
+		this.#engineBlocksOf.set(pieceKey, blocks);
 		for (const [index, block] of [...blocks.entries()].toReversed()) {
-			this.#keep(block, index === blocks.length - 1 ? pieceKey : undefined);
+			this.#addToCache(block, index === blocks.length - 1 ? pieceKey : undefined);
 		}
 	}
 
-	#keep(key: string, pieceKey: string | undefined): void {
+	#addToCache(key: string, pieceKey: string | undefined): void {
 		if (!this.#cached.delete(key)) {
 			this.#publish('stored', pieceKey);
 		}
 
 		this.#cached.set(key, pieceKey);
 		if (this.#cached.size > this.#behaviour.cachePieces) {
-			const [oldest, oldestPiece] = this.#cached.entries().next().value!;
+			const [oldest, oldestPromptBlock] = this.#cached.entries().next().value!;
 			this.#cached.delete(oldest);
-			this.#blocksOfPiece.delete(oldestPiece ?? '');
-			this.#publish('evicted', oldestPiece);
+			this.#engineBlocksOf.delete(oldestPromptBlock ?? '');
+			this.#publish('evicted', oldestPromptBlock);
 		}
 	}
 
@@ -241,7 +241,7 @@
 		}
 
 		this.#cacheEvents.push({sequence: this.#cacheSequence, kind, pieceKey});
-		this.#cacheEvents.splice(0, this.#cacheEvents.length - recentCacheEvents);
+		this.#cacheEvents.splice(0, this.#cacheEvents.length - maxRetainedEvents);
 	}
 
 	#loadReport(now: number): LoadReport {
@@ -259,14 +259,14 @@
 			prefillTokensPerSecond: this.#behaviour.prefillTokensPerSecond,
 			decodeTokensPerSecond: 1000 / Math.max(1, this.#behaviour.millisecondsPerToken),
 			batchLimit: this.#behaviour.batchLimit,
-			kvTokensUsed: this.#cached.size * blockTokens,
-			kvTokensCapacity: this.#behaviour.cachePieces * blockTokens,
+			kvTokensUsed: this.#cached.size * engineBlockTokens,
+			kvTokensCapacity: this.#behaviour.cachePieces * engineBlockTokens,
 			measuredAt: now,
 		};
 		return this.#lastReport;
 	}
 
-	#obey(order: EngineOrder): void {
+	#followOrder(order: EngineOrder): void {
 		if (order.fencingNumber < this.#fencingNumber && !this.faults.ignoreFencing) {
 			throw new HTTPError({status: 409, body: {seen: this.#fencingNumber}});
 		}
@@ -282,11 +282,11 @@
 	}
 }
 
-function blockKeysOf(completion: Completion): string[] {
-	const blockCharacters = blockTokens * charactersPerToken;
-	const blocks = Math.floor(completion.prompt.length / blockCharacters);
+function engineBlockKeysOf(completion: Completion): string[] {
+	const engineBlockCharacters = engineBlockTokens * charactersPerToken;
+	const blocks = Math.floor(completion.prompt.length / engineBlockCharacters);
 	return Array.from({length: blocks}, (_, index) =>
-		digestOf(`${completion.salt}|${completion.weightVersion}|${completion.prompt.slice(0, (index + 1) * blockCharacters)}`));
+		digestOf(`${completion.salt}|${completion.weightVersion}|${completion.prompt.slice(0, (index + 1) * engineBlockCharacters)}`));
 }
 
 function chunkOf(completion: Completion, choice: ChunkChoice, extra: Record<string, JsonValue>): string {
--- a/src/stand-in/object-store-stand-in.ts
+++ b/src/stand-in/object-store-stand-in.ts
@@ -3,9 +3,9 @@
 import {
 	getRouterParam, H3, HTTPError,
 } from 'h3';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
-export function createObjectStoreStandIn(): StandInKind {
+export function createObjectStoreStandIn(): StandInDefinition {
 	const app = new H3();
 	const objects = new Map<string, Buffer>();
 	app.get('/objects/:key', event => {
--- a/src/stand-in/plain-service-stand-in.ts
+++ b/src/stand-in/plain-service-stand-in.ts
@@ -4,9 +4,9 @@
  */
 import {H3, readBody} from 'h3';
 import {type LoadReport} from '../ports/model-engine.js';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
-export function createPlainServiceStandIn(): StandInKind {
+export function createPlainServiceStandIn(): StandInDefinition {
 	const app = new H3();
 	const faults = {...noFaults, leaving: false};
 	const runsByBooking = new Map<string, number>();
--- a/src/stand-in/stand-in-server.ts
+++ b/src/stand-in/stand-in-server.ts
@@ -31,13 +31,13 @@
 };
 
 /** Where a stand-in listens; port 0 selects a free one. */
-export type ListenAt = {
+export type ListenAddress = {
 	host: string;
 	port: number;
 };
 
 /** The routes and faults of one kind of stand-in, and its counters for `GET /control`. */
-export type StandInKind = {
+export type StandInDefinition = {
 	app: H3;
 	faults: Faults;
 	counts(): Record<string, JsonValue>;
@@ -46,19 +46,19 @@
 /**
  * Starts a stand-in.
  *
- * @param kind - Its routes and faults; the control path changes the faults object in place.
+ * @param definition - Its routes and faults; the control path changes the faults object in place.
  * @param at - Where to listen.
  * @returns The running stand-in with its `IP:port`.
  */
-export async function startStandIn(kind: StandInKind, at: ListenAt): Promise<StandIn> {
-	kind.app.get('/control', () => ({faults: kind.faults, counts: kind.counts()}));
-	kind.app.post('/control', async event => {
-		Object.assign(kind.faults, await readBody(event));
-		return {faults: kind.faults};
+export async function startStandIn(definition: StandInDefinition, at: ListenAddress): Promise<StandIn> {
+	definition.app.get('/control', () => ({faults: definition.faults, counts: definition.counts()}));
+	definition.app.post('/control', async event => {
+		Object.assign(definition.faults, await readBody(event));
+		return {faults: definition.faults};
 	});
-	const handle = toNodeHandler(kind.app);
+	const handle = toNodeHandler(definition.app);
 	const server = createServer((request, response) => {
-		void handleWithFaults({request, response}, kind.faults, handle);
+		void handleWithFaults({request, response}, definition.faults, handle);
 	});
 	server.listen(at.port, at.host);
 	await once(server, 'listening');
--- a/src/stand-in/table-service-stand-in.ts
+++ b/src/stand-in/table-service-stand-in.ts
@@ -3,11 +3,11 @@
 	getQuery, getRouterParam, H3, HTTPError, readBody,
 } from 'h3';
 import {type Row, type Transaction} from '../ports/table-service.js';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
 const defaultScanLimit = 1000;
 
-export function createTableServiceStandIn(): StandInKind {
+export function createTableServiceStandIn(): StandInDefinition {
 	const app = new H3();
 	const faults = {...noFaults};
 	const tables = new Map<string, Map<string, Row>>();
--- a/src/stand-in/weight-store-stand-in.ts
+++ b/src/stand-in/weight-store-stand-in.ts
@@ -9,12 +9,12 @@
 	getRouterParam, H3, HTTPError, readBody,
 } from 'h3';
 import {type StoredWeights} from '../ports/weight-store.js';
-import {noFaults, type StandInKind} from './stand-in-server.js';
+import {noFaults, type StandInDefinition} from './stand-in-server.js';
 
 const fullSpeedLoads = 2;
 const bytesPerSecond = 1_000_000_000;
 
-export function createWeightStoreStandIn(): StandInKind {
+export function createWeightStoreStandIn(): StandInDefinition {
 	const app = new H3();
 	const faults = {...noFaults, refuseSeconds: 0};
 	const weights: StoredWeights[] = [];
--- a/src/test/golden/golden-session.ts
+++ b/src/test/golden/golden-session.ts
@@ -33,17 +33,17 @@
 	}
 
 	/** Adds a comment for the reader to the recorded text. */
-	tell(text: string): void {
+	comment(text: string): void {
 		this.#text += `\n# ${text}\n`;
 	}
 
 	/** Sends a caller's request and reads the complete answer. */
-	async call(name: string, request: RawRequest): Promise<string> {
+	async sendAsCaller(name: string, request: RawRequest): Promise<string> {
 		return this.finish(await this.open(name, request));
 	}
 
 	/** Sends an operator's request and reads the complete answer. */
-	async operate(name: string, request: RawRequest): Promise<string> {
+	async sendAsOperator(name: string, request: RawRequest): Promise<string> {
 		const bytes = rawRequest({...request, headers: {authorization: `Bearer ${testOperatorKey}`, connection: 'close', ...request.headers}});
 		return this.finish(await this.#send(name, this.entry.operatorsAddress, bytes));
 	}
@@ -98,6 +98,6 @@
 }
 
 /** Creates a GET request of the workspace `quay`. */
-export function ask(path: string): RawRequest {
+export function get(path: string): RawRequest {
 	return {method: 'GET', path, headers: {authorization}};
 }
--- a/src/test/golden/golden.test.ts
+++ b/src/test/golden/golden.test.ts
@@ -2,11 +2,11 @@
 import assert from 'node:assert/strict';
 import {readdirSync, readFileSync} from 'node:fs';
 import {test} from 'node:test';
-import {goldenSessions, playSession} from './play-session.js';
+import {goldenSessions, runSession} from './run-session.js';
 
 for (const name of goldenSessions.keys()) {
 	test(`golden session ${name}`, async () => {
-		assert.equal(await playSession(name), readFileSync(`golden/${name}.txt`, 'utf8'), 'review the difference; if it is intended, run npm run golden');
+		assert.equal(await runSession(name), readFileSync(`golden/${name}.txt`, 'utf8'), 'review the difference; if it is intended, run npm run golden');
 	});
 }
 
--- a/src/test/golden/operator-sessions.ts
+++ b/src/test/golden/operator-sessions.ts
@@ -19,31 +19,31 @@
 const read = (path: string): RawRequest => ({method: 'GET', path});
 
 async function racingOperators(session: GoldenSession): Promise<void> {
-	session.tell('Vesna and Lars both plan against version 1. Vesna is first: she pauses the permits.');
-	await session.operate('vesna', proposal('vesna', 1, true));
-	session.tell('Lars did not see that. His change is not accepted; he is told who changed what since, and loses nothing.');
+	session.comment('Vesna and Lars both plan against version 1. Vesna is first: she pauses the permits.');
+	await session.sendAsOperator('vesna', proposal('vesna', 1, true));
+	session.comment('Lars did not see that. His change is not accepted; he is told who changed what since, and loses nothing.');
 	session.entry.clock.advance(1500);
-	await session.operate('lars', proposal('lars', 1, false));
-	session.tell('Callers meet Vesna\'s change.');
-	await session.call('performer', prompt('Is pitch 4 free?'));
-	session.tell('Lars plans anew against version 2 and applies. Callers are served again.');
-	await session.operate('lars', proposal('lars', 2, false));
-	await session.call('performer', prompt('Is pitch 4 free?'));
-	session.tell('The history holds all three.');
-	await session.operate('vesna', read('/operator/configuration/head'));
-	await session.operate('vesna', read('/operator/configuration/changes'));
+	await session.sendAsOperator('lars', proposal('lars', 1, false));
+	session.comment('Callers meet Vesna\'s change.');
+	await session.sendAsCaller('performer', prompt('Is pitch 4 free?'));
+	session.comment('Lars plans anew against version 2 and applies. Callers are served again.');
+	await session.sendAsOperator('lars', proposal('lars', 2, false));
+	await session.sendAsCaller('performer', prompt('Is pitch 4 free?'));
+	session.comment('The history holds all three.');
+	await session.sendAsOperator('vesna', read('/operator/configuration/head'));
+	await session.sendAsOperator('vesna', read('/operator/configuration/changes'));
 }
 
 async function operatorsAndThePlatform(session: GoldenSession): Promise<void> {
-	session.tell('The table service applies Vesna\'s change and loses its answer. It is read back, and she is told the truth.');
+	session.comment('The table service applies Vesna\'s change and loses its answer. It is read back, and she is told the truth.');
 	session.entry.table.loseAnswers = 1;
-	await session.operate('vesna', proposal('vesna', 1, true));
-	session.tell('The table service is down. Nothing is accepted; what is in force stays.');
+	await session.sendAsOperator('vesna', proposal('vesna', 1, true));
+	session.comment('The table service is down. Nothing is accepted; what is in force stays.');
 	session.entry.table.down = true;
-	await session.operate('lars', proposal('lars', 2, false));
-	await session.call('performer', prompt('Is pitch 4 free?'));
-	session.tell('A stranger without the operators\' key.');
-	await session.operate('stranger', {...read('/operator/configuration/head'), headers: {authorization: 'Bearer guessed'}});
+	await session.sendAsOperator('lars', proposal('lars', 2, false));
+	await session.sendAsCaller('performer', prompt('Is pitch 4 free?'));
+	session.comment('A stranger without the operators\' key.');
+	await session.sendAsOperator('stranger', {...read('/operator/configuration/head'), headers: {authorization: 'Bearer guessed'}});
 }
 
 /** All sessions of operators, by the names of their files. */
--- a/src/test/golden/play-session.ts
+++ b/src/test/golden/run-session.ts
@@ -11,7 +11,7 @@
  * @param name - The name of the session.
  * @returns The recorded text, which must equal the golden file.
  */
-export async function playSession(name: string): Promise<string> {
+export async function runSession(name: string): Promise<string> {
 	const {title, script} = goldenSessions.get(name)!;
 	const session = new GoldenSession();
 	await session.start(title);
--- a/src/test/import-circles.test.ts
+++ b/src/test/import-cycles.test.ts
@@ -25,12 +25,12 @@
 }
 
 /** Finds cycles. Each is a list of its files in the order of their imports, with the first one repeated at the end. */
-function findCircles(graph: ImportGraph): string[][] {
-	const circles: string[][] = [];
+function findCycles(graph: ImportGraph): string[][] {
+	const cycles: string[][] = [];
 	const finished = new Set<string>();
-	const visit = (file: string, way: readonly string[]): void => {
-		if (way.includes(file)) {
-			circles.push([...way.slice(way.indexOf(file)), file]);
+	const visit = (file: string, importPath: readonly string[]): void => {
+		if (importPath.includes(file)) {
+			cycles.push([...importPath.slice(importPath.indexOf(file)), file]);
 			return;
 		}
 
@@ -39,7 +39,7 @@
 		}
 
 		for (const imported of graph.get(file) ?? []) {
-			visit(imported, [...way, file]);
+			visit(imported, [...importPath, file]);
 		}
 
 		finished.add(file);
@@ -49,12 +49,12 @@
 		visit(file, []);
 	}
 
-	return circles;
+	return cycles;
 }
 
 test('there are no import cycles, not even of types', () => {
 	const graph = readImportGraph();
-	assert.deepEqual(findCircles(graph).map(circle => circle.join(' > ')), []);
+	assert.deepEqual(findCycles(graph).map(circle => circle.join(' > ')), []);
 });
 
 test('every import that was found names an existing file', () => {
@@ -66,5 +66,5 @@
 
 test('a cycle of three files is found, with its path', () => {
 	const graph = new Map([['main.ts', ['a.ts']], ['a.ts', ['b.ts', 'c.ts']], ['b.ts', ['c.ts']], ['c.ts', ['a.ts']]]);
-	assert.deepEqual(findCircles(graph), [['a.ts', 'b.ts', 'c.ts', 'a.ts']]);
+	assert.deepEqual(findCycles(graph), [['a.ts', 'b.ts', 'c.ts', 'a.ts']]);
 });
--- a/src/test/malformed-input.test.ts
+++ b/src/test/malformed-input.test.ts
@@ -17,23 +17,23 @@
 import {parseTimelineMessage} from '../timeline/timeline-messages.js';
 
 const seed = 20_261_202;
-const longestMilliseconds = 2000;
+const maxMilliseconds = 2000;
 /** At least this many inputs of each kind must be refused; inputs that happen to be valid do not count. */
-const leastRefused = 400;
+const minRefused = 400;
 
 /** Generates inputs and counts the refused ones. Every refusal is checked, and every input must be validated in time. */
-function refuseAll<Input, Refusal>(inputs: fastCheck.Arbitrary<Input>, judge: (input: Input) => Either<Refusal, unknown>, checkRefusal: (refusal: Refusal) => void): number {
+function refuseAll<Input, Refusal>(inputs: fastCheck.Arbitrary<Input>, validate: (input: Input) => Either<Refusal, unknown>, checkRefusal: (refusal: Refusal) => void): number {
 	let refused = 0;
 	fastCheck.assert(fastCheck.property(inputs, input => {
 		const startedAt = performance.now();
-		judge(input).ifLeft(refusal => {
+		validate(input).ifLeft(refusal => {
 			refused++;
 			checkRefusal(refusal);
 		});
 		const took = performance.now() - startedAt;
-		assert.ok(took < longestMilliseconds, `validated in ${took} ms`);
-	}), {seed, numRuns: leastRefused * 2});
-	assert.ok(refused >= leastRefused, `${refused} refused`);
+		assert.ok(took < maxMilliseconds, `validated in ${took} ms`);
+	}), {seed, numRuns: minRefused * 2});
+	assert.ok(refused >= minRefused, `${refused} refused`);
 	return refused;
 }
 
@@ -135,5 +135,5 @@
 				assert.ok(message === undefined || message.kind === 'batch' || message.kind === 'query');
 			}
 		});
-	}), {seed, numRuns: leastRefused});
+	}), {seed, numRuns: minRefused});
 });
--- a/src/test/memory-model-engine.ts
+++ b/src/test/memory-model-engine.ts
@@ -24,12 +24,12 @@
 	readonly weightVersions = new Map<string, string>();
 	readonly calls: Array<{address: string; call: EngineCall}> = [];
 	cancelled = 0;
-	#isBroken = false;
+	#isCutRequested = false;
 	readonly #faults = new Map<string, EngineFault[]>();
 	readonly #seenPrompts = new Set<string>();
-	readonly #halted: Array<() => void> = [];
-	readonly #awaitHalt: Array<() => void> = [];
-	readonly #halts = new Set<AbortController>();
+	readonly #resumeCallbacks: Array<() => void> = [];
+	readonly #haltWaiters: Array<() => void> = [];
+	readonly #haltedCalls = new Set<AbortController>();
 
 	/** Adds faults for the next calls at an address, one for each call. */
 	failNext(address: string, ...faults: EngineFault[]): void {
@@ -38,23 +38,23 @@
 
 	/** Resolves when at least this many calls are stalled or paused. */
 	async halted(count = 1): Promise<void> {
-		while (this.#halts.size < count) {
+		while (this.#haltedCalls.size < count) {
 			await new Promise<void>(resolve => {
-				this.#awaitHalt.push(resolve);
+				this.#haltWaiters.push(resolve);
 			});
 		}
 	}
 
 	/** Lets paused calls continue. */
 	resume(): void {
-		for (const wake of this.#halted.splice(0)) {
+		for (const wake of this.#resumeCallbacks.splice(0)) {
 			wake();
 		}
 	}
 
 	/** Resumes paused calls, and cuts the connection of the first. */
-	breakHalted(): void {
-		this.#isBroken = true;
+	cutFirstHalted(): void {
+		this.#isCutRequested = true;
 		this.resume();
 	}
 
@@ -106,11 +106,11 @@
 		this.#seenPrompts.add(seenAs);
 		for (let index = call.tokensPassedOn; index < tokens; index++) {
 			if (fault !== undefined && fault.kind !== 'fail' && index === fault.afterTokens) {
-				await this.#meet(fault.kind, signal);
+				await this.#halt(fault.kind, signal);
 			}
 
-			if (this.#isBroken && fault !== undefined) {
-				this.#isBroken = false;
+			if (this.#isCutRequested && fault !== undefined) {
+				this.#isCutRequested = false;
 				yield Left({kind: 'broken', detail: 'the connection was cut'});
 				return;
 			}
@@ -131,24 +131,24 @@
 		});
 	}
 
-	async #meet(kind: 'cut' | 'stall' | 'pause', signal: AbortSignal): Promise<void> {
+	async #halt(kind: 'cut' | 'stall' | 'pause', signal: AbortSignal): Promise<void> {
 		if (kind === 'cut' || signal.aborted) {
 			return;
 		}
 
-		const goOn = new AbortController();
-		this.#halts.add(goOn);
+		const resumption = new AbortController();
+		this.#haltedCalls.add(resumption);
 		if (kind === 'pause') {
-			this.#halted.push(() => {
-				goOn.abort();
+			this.#resumeCallbacks.push(() => {
+				resumption.abort();
 			});
 		}
 
-		for (const wake of this.#awaitHalt.splice(0)) {
+		for (const wake of this.#haltWaiters.splice(0)) {
 			wake();
 		}
 
-		await Promise.race([once(signal, 'abort'), once(goOn.signal, 'abort')]);
-		this.#halts.delete(goOn);
+		await Promise.race([once(signal, 'abort'), once(resumption.signal, 'abort')]);
+		this.#haltedCalls.delete(resumption);
 	}
 }
--- a/src/test/memory-table.ts
+++ b/src/test/memory-table.ts
@@ -29,7 +29,7 @@
 	}
 
 	async read(name: RowName): Promise<Either<TableFailure, Row | undefined>> {
-		return this.down ? Left(away) : Right(this.#rows.get(rowKeyOf(name)));
+		return this.down ? Left(unavailable) : Right(this.#rows.get(rowKeyOf(name)));
 	}
 
 	async readClocked(name: RowName): Promise<Either<TableFailure, ClockedRow>> {
@@ -42,12 +42,12 @@
 		const rows = [...this.#rows.values()]
 			.filter(({table, key}) => table === query.table && key.startsWith(query.prefix) && key > query.after)
 			.toSorted((left, right) => left.key < right.key ? -1 : 1);
-		return this.down ? Left(away) : Right(rows.slice(0, query.limit));
+		return this.down ? Left(unavailable) : Right(rows.slice(0, query.limit));
 	}
 
 	async commit(transaction: Transaction): Promise<Either<TableFailure, void>> {
 		if (this.down) {
-			return Left(away);
+			return Left(unavailable);
 		}
 
 		const failing = transaction.conditions.filter(condition => (this.#rows.get(rowKeyOf(condition))?.revision ?? 0) !== condition.revision);
@@ -76,7 +76,7 @@
 	}
 }
 
-const away: TableFailure = {kind: 'unavailable', detail: 'the table service is down'};
+const unavailable: TableFailure = {kind: 'unavailable', detail: 'the table service is down'};
 
 function rowKeyOf({table, key}: RowName): string {
 	return `${table}|${key}`;
--- a/src/test/platform-boundary.test.ts
+++ b/src/test/platform-boundary.test.ts
@@ -3,7 +3,7 @@
 import {test} from 'node:test';
 
 /** The modules that assemble the programs: only they may import from the platform's folder. */
-const composers = new Set(['gateway/run-gateway.ts']);
+const assemblers = new Set(['gateway/run-gateway.ts']);
 /** Names of the platform's protocol: paths of its calls, and names of its headers, rows and settings. */
 const platformWords = new RegExp([
 	'rows-(?:tx|get|feed|parts)',
@@ -30,7 +30,7 @@
 });
 
 test('only the modules that assemble the programs import from the platform\'s folder', () => {
-	const found = sources.filter(({file, text}) => !file.startsWith('platform/') && !composers.has(file) && /from '(?:\.\.\/)+platform\//v.test(text));
+	const found = sources.filter(({file, text}) => !file.startsWith('platform/') && !assemblers.has(file) && /from '(?:\.\.\/)+platform\//v.test(text));
 	assert.deepEqual(found.map(({file}) => file), []);
 });
 
--- a/src/test/process-operations.test.ts
+++ b/src/test/process-operations.test.ts
@@ -10,7 +10,7 @@
 
 const leavingBoundMilliseconds = 3000;
 const configurationBoundMilliseconds = 3000;
-const lookMilliseconds = 20;
+const pollIntervalMilliseconds = 20;
 
 async function startDeployment(): Promise<Deployment> {
 	const deployment = new Deployment({
@@ -27,7 +27,7 @@
 	return deployment;
 }
 
-async function ask(entry: DeployedProcess, content: string, maxTokens: number): Promise<boolean> {
+async function isAnsweredCompletely(entry: DeployedProcess, content: string, maxTokens: number): Promise<boolean> {
 	const result = await sendPrompt({
 		entry: entry.listed.address, key: 'quay-demo-key', model: 'permit-1', content, maxTokens, stream: true,
 	}, () => performance.now());
@@ -58,14 +58,14 @@
 		// Fifty callers are receiving streams when the entry gets SIGTERM. Each gets its complete answer, and the process exits
 		// after the last one.
 		const exited = once(leaver!.process.child, 'exit');
-		const answers = Array.from({length: 50}, async (_, index) => ask(leaver!, `stream ${index}`, 100));
+		const answers = Array.from({length: 50}, async (_, index) => isAnsweredCompletely(leaver!, `stream ${index}`, 100));
 		for (;;) {
 			const running = await Promise.all(engines.map(async engine => countOf(deployment, engine, 'running')));
 			if (running.reduce((sum, count) => sum + count, 0) === 50) {
 				break;
 			}
 
-			await delay(lookMilliseconds);
+			await delay(pollIntervalMilliseconds);
 		}
 
 		leaver!.process.child.kill('SIGTERM');
@@ -89,7 +89,7 @@
 		await delay(leavingBoundMilliseconds);
 		const prompts = await countOf(deployment, engines[0]!, 'completions');
 		const bookings = await countOf(deployment, plainServices[0]!, 'runs');
-		const whole = await Promise.all(Array.from({length: 20}, async (_, index) => ask(stays!, `late ${index}`, 5)));
+		const whole = await Promise.all(Array.from({length: 20}, async (_, index) => isAnsweredCompletely(stays!, `late ${index}`, 5)));
 		const booked = await Promise.all(Array.from({length: 20}, async (_, index) => sendBooking({
 			entry: stays!.listed.address, key: 'quay-demo-key', path: '/services/bookings/bookings', name: `late-${index}`, idempotencyKey: `late-${index}`,
 		})));
--- a/src/test/scripted-server.ts
+++ b/src/test/scripted-server.ts
@@ -11,7 +11,7 @@
 	/** `IP:port`. */
 	address: string;
 	/** Returns whether the other side closes every connection within the given milliseconds. */
-	isReleasedWithin(milliseconds: number): Promise<boolean>;
+	allClosedWithin(milliseconds: number): Promise<boolean>;
 };
 
 /**
@@ -46,7 +46,7 @@
 	});
 	return {
 		address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-		async isReleasedWithin(milliseconds) {
+		async allClosedWithin(milliseconds) {
 			const deadline = performance.now() + milliseconds;
 			while (open.size > 0 && performance.now() < deadline) {
 				await delay(checkMilliseconds);
@@ -58,7 +58,7 @@
 }
 
 /** Writes the same bytes at an interval until the connection is closed. */
-export function drip(socket: Socket, bytes: string, everyMilliseconds: number): void {
+export function writeRepeatedly(socket: Socket, bytes: string, everyMilliseconds: number): void {
 	const timer = setInterval(() => {
 		socket.write(bytes);
 	}, everyMilliseconds);
--- a/src/test/separate-callers.ts
+++ b/src/test/separate-callers.ts
@@ -12,7 +12,7 @@
 	stop(): Promise<unknown>;
 };
 
-const program = `
+const workerSource = `
 	const {parentPort, workerData: {port, calls}} = require('node:worker_threads');
 	const {connect} = require('node:net');
 	const sockets = calls.map(() => connect(port, '127.0.0.1').on('error', () => {}).resume());
@@ -39,7 +39,7 @@
 
 /** Connects callers to `IP:port`. */
 export async function connectCallers(address: string, calls: readonly SeparateCall[]): Promise<SeparateCallers> {
-	const worker = new Worker(program, {eval: true, workerData: {port: Number(address.split(':')[1]), calls}});
+	const worker = new Worker(workerSource, {eval: true, workerData: {port: Number(address.split(':')[1]), calls}});
 	await once(worker, 'message');
 	return {
 		send() {
@@ -50,6 +50,6 @@
 }
 
 /** Blocks the event loop of this thread, as in a paused process. */
-export function standStill(milliseconds: number): void {
+export function blockEventLoop(milliseconds: number): void {
 	Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, milliseconds);
 }
--- a/src/test/test-entry.ts
+++ b/src/test/test-entry.ts
@@ -29,7 +29,7 @@
 
 export const testKey = 'key-of-the-quay';
 export const testOperatorKey = 'operator-key-in-tests';
-const startOfTime = Date.UTC(2026, 5, 1, 8);
+const initialTime = Date.UTC(2026, 5, 1, 8);
 
 /** The model engines of every test entry. */
 export const testEngines: readonly ListedInstance[] = ['riva-engine-1', 'riva-engine-2'].map(name => ({
@@ -59,14 +59,14 @@
 ];
 
 /** The peer overview of an entry without peers. */
-const alone = {
+const overviewWithoutPeers = {
 	overview: () => ({
 		isReader: true, ownedEndpoints: [], linked: [], counts: {}, members: [],
 	}),
 };
 
 export class TestEntry {
-	readonly clock = new ManualClock(startOfTime);
+	readonly clock = new ManualClock(initialTime);
 	readonly engine = new MemoryModelEngine();
 	readonly table = new MemoryTable();
 	readonly plain = new MemoryPlainService();
@@ -126,19 +126,19 @@
 			draining: false,
 		};
 		this.callers = new HttpListener('callers', this.#routes().app, '127.0.0.1:0', bounds);
-		this.operators = new HttpListener('operators', createOperatorRoutes(this.context, alone), '127.0.0.1:0', bounds);
+		this.operators = new HttpListener('operators', createOperatorRoutes(this.context, overviewWithoutPeers), '127.0.0.1:0', bounds);
 	}
 
 	/** Starts to listen with a configuration in force and both engines live. */
 	async start(): Promise<void> {
-		this.know();
+		this.initialize();
 		await this.#listen();
 	}
 
 	/** Sets the configuration in force and makes both engines live, without listening. */
-	know(): void {
+	initialize(): void {
 		this.configure(edits);
-		this.#knowEndpoints();
+		this.#announceEndpoints();
 	}
 
 	async stop(): Promise<void> {
@@ -153,7 +153,7 @@
 		}, this.clock.now());
 		this.context.configuration.offer(accepted.unsafeCoerce());
 		this.context.configuration.startGate.tableRead();
-		this.#knowEndpoints();
+		this.#announceEndpoints();
 		await this.#listen();
 	}
 
@@ -192,7 +192,7 @@
 		}, this.clock.now());
 	}
 
-	#knowEndpoints(): void {
+	#announceEndpoints(): void {
 		this.context.endpoints.applyList([...testEngines, testPlain]);
 		this.reportEngines();
 	}
