--- a/src/bench/slopes/measure-state.ts
+++ b/src/bench/slopes/measure-state.ts
@@ -30,7 +30,7 @@
  */
 export function measureState(size: StateSize): StateCost {
 	const before = heldBytes();
-	const {state: state, step} = {servers: buildServers, prompts: buildPrompts, workspaces: buildWorkspaces}[size.of](size.count);
+	const {state, step} = {servers: buildServers, prompts: buildPrompts, workspaces: buildWorkspaces}[size.of](size.count);
 	const held = heldBytes() - before;
 	step();
 	const start = process.cpuUsage();
@@ -98,7 +98,7 @@
 	}
 
 	return {
-		state: state,
+		state,
 		step() {
 			apply(0);
 		},
--- a/src/bench/slopes/worker.ts
+++ b/src/bench/slopes/worker.ts
@@ -68,7 +68,7 @@
 }
 
 function reset(): void {
-	for (const {service, configuration: configuration} of daemons.values()) {
+	for (const {service, configuration} of daemons.values()) {
 		Object.assign(service.counts, {
 			bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0, dropped: 0, unknownKinds: 0,
 		});
--- a/src/bench/virtual-peers.ts
+++ b/src/bench/virtual-peers.ts
@@ -102,7 +102,7 @@
 			self: {
 				name, dataCentre, peerAddress: name, incarnation: this.now,
 			},
-			configuration: configuration,
+			configuration,
 			listener: {
 				loadsReceived(loads) {
 					for (const load of loads) {
@@ -121,7 +121,7 @@
 				memberChanged(update) {
 					note(`${update.name} ${update.status}`);
 				},
-				ownershipChanged({acquired: acquired, released}) {
+				ownershipChanged({acquired, released}) {
 					note(`took ${acquired}, released ${released}`);
 				},
 			},
@@ -130,7 +130,7 @@
 			queryBackoffMilliseconds: this.#backoffMilliseconds,
 		}, this.now);
 		const peer: VirtualPeer = {
-			listed, node, configuration: configuration, state: 'running', partition: '', links: new Set(), receivedLoads: receivedLoads, events, bytesOut: 0, bytesIn: 0, messagesOut: 0, nextTickAt: this.now,
+			listed, node, configuration, state: 'running', partition: '', links: new Set(), receivedLoads, events, bytesOut: 0, bytesIn: 0, messagesOut: 0, nextTickAt: this.now,
 		};
 		this.peers.set(name, peer);
 		return peer;
--- a/src/bench/weigh/failures.ts
+++ b/src/bench/weigh/failures.ts
@@ -109,7 +109,7 @@
 	};
 	network.cut(inside.map(({name}) => name), '');
 	const endedAt = network.now;
-	const newestAgain = network.runUntil(() => cutPeers.every(({configuration: configuration}) => configuration.state.version === platform.version), limitMilliseconds);
+	const newestAgain = network.runUntil(() => cutPeers.every(({configuration}) => configuration.state.version === platform.version), limitMilliseconds);
 	const isWhole = (): boolean => network.running().every(({node}) => node.membership.allLive().length === 15);
 	const membersAgain = network.runUntil(isWhole, limitMilliseconds);
 	return {...outcome, newestAgain, membersAgain: membersAgain === undefined ? undefined : network.now - endedAt};
@@ -140,7 +140,7 @@
 	platform.isDown = false;
 	const backAt = network.now;
 	platform.accept();
-	const newestAfter = network.runUntil(() => peers.every(({configuration: configuration}) => configuration.state.version === 1), limitMilliseconds);
+	const newestAfter = network.runUntil(() => peers.every(({configuration}) => configuration.state.version === 1), limitMilliseconds);
 	network.run(20_000);
 	return {
 		readsPerSecondBefore,
--- a/src/bench/weigh/fanout.ts
+++ b/src/bench/weigh/fanout.ts
@@ -64,7 +64,7 @@
 			const change = changeOf(reader.configuration.state, version);
 			reader.configuration.offerChange(change);
 			network.send(reader, reader.node.announceChange(change));
-			times.push(network.runUntil(() => peers.every(({configuration: configuration}) => configuration.state.version === version), limitMilliseconds) ?? limitMilliseconds);
+			times.push(network.runUntil(() => peers.every(({configuration}) => configuration.state.version === version), limitMilliseconds) ?? limitMilliseconds);
 		}
 
 		network.run(Math.max(0, startedAt + betweenChangesMilliseconds - network.now));
--- a/src/check/simulation.ts
+++ b/src/check/simulation.ts
@@ -52,7 +52,7 @@
 
 	/** Schedules a callback after a delay in virtual milliseconds. */
 	schedule(milliseconds: number, callback: () => void): void {
-		this.#queue.push({at: this.now + milliseconds, order: this.#scheduledCount++, callback: callback});
+		this.#queue.push({at: this.now + milliseconds, order: this.#scheduledCount++, callback});
 	}
 
 	async delay(milliseconds: number): Promise<void> {
--- a/src/entry/callers/completion-runner.ts
+++ b/src/entry/callers/completion-runner.ts
@@ -41,7 +41,7 @@
 		this.#context = context;
 		this.#policy = policy;
 		this.#dependencies = {
-			context, policy, cachedContext: cachedContext, watchdogs: new StreamWatchdogs(context.clock), saltOf: workspace => this.#saltOf(workspace),
+			context, policy, cachedContext, watchdogs: new StreamWatchdogs(context.clock), saltOf: workspace => this.#saltOf(workspace),
 		};
 	}
 
--- a/src/entry/callers/failed-prompt-refusal.ts
+++ b/src/entry/callers/failed-prompt-refusal.ts
@@ -25,7 +25,7 @@
  * @returns The refusal; "not-run" only if no engine can have started the prompt.
  */
 export function failedPromptRefusal(prompt: FailedPrompt): Refusal {
-	const {relay, detail, retryAfterMilliseconds, backoffMilliseconds: backoffMilliseconds} = prompt;
+	const {relay, detail, retryAfterMilliseconds, backoffMilliseconds} = prompt;
 	const ran = prompt.mayHaveRun ? 'unknown' : 'not-run';
 	if (prompt.cancelReason !== undefined) {
 		return {reason: 'cancelled', ran, message: prompt.cancelReason};
--- a/src/entry/entry-daemon.ts
+++ b/src/entry/entry-daemon.ts
@@ -103,7 +103,7 @@
 		this.#cachedContext = new StoreCachedContext(this.#context, {
 			prefixes: this.#prefixes, stores, reader: this.#reader, saver: this.#saver, links,
 		});
-		const policy = new ExpectedFirstTokenPolicy(this.#prefixes, {dataCentre: settings.dataCentre, links, blockTokens: blockTokens});
+		const policy = new ExpectedFirstTokenPolicy(this.#prefixes, {dataCentre: settings.dataCentre, links, blockTokens});
 		const routes = new CallerRoutes(this.#context, {
 			gate,
 			runner: new CompletionRunner(this.#context, new FirstTokenNotifier(policy, gate), this.#cachedContext),
--- a/src/load/policies.ts
+++ b/src/load/policies.ts
@@ -48,7 +48,7 @@
 		const links = new Map(stores.map(name => [name, new LinkEstimate(idleMilliseconds)]));
 		return {
 			prefixes,
-			routing: new ExpectedFirstTokenPolicy(prefixes, {dataCentre, links, blockTokens: blockTokens}),
+			routing: new ExpectedFirstTokenPolicy(prefixes, {dataCentre, links, blockTokens}),
 			admission: new FairShareAdmission(),
 			saving: new SaveAllPolicy(prefixes, stores),
 			shouldPauseFetches: true,
--- a/src/load/simulation/run-simulation.ts
+++ b/src/load/simulation/run-simulation.ts
@@ -61,7 +61,7 @@
 	}
 
 	run(): SimulationResult {
-		const {workload, seed, loadFactor, includes: includes, reshape, faults = []} = this.#plan;
+		const {workload, seed, loadFactor, includes, reshape, faults = []} = this.#plan;
 		const generated = generateRequests(workload, seed, loadFactor).filter(request => includes?.(request) ?? true);
 		const requests = reshape?.(generated) ?? generated;
 		const outcomes = requests.map(request => ({
--- a/src/load/simulation/simulated-entry.ts
+++ b/src/load/simulation/simulated-entry.ts
@@ -73,7 +73,7 @@
 			}
 
 			const capacity = window.applyReports(endpoints, {
-				inFlight: inFlight, instances, dither, linkSlowness,
+				inFlight, instances, dither, linkSlowness,
 			}, queue.now);
 			this.#execute(this.policies.admission.setCapacity(service, capacity, queue.now));
 		}
--- a/src/operator/run-prompt.ts
+++ b/src/operator/run-prompt.ts
@@ -30,7 +30,7 @@
 	};
 
 	const status = await readLines({
-		operatorConsole: operatorConsole, reader, lines, confirm,
+		operatorConsole, reader, lines, confirm,
 	});
 	reader.close();
 	return status;
@@ -38,7 +38,7 @@
 
 type PromptContext = {operatorConsole: OperatorConsole; reader: Interface; lines: AsyncIterator<string>; confirm: Confirm};
 
-async function readLines({operatorConsole: operatorConsole, reader, lines, confirm}: PromptContext): Promise<number> {
+async function readLines({operatorConsole, reader, lines, confirm}: PromptContext): Promise<number> {
 	let status = 0;
 	for (;;) {
 		reader.prompt();
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -133,7 +133,7 @@
 	const [leaving] = owner.node.loadGossip.owned();
 	network.send(owner, owner.node.handleReport(leaving!, {...idleReport, state: 'leaving'}, network.now));
 	const others = peers.filter(peer => peer !== owner);
-	const took = network.runUntil(() => others.every(({receivedLoads: receivedLoads}) => receivedLoads.get(leaving!)?.summary.state === 'leaving'), 3000);
+	const took = network.runUntil(() => others.every(({receivedLoads}) => receivedLoads.get(leaving!)?.summary.state === 'leaving'), 3000);
 	assert.ok(took !== undefined && took <= 1000, `known after ${took} ms`);
 });
 
--- a/src/platform/platform-cache-store.ts
+++ b/src/platform/platform-cache-store.ts
@@ -80,5 +80,5 @@
 		lastEvents.set(`${salt}|${id}`, {sign: kind, block: {salt, id, tokens}});
 	}
 
-	return [...lastEvents.values()].filter(entry => entry.sign === sign).map(({block: block}) => block);
+	return [...lastEvents.values()].filter(entry => entry.sign === sign).map(({block}) => block);
 }
