--- a/src/decision/limits/shared-retry-budget.ts
+++ b/src/decision/limits/shared-retry-budget.ts
@@ -49,8 +49,8 @@
 	takeRetry(service: string, now: number): boolean {
 		const slice = this.#sliceAt(service, now);
 		const slicesInWindow = this.#slices.get(service) ?? [];
-		const requests = slicesInWindow.reduce((sum, part) => sum + part.requests, 0);
-		const retries = slicesInWindow.reduce((sum, part) => sum + part.retries, 0);
+		const requests = slicesInWindow.reduce((sum, slice) => sum + slice.requests, 0);
+		const retries = slicesInWindow.reduce((sum, slice) => sum + slice.retries, 0);
 		if (retries + 1 > (usedShare * this.#bounds.ratio * requests) + freeRetries) {
 			return false;
 		}
--- a/src/decision/placement/candidate-estimator.ts
+++ b/src/decision/placement/candidate-estimator.ts
@@ -135,7 +135,7 @@
 			...work,
 			unreadBefore: includesOthers ? before : undefined,
 			occupancy,
-			costMilliseconds: this.#prefillCost(request, endpoint, work, {before, isHome: isOwner}) + (runningCostMilliseconds * occupancy) + queued + this.#distanceCost(endpoint) + weights + spread,
+			costMilliseconds: this.#prefillCost(request, endpoint, work, {before, isOwner}) + (runningCostMilliseconds * occupancy) + queued + this.#distanceCost(endpoint) + weights + spread,
 		};
 		const isAdmitted = occupancy < fullOccupancyFactor * slots
 			&& mayStartOnWeights(request, endpoint, this.#firstTokenDelay(request, endpoint, work, before) + queued, now)
@@ -157,10 +157,10 @@
 	 * Cost of the fetch, the prefill and the prefill ahead of it, in milliseconds; lower at the owner of uncached shared
 	 * blocks.
 	 */
-	#prefillCost(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, {before, isHome}: {before: number; isHome: boolean}): number {
+	#prefillCost(request: PlacementRequest, endpoint: EndpointRecord, work: PromptWork, {before, isOwner}: {before: number; isOwner: boolean}): number {
 		const speed = this.#state.prefillSpeedOf(request.service).tokensPerMillisecond;
 		const prefill = prefillWeight * work.readTokens / speed;
-		const preference = isHome ? coldOwnerShare * prefillWeight * uncachedSharedTokens(request, work) / speed : 0;
+		const preference = isOwner ? coldOwnerShare * prefillWeight * uncachedSharedTokens(request, work) / speed : 0;
 		return prefill + fetchMilliseconds(request, endpoint, work) + (before / speed) - preference;
 	}
 
@@ -178,16 +178,16 @@
 
 	/** The work that a prompt would cause at an engine. */
 	#workAt(request: PlacementRequest, endpoint: EndpointRecord, isOwner: boolean, now: number): PromptWork {
-		const {blocks: parts} = request.prompt!;
+		const {blocks} = request.prompt!;
 		const version = endpoint.weightVersions.get(request.prompt!.model);
 		const fetchable = version === undefined ? [] : request.fetchableUnder(version);
 		const cached = request.cachedTokensAt(endpoint);
 		const sentBlocks = this.#state.prefixCacheOf(endpoint, request.engine?.capacityTokens ?? 0);
 		const scope = cacheScopeAt(request, endpoint);
 		const since = cached === undefined ? Number.NEGATIVE_INFINITY : now - sentBlockLifetimeMilliseconds;
-		const isPresumed = (index: number): boolean => isOwner && cached === undefined && index < parts.length - 1;
+		const isPresumed = (index: number): boolean => isOwner && cached === undefined && index < blocks.length - 1;
 		return promptWork(request.prompt!, {
-			cachedTokens: index => isPresumed(index) ? parts[index]!.tokens : Math.max(cached?.[index] ?? 0, sentBlocks.cachedTokens(scope, parts[index]!, since)),
+			cachedTokens: index => isPresumed(index) ? blocks[index]!.tokens : Math.max(cached?.[index] ?? 0, sentBlocks.cachedTokens(scope, blocks[index]!, since)),
 			isFetchable: index => fetchable[index] ?? false,
 		});
 	}
--- a/src/decision/placement/cost-placement.test.ts
+++ b/src/decision/placement/cost-placement.test.ts
@@ -46,25 +46,25 @@
 test('all instances send a returning subject to the same engine, and subjects spread over all engines', () => {
 	const one = new CostPlacement('split');
 	const other = new CostPlacement('split');
-	const homes = new Map<string, number>();
+	const countByOwner = new Map<string, number>();
 	for (let index = 0; index < 300; index++) {
-		const home = chosen(one, promptOf(`subject-${index}`, `a${index}`));
-		assert.equal(chosen(other, promptOf(`subject-${index}`, `b${index}`)), home);
-		homes.set(home, (homes.get(home) ?? 0) + 1);
+		const owner = chosen(one, promptOf(`subject-${index}`, `a${index}`));
+		assert.equal(chosen(other, promptOf(`subject-${index}`, `b${index}`)), owner);
+		countByOwner.set(owner, (countByOwner.get(owner) ?? 0) + 1);
 	}
 
-	assert.equal(homes.size, 6);
-	assert.ok(Math.max(...homes.values()) < 80);
+	assert.equal(countByOwner.size, 6);
+	assert.ok(Math.max(...countByOwner.values()) < 80);
 });
 
 test('a subject whose owner has a long backlog goes elsewhere, and a full service refuses all but urgent prompts', () => {
 	const loads = new Map<string, EndpointLoad>();
 	const policy = new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad);
-	const home = chosen(policy, promptOf('subject', 'a'));
-	loads.set(home, {
+	const owner = chosen(policy, promptOf('subject', 'a'));
+	loads.set(owner, {
 		...noLoad, requests: 20, pendingPrefillTokens: [0, 0, 30_000], heldTokens: 80_000,
 	});
-	assert.notEqual(chosen(policy, promptOf('subject', 'a')), home);
+	assert.notEqual(chosen(policy, promptOf('subject', 'a')), owner);
 	for (const {name} of engines) {
 		loads.set(name, {
 			...noLoad, requests: 20, pendingPrefillTokens: [0, 0, 60_000], heldTokens: 80_000,
@@ -79,50 +79,50 @@
 	// A data centre is cut off. The first request finds out; later ones go elsewhere until a probe connects.
 	const policy = new CostPlacement('split');
 	const request = promptOf('subject', 'a');
-	const home = engines.find(({name}) => name === chosen(policy, request))!;
+	const owner = engines.find(({name}) => name === chosen(policy, request))!;
 	policy.observe({
-		kind: 'sent', request, endpoint: home, basis: testBasis,
+		kind: 'sent', request, endpoint: owner, basis: testBasis,
 	}, 0);
 	policy.observe({
-		kind: 'ended', request, endpoint: home, outcome: 'unreachable',
+		kind: 'ended', request, endpoint: owner, outcome: 'unreachable',
 	}, 250);
-	assert.notEqual(chosen(policy, promptOf('subject', 'b'), engines, 5000), home.name);
+	assert.notEqual(chosen(policy, promptOf('subject', 'b'), engines, 5000), owner.name);
 	assert.deepEqual(policy.dueProbes(300), []);
-	assert.deepEqual(policy.dueProbes(500).map(({name}) => name), [home.name]);
-	policy.noteProbe(home, false, 500);
+	assert.deepEqual(policy.dueProbes(500).map(({name}) => name), [owner.name]);
+	policy.noteProbe(owner, false, 500);
 	assert.deepEqual(policy.dueProbes(600), []);
-	policy.noteProbe(home, true, 900);
-	assert.equal(chosen(policy, promptOf('subject', 'b'), engines, 1000), home.name);
+	policy.noteProbe(owner, true, 900);
+	assert.equal(chosen(policy, promptOf('subject', 'b'), engines, 1000), owner.name);
 });
 
 test('an engine that does not answer its requests is avoided before its row in the list expires', () => {
 	const loads = new Map<string, EndpointLoad>();
 	const policy = new CostPlacement('split', endpoint => loads.get(endpoint) ?? noLoad);
-	const home = chosen(policy, promptOf('subject', 'a'));
-	loads.set(home, {
+	const owner = chosen(policy, promptOf('subject', 'a'));
+	loads.set(owner, {
 		...noLoad, requests: 3, oldestWaitMilliseconds: 900, lastByteAgoMilliseconds: 1000,
 	});
-	assert.notEqual(chosen(policy, promptOf('subject', 'a')), home);
-	loads.set(home, {
+	assert.notEqual(chosen(policy, promptOf('subject', 'a')), owner);
+	loads.set(owner, {
 		...noLoad, requests: 3, oldestWaitMilliseconds: 900, lastByteAgoMilliseconds: 50,
 	});
-	assert.equal(chosen(policy, promptOf('subject', 'a')), home);
+	assert.equal(chosen(policy, promptOf('subject', 'a')), owner);
 });
 
 test('engines that are loading weights get no requests while others serve', () => {
 	const policy = new CostPlacement('split');
-	const home = chosen(policy, promptOf('subject', 'a'));
-	const loading = new Set([home]);
-	assert.notEqual(chosen(policy, promptOf('subject', 'a', {loading, wantedVersion: 2})), home);
-	assert.equal(chosen(policy, promptOf('subject', 'a', {loading: new Set(engines.map(({name}) => name)), wantedVersion: 2})), home);
+	const owner = chosen(policy, promptOf('subject', 'a'));
+	const loading = new Set([owner]);
+	assert.notEqual(chosen(policy, promptOf('subject', 'a', {loading, wantedVersion: 2})), owner);
+	assert.equal(chosen(policy, promptOf('subject', 'a', {loading: new Set(engines.map(({name}) => name)), wantedVersion: 2})), owner);
 });
 
 test('a prompt goes to the engine that has its blocks cached, whichever owns them', () => {
 	const policy = new CostPlacement('split');
-	const home = chosen(policy, promptOf('subject', 'a'));
-	const holder = engines.find(({name}) => name !== home)!.name;
-	const keptAt = ({name}: EndpointRecord): number[] => name === holder ? [500, 8000, 0] : [500, 0, 0];
-	const placement = policy.place(promptOf('subject', 'a', {cachedTokensAt: keptAt}), engines, 0);
+	const owner = chosen(policy, promptOf('subject', 'a'));
+	const holder = engines.find(({name}) => name !== owner)!.name;
+	const cachedAt = ({name}: EndpointRecord): number[] => name === holder ? [500, 8000, 0] : [500, 0, 0];
+	const placement = policy.place(promptOf('subject', 'a', {cachedTokensAt: cachedAt}), engines, 0);
 	assert.equal(placement.kind === 'send' && placement.endpoint.name, holder);
 	assert.equal(placement.kind === 'send' && placement.basis.readTokens, 2500);
 });
@@ -132,37 +132,37 @@
 	// send their prompts there and take the engine for nearly idle, while it prefills for seconds and all its callers are
 	// late.
 	const policy = new CostPlacement('split');
-	const home = chosen(policy, promptOf('subject', 'a'));
-	const nobody = (): number[] => [0, 0, 0];
-	const first = policy.place(promptOf('subject', 'a', {cachedTokensAt: nobody}), engines, 0);
-	assert.equal(first.kind === 'send' && first.endpoint.name, home);
+	const owner = chosen(policy, promptOf('subject', 'a'));
+	const nothingCached = (): number[] => [0, 0, 0];
+	const first = policy.place(promptOf('subject', 'a', {cachedTokensAt: nothingCached}), engines, 0);
+	assert.equal(first.kind === 'send' && first.endpoint.name, owner);
 	assert.equal(first.kind === 'send' && first.basis.readTokens, 11_000);
 });
 
 test('callers that arrive together for an uncached block are sent to one engine, where it then counts as cached', () => {
 	const policy = new CostPlacement('split', () => noLoad);
-	const nobody = (): number[] => [0, 0, 0];
-	const request = promptOf('subject', 'a', {cachedTokensAt: nobody});
+	const nothingCached = (): number[] => [0, 0, 0];
+	const request = promptOf('subject', 'a', {cachedTokensAt: nothingCached});
 	const first = policy.place(request, engines, 0);
 	assert.equal(first.kind, 'send');
 	if (first.kind === 'send') {
 		policy.observe({
 			kind: 'sent', request, endpoint: first.endpoint, basis: first.basis,
 		}, 0);
-		const second = policy.place(promptOf('subject', 'b', {cachedTokensAt: nobody}), engines, 100);
+		const second = policy.place(promptOf('subject', 'b', {cachedTokensAt: nothingCached}), engines, 100);
 		assert.equal(second.kind === 'send' && second.endpoint.name, first.endpoint.name);
 		assert.equal(second.kind === 'send' && second.basis.readTokens, 2500);
-		const later = policy.place(promptOf('subject', 'c', {cachedTokensAt: nobody}), engines, 2000);
+		const later = policy.place(promptOf('subject', 'c', {cachedTokensAt: nothingCached}), engines, 2000);
 		assert.equal(later.kind === 'send' && later.basis.readTokens, 11_000);
 	}
 });
 
 test('blocks that can be fetched make all engines about equal', () => {
 	const policy = new CostPlacement('split');
-	const home = chosen(policy, promptOf('subject', 'a'));
+	const owner = chosen(policy, promptOf('subject', 'a'));
 	const keptAt = (): number[] => [0, 0, 0];
 	const changes = {keptAt, fetchableUnder: () => [true, true]};
-	const placement = policy.place(promptOf('subject', 'a', changes), engines.filter(({name}) => name !== home), 0);
+	const placement = policy.place(promptOf('subject', 'a', changes), engines.filter(({name}) => name !== owner), 0);
 	assert.equal(placement.kind === 'send' && placement.basis.fetchTokens, 8500);
 	assert.equal(placement.kind === 'send' && placement.basis.readTokens, 2500);
 });
--- a/src/decision/placement/fetch-speed.test.ts
+++ b/src/decision/placement/fetch-speed.test.ts
@@ -24,14 +24,14 @@
 	// meanwhile. If only its pending prefill counted, it would look idle and short prompts would be sent there.
 	const engines = ['e0', 'e1'].map(name => testEndpoint({name, slots: 12, weightVersions: new Map([['lease', 1]])}));
 	const policy = new CostPlacement('split', () => noLoad);
-	const requestOf = (id: string, parts: Array<{id: string; tokens: number}>): PlacementRequest => testPromptRequest({
+	const requestOf = (id: string, blocks: Array<{id: string; tokens: number}>): PlacementRequest => testPromptRequest({
 		id,
 		prompt: {
-			model: 'lease', promptTokens: parts.reduce((sum, {tokens}) => sum + tokens, 0), maxOutputTokens: 20, blocks: parts,
+			model: 'lease', promptTokens: blocks.reduce((sum, {tokens}) => sum + tokens, 0), maxOutputTokens: 20, blocks,
 		},
 		engine: traits,
-		fetchableUnder: () => parts.map(({tokens}) => tokens > 10_000),
-		cachedTokensAt: () => parts.map(() => 0),
+		fetchableUnder: () => blocks.map(({tokens}) => tokens > 10_000),
+		cachedTokensAt: () => blocks.map(() => 0),
 	});
 	const long = requestOf('long', [{id: 'shared', tokens: 15_000}, {id: 'own', tokens: 100}]);
 	const first = policy.place(long, engines, 0);
--- a/src/decision/placement/fresh-loads.test.ts
+++ b/src/decision/placement/fresh-loads.test.ts
@@ -53,10 +53,10 @@
 
 /** Events that are due at later times, run in the order of those times. */
 class EventSchedule {
-	#entries: Array<{at: number; act: () => void}> = [];
+	#entries: Array<{at: number; run: () => void}> = [];
 
-	add(at: number, act: () => void): void {
-		this.#entries.push({at, act});
+	add(at: number, run: () => void): void {
+		this.#entries.push({at, run});
 	}
 
 	/** Runs all events that are due by `now`. */
@@ -68,7 +68,7 @@
 			}
 
 			this.#entries = this.#entries.filter(entry => entry !== due);
-			due.act();
+			due.run();
 		}
 	}
 }
--- a/src/decision/placement/placement-state.ts
+++ b/src/decision/placement/placement-state.ts
@@ -6,7 +6,7 @@
 import {PrefillSpeed} from './prefill-speed.js';
 
 export class PlacementState {
-	readonly #trackers = new Map<string, {name: string; outlook: EndpointTracker}>();
+	readonly #trackers = new Map<string, {name: string; tracker: EndpointTracker}>();
 	/** The same by record, since each placement looks up all endpoints several times. */
 	readonly #trackerByRecord = new WeakMap<EndpointRecord, EndpointTracker>();
 	readonly #prefixCaches = new Map<string, EstimatedPrefixCache>();
@@ -19,9 +19,9 @@
 			return known;
 		}
 
-		const {outlook} = getOrCreate(this.#trackers, incarnationOf(endpoint), () => ({name: endpoint.name, outlook: new EndpointTracker()}));
-		this.#trackerByRecord.set(endpoint, outlook);
-		return outlook;
+		const {tracker} = getOrCreate(this.#trackers, incarnationOf(endpoint), () => ({name: endpoint.name, tracker: new EndpointTracker()}));
+		this.#trackerByRecord.set(endpoint, tracker);
+		return tracker;
 	}
 
 	/** The estimated cache of an engine with this much memory. */
@@ -37,8 +37,8 @@
 	/** The load of this instance by the name of the endpoint; endpoints without its requests are absent. */
 	loadsAt(now: number): Map<string, EndpointLoad> {
 		const loads = new Map<string, EndpointLoad>();
-		for (const {name, outlook} of this.#trackers.values()) {
-			const load = outlook.loadAt(now);
+		for (const {name, tracker} of this.#trackers.values()) {
+			const load = tracker.loadAt(now);
 			if (load.requests > 0) {
 				loads.set(name, load);
 			}
--- a/src/decision/placement/prompt-owners.ts
+++ b/src/decision/placement/prompt-owners.ts
@@ -15,8 +15,8 @@
  * @param count - Maximum number of engines to return.
  * @returns The owner first; empty without engines or blocks.
  */
-export function ownersOf({blocks: parts}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
-	const block = parts.at(-2) ?? parts.at(-1);
+export function ownersOf({blocks}: PromptShape, cacheScope: string, endpoints: readonly EndpointRecord[], count: number): EndpointRecord[] {
+	const block = blocks.at(-2) ?? blocks.at(-1);
 	if (block === undefined) {
 		return [];
 	}
--- a/src/decision/placement/prompt-work.ts
+++ b/src/decision/placement/prompt-work.ts
@@ -28,12 +28,12 @@
  * @param prompt - Its last block is its own and is never fetched.
  * @param sources - Where its blocks are cached.
  */
-export function promptWork({blocks: parts, promptTokens}: PromptShape, sources: BlockSources): PromptWork {
+export function promptWork({blocks, promptTokens}: PromptShape, sources: BlockSources): PromptWork {
 	let keptTokens = 0;
 	let fetchTokens = 0;
-	for (const [index, {tokens}] of parts.entries()) {
+	for (const [index, {tokens}] of blocks.entries()) {
 		const cached = Math.min(tokens, sources.cachedTokens(index));
-		if (cached < tokens && index < parts.length - 1 && sources.isFetchable(index)) {
+		if (cached < tokens && index < blocks.length - 1 && sources.isFetchable(index)) {
 			fetchTokens += tokens;
 			continue;
 		}
--- a/src/decision/routing/expected-first-token-policy.test.ts
+++ b/src/decision/routing/expected-first-token-policy.test.ts
@@ -5,7 +5,7 @@
 import {LinkEstimate} from './link-estimate.js';
 import {type EndpointView, type RouteRequest} from './routing-policy.js';
 
-const pieceTokens = 2048;
+const blockTokens = 2048;
 const prefix = Array.from({length: 8}, (_, index) => `piece-${index}`);
 const idle = {
 	model: 'permit-1',
@@ -22,12 +22,12 @@
 
 function requestOf(requestId: string, change: Partial<RouteRequest> = {}): RouteRequest {
 	return {
-		requestId, workspace: 'quay', service: 'permits', weightVersion: 'v1', priority: 'urgent', promptTokens: (8 * pieceTokens) + 100, pieceKeys: prefix, avoid: [], deadline: 1e9, ...change,
+		requestId, workspace: 'quay', service: 'permits', weightVersion: 'v1', priority: 'urgent', promptTokens: (8 * blockTokens) + 100, pieceKeys: prefix, avoid: [], deadline: 1e9, ...change,
 	};
 }
 
 function policyWith(prefixes: CachedPrefixes): ExpectedFirstTokenPolicy {
-	return new ExpectedFirstTokenPolicy(prefixes, {dataCentre: 'centre-0', links: new Map([['store', new LinkEstimate(40)]]), blockTokens: pieceTokens});
+	return new ExpectedFirstTokenPolicy(prefixes, {dataCentre: 'centre-0', links: new Map([['store', new LinkEstimate(40)]]), blockTokens});
 }
 
 function endpointOf(policy: ExpectedFirstTokenPolicy, request: RouteRequest, views: readonly EndpointView[], now = 1000): string {
--- a/src/decision/routing/expected-first-token-policy.ts
+++ b/src/decision/routing/expected-first-token-policy.ts
@@ -78,7 +78,7 @@
  * What is known of a prefix: the blocks cached at the endpoint and in the best store, and the mean urgent sends to a
  * candidate.
  */
-type PrefixKnowledge = {cached: number; store: {name: string; pieces: number} | undefined; meanUrgentSends: number};
+type PrefixKnowledge = {cached: number; store: {name: string; blocks: number} | undefined; meanUrgentSends: number};
 type Estimate = {endpoint: EndpointView; score: number; expected: number; prefillTokens: number; fetch?: FetchPlan};
 
 export class ExpectedFirstTokenPolicy implements RoutingPolicy {
@@ -160,7 +160,7 @@
 		});
 		this.#sentAt.set(request.requestId, now);
 		this.#classMix[rank]! += tokens;
-		if (this.#classMix.reduce((sum, part) => sum + part, 0) > mixMemoryTokens) {
+		if (this.#classMix.reduce((sum, tokens) => sum + tokens, 0) > mixMemoryTokens) {
 			for (const index of this.#classMix.keys()) {
 				this.#classMix[index]! /= 2;
 			}
@@ -189,8 +189,8 @@
 		const fixed = (endpoint.dataCentre === this.#settings.dataCentre ? 0 : otherDataCentreMilliseconds)
 			+ (endpoint.weightVersion === request.weightVersion ? 0 : otherVersionMilliseconds);
 		const eviction = this.#evictionCost(request, endpoint, known, now);
-		const option = (pieces: number, fetchMilliseconds: number, linkMilliseconds: number): Estimate => {
-			const prefillTokens = Math.max(1, request.promptTokens - (pieces * blockTokens));
+		const option = (blocks: number, fetchMilliseconds: number, linkMilliseconds: number): Estimate => {
+			const prefillTokens = Math.max(1, request.promptTokens - (blocks * blockTokens));
 			const prefill = 1000 * prefillTokens / rate * slowness;
 			const expected = Math.max(wait, fetchMilliseconds) + prefill + fixed;
 			const score = (latencyWeight[request.priority] * expected)
@@ -205,16 +205,16 @@
 
 		const recompute = option(known.cached, 0, 0);
 		const {store} = known;
-		if (store === undefined || store.pieces <= known.cached) {
+		if (store === undefined || store.blocks <= known.cached) {
 			return recompute;
 		}
 
 		const link = this.#settings.links.get(store.name)!;
-		const pieces = store.pieces - known.cached;
-		const fetched = option(store.pieces, link.fetchMilliseconds(pieces, now), pieces * link.idleMilliseconds);
+		const blocksToFetch = store.blocks - known.cached;
+		const fetched = option(store.blocks, link.fetchMilliseconds(blocksToFetch, now), blocksToFetch * link.idleMilliseconds);
 		return fetched.score >= recompute.score
 			? recompute
-			: {...fetched, fetch: {store: store.name, pieceKeys: request.pieceKeys.slice(known.cached, store.pieces)}};
+			: {...fetched, fetch: {store: store.name, pieceKeys: request.pieceKeys.slice(known.cached, store.blocks)}};
 	}
 
 	#interferenceCost(request: RouteRequest, {load}: EndpointView, prefillMilliseconds: number): number {
@@ -257,8 +257,8 @@
 
 		const rank = rankOf[request.priority];
 		const since = this.#historyOf(endpoint.name).sentSince(endpoint, rank);
-		const mixTotal = this.#classMix.reduce((sum, part) => sum + part, 0);
-		const before = this.#classMix.slice(0, rank + 1).reduce((sum, part) => sum + part, 0) / mixTotal;
+		const mixTotal = this.#classMix.reduce((sum, tokens) => sum + tokens, 0);
+		const before = this.#classMix.slice(0, rank + 1).reduce((sum, tokens) => sum + tokens, 0) / mixTotal;
 		const drained = Math.max(0, now - endpoint.heardAt) * rate / 1000;
 		const backlog = Math.max(0, (load.waitingPrefillTokens * before) - (drained * before)) + since.tokens;
 		const over = load.runningRequests + load.waitingRequests + since.requests - load.batchLimit;
@@ -267,12 +267,12 @@
 		return Math.max(1000 * backlog / rate, slot) + busy + (load.runningRequests * runningMilliseconds);
 	}
 
-	#bestStore(cachedBlocks: ReadonlyMap<string, number>): {name: string; pieces: number} | undefined {
-		let best: {name: string; pieces: number} | undefined;
+	#bestStore(cachedBlocks: ReadonlyMap<string, number>): {name: string; blocks: number} | undefined {
+		let best: {name: string; blocks: number} | undefined;
 		for (const name of this.#settings.links.keys()) {
-			const pieces = cachedBlocks.get(name) ?? 0;
-			if (pieces > (best?.pieces ?? 0)) {
-				best = {name, pieces};
+			const blocks = cachedBlocks.get(name) ?? 0;
+			if (blocks > (best?.blocks ?? 0)) {
+				best = {name, blocks};
 			}
 		}
 
--- a/src/gateway/coordinator/block-directory.ts
+++ b/src/gateway/coordinator/block-directory.ts
@@ -48,12 +48,12 @@
 	}
 
 	/** Answers a query about the blocks of one prompt. */
-	answer({endpoints, keys, partCount}: PlacementQuery, {stores, isUpToDate, requestsAt}: HolderStates): BlocksAnswer {
+	answer({endpoints, keys, partCount: blockCount}: PlacementQuery, {stores, isUpToDate, requestsAt}: HolderStates): BlocksAnswer {
 		if (keys.length === 0) {
 			return {kept: [], engines: [], unknown: []};
 		}
 
-		const engines = [...new Set([...endpoints, ...this.#enginesWithDeepestBlocks(keys, partCount, requestsAt)])];
+		const engines = [...new Set([...endpoints, ...this.#enginesWithDeepestBlocks(keys, blockCount, requestsAt)])];
 		const holders = [...stores, ...engines.map(engine => engineHolder(engine))];
 		return {
 			kept: holders.map((holder): [string, CachedBlocks] => [holder, this.#cachedAt(holder, keys)]).filter(([, blocks]) => blocks.length > 0),
@@ -70,10 +70,10 @@
 	}
 
 	/** Engines that hold the deepest blocks, those with the fewest requests first. */
-	#enginesWithDeepestBlocks(keys: readonly string[], partCount: number, requestsAt: (engine: string) => number): Set<string> {
+	#enginesWithDeepestBlocks(keys: readonly string[], blockCount: number, requestsAt: (engine: string) => number): Set<string> {
 		const engines = new Set<string>();
-		for (let depth = partCount - 1; depth >= 0 && engines.size < maxExtraEngines; depth--) {
-			const found = this.#enginesWith(keys.filter((_key, index) => index % partCount === depth))
+		for (let depth = blockCount - 1; depth >= 0 && engines.size < maxExtraEngines; depth--) {
+			const found = this.#enginesWith(keys.filter((_key, index) => index % blockCount === depth))
 				.map(engine => ({engine, requests: requestsAt(engine)}))
 				.toSorted((one, other) => one.requests - other.requests);
 			for (const {engine} of found.slice(0, maxExtraEngines - engines.size)) {
--- a/src/gateway/coordinator/cache-store-managers.test.ts
+++ b/src/gateway/coordinator/cache-store-managers.test.ts
@@ -47,17 +47,17 @@
 	const listed = new Promise<Either<string, StoreListing>>(resolve => {
 		answer = resolve;
 	});
-	const asked: string[] = [];
+	const calledAddresses: string[] = [];
 	const control: CacheStoreControl = {
 		async list(address) {
-			asked.push(address);
+			calledAddresses.push(address);
 			return listed;
 		},
 		events: async () => Left('not called in this test'),
 		free: async () => Right(undefined),
 	};
 	const published = new Set<string>();
-	const keepers = new CacheStoreManagers({
+	const managers = new CacheStoreManagers({
 		control,
 		clock,
 		log: new DecisionLog({writableLength: 0, write: () => true}, {}, () => now),
@@ -73,14 +73,14 @@
 			}
 		},
 	});
-	keepers.manage(stores, 1);
-	while (asked.length === 0) {
+	managers.manage(stores, 1);
+	while (calledAddresses.length === 0) {
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
 	}
 
-	keepers.close();
+	managers.close();
 	answer!(Right({
 		epoch: 1, next: 1, parts: [{salt: 's', id: 'p', tokens: 800}], partial: [],
 	}));
@@ -115,20 +115,20 @@
 		},
 		free: async () => Right(undefined),
 	};
-	const keepers = managersWithoutFollowers(control, () => now);
+	const managers = managersWithoutFollowers(control, () => now);
 	context.after(() => {
-		keepers.close();
+		managers.close();
 	});
 	const manageAt = async (milliseconds: number): Promise<void> => {
 		now = milliseconds;
-		keepers.manage(stores, 1);
+		managers.manage(stores, 1);
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
 	};
 
 	await manageAt(0);
-	keepers.close();
+	managers.close();
 	const backAt = 10 * withdrawalMilliseconds;
 	await manageAt(backAt);
 	assert.deepEqual(listedAt, [backAt]);
@@ -138,7 +138,7 @@
 	await manageAt(backAt + 200);
 	assert.deepEqual(listedAt, [backAt], 'the next manager lists the store at once');
 	await manageAt(backAt + 200 + withdrawalMilliseconds);
-	keepers.close();
+	managers.close();
 	assert.equal(listedAt.length, 2);
 });
 
@@ -156,15 +156,15 @@
 		events: async () => Left('not called in this test'),
 		free: async () => Right(undefined),
 	};
-	const keepers = managersWithoutFollowers(control, () => now);
+	const managers = managersWithoutFollowers(control, () => now);
 	const listsAfter = async (milliseconds: number, fencingNumber: number): Promise<boolean> => {
 		now += milliseconds;
 		listings = 0;
-		keepers.manage(stores, fencingNumber);
+		managers.manage(stores, fencingNumber);
 		await new Promise(resolve => {
 			setTimeout(resolve, 20);
 		});
-		keepers.close();
+		managers.close();
 		return listings > 0;
 	};
 
@@ -215,7 +215,7 @@
 	let now = 0;
 	let hasFailed = false;
 	const epoch = 7;
-	const keepers = managersWithoutFollowers({
+	const managers = managersWithoutFollowers({
 		list: async () => Right({
 			epoch, next: 1, parts: [{salt: 's', id: 'p', tokens: 800}], partial: [],
 		}),
@@ -239,16 +239,16 @@
 		}
 	};
 
-	keepers.manage(stores, 2, {cache: epoch});
+	managers.manage(stores, 2, {cache: epoch});
 	await turns();
 	assert.equal(hasFailed, true);
 	const failedAt = now;
-	while (keepers.openStores().length === 0 && now < 10_000) {
-		keepers.manage(stores, 2, {cache: epoch});
+	while (managers.openStores().length === 0 && now < 10_000) {
+		managers.manage(stores, 2, {cache: epoch});
 		await turns();
 		now += 100;
 	}
 
-	keepers.close();
+	managers.close();
 	assert.ok(now - failedAt >= withdrawalMilliseconds, `offered again ${now - failedAt} ms after the failure`);
 });
--- a/src/gateway/coordinator/coordinator-client.test.ts
+++ b/src/gateway/coordinator/coordinator-client.test.ts
@@ -134,21 +134,21 @@
 
 test('while the coordinator does not answer, the standby is queried', async context => {
 	// Guards against instances without each other's loads for the seconds until another one may be the coordinator.
-	const hub = await startFakeCoordinator(context, 50);
+	const coordinator = await startFakeCoordinator(context, 50);
 	const standby = await startFakeCoordinator(context);
-	await hub.meet();
+	await coordinator.meet();
 	await standby.meet();
-	const sources = new PeerUpdateSources([hub.client, standby.client]);
+	const sources = new PeerUpdateSources([coordinator.client, standby.client]);
 	await sources.refresh(emptyQuery);
-	assert.deepEqual([hub.played.received.length, standby.played.received.length], [2, 1]);
-	hub.played.isUnresponsive = true;
+	assert.deepEqual([coordinator.played.received.length, standby.played.received.length], [2, 1]);
+	coordinator.played.isUnresponsive = true;
 	await sources.refresh(emptyQuery);
-	assert.deepEqual([hub.played.received.length, standby.played.received.length], [3, 2]);
-	hub.played.now += 600;
+	assert.deepEqual([coordinator.played.received.length, standby.played.received.length], [3, 2]);
+	coordinator.played.now += 600;
 	await sources.refresh(emptyQuery);
 	sources.report();
 	await until(() => standby.played.received.length === 4);
-	assert.deepEqual([hub.played.received.length, standby.played.received.at(-1)?.kind], [3, 'tell']);
+	assert.deepEqual([coordinator.played.received.length, standby.played.received.at(-1)?.kind], [3, 'tell']);
 });
 
 /** A coordinator that sends an answer five times a second. */
@@ -165,8 +165,8 @@
 	// Guards against instances that drop their view of all others after a pause, although the coordinator's answers wait in the
 	// socket.
 	const bytes = encodeFrame(emptyAnswer);
-	const hub = new Worker(coordinatorProgram, {eval: true, workerData: bytes});
-	const [port] = await once(hub, 'message') as [number];
+	const coordinator = new Worker(coordinatorProgram, {eval: true, workerData: bytes});
+	const [port] = await once(coordinator, 'message') as [number];
 	const client = new CoordinatorClient(new CoordinatorView(), testFollower(), systemMomentClock);
 	client.dial(`127.0.0.1:${port}`);
 	const asking = setInterval(() => {
@@ -175,7 +175,7 @@
 	context.after(async () => {
 		clearInterval(asking);
 		client.close();
-		await hub.terminate();
+		await coordinator.terminate();
 	});
 	await pause(600);
 	blockEventLoop(2000);
--- a/src/gateway/coordinator/coordinator-pair.test.ts
+++ b/src/gateway/coordinator/coordinator-pair.test.ts
@@ -62,9 +62,9 @@
 async function startInstance(name: string, store: GrowingStore) {
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
 	const stop = new AbortController();
-	const heard: FeedRow[] = [];
+	const received: FeedRow[] = [];
 	const record = (rows: readonly FeedRow[]): void => {
-		heard.push(...rows);
+		received.push(...rows);
 	};
 
 	const pair: CoordinatorPair = new CoordinatorPair({
@@ -110,7 +110,7 @@
 	}
 
 	return {
-		pair, heard, stop, name,
+		pair, received, stop, name,
 	};
 }
 
@@ -140,16 +140,16 @@
 	}
 
 	return {
-		store, instances, hub: instances.find(({pair}) => pair.isCoordinator)!, deputyName: await readStandby(),
+		store, instances, coordinator: instances.find(({pair}) => pair.isCoordinator)!, standbyName: await readStandby(),
 	};
 }
 
 test('all instances receive the rows as the store has them, by calls of one', async context => {
 	// Guards against calls that grow with the number of instances, and against rows that are altered by the relay.
-	const {store, instances, hub, deputyName} = await startInstances(context);
+	const {store, instances, coordinator, standbyName} = await startInstances(context);
 	assert.equal(instances.filter(({pair}) => pair.isCoordinator).length, 1);
-	assert.notEqual(deputyName, undefined);
-	assert.notEqual(deputyName, hub.name);
+	assert.notEqual(standbyName, undefined);
+	assert.notEqual(standbyName, coordinator.name);
 	await pause(2200);
 	store.callers.clear();
 	const rows = [
@@ -161,26 +161,26 @@
 		store.add(row);
 	}
 
-	await until('all instances have the rows', () => instances.every(({heard}) => heard.length === rows.length), 1000);
-	for (const {heard} of instances) {
-		assert.deepEqual(heard.map(({key, content, isDeleted}) => ({key, content, isDeleted})), rows);
+	await until('all instances have the rows', () => instances.every(({received}) => received.length === rows.length), 1000);
+	for (const {received} of instances) {
+		assert.deepEqual(received.map(({key, content, isDeleted}) => ({key, content, isDeleted})), rows);
 	}
 
 	await pause(1500);
-	assert.deepEqual([...store.callers], [hub.name]);
+	assert.deepEqual([...store.callers], [coordinator.name]);
 });
 
 test('when the coordinator stops, the standby reads the tables for all until another instance may be the coordinator', async context => {
 	// Guards against changes that no instance receives, and against calls of all instances, for as long as the lease of the
 	// coordinator runs.
-	const {store, instances, hub, deputyName} = await startInstances(context);
+	const {store, instances, coordinator, standbyName} = await startInstances(context);
 	await pause(2200);
-	hub.stop.abort();
-	const others = instances.filter(instance => instance !== hub);
+	coordinator.stop.abort();
+	const others = instances.filter(instance => instance !== coordinator);
 	store.callers.clear();
 	await pause(1600);
 	store.add({key: 'late', content: 1, isDeleted: false});
-	await until('the others have the row', () => others.every(({heard}) => heard.some(({key}) => key === 'late')), 1500);
-	assert.deepEqual([...store.callers], [deputyName]);
+	await until('the others have the row', () => others.every(({received}) => received.some(({key}) => key === 'late')), 1500);
+	assert.deepEqual([...store.callers], [standbyName]);
 	assert.equal(others.some(({pair}) => pair.isCoordinator), false, 'another instance is the coordinator too soon');
 });
--- a/src/gateway/coordinator/coordinator-server.test.ts
+++ b/src/gateway/coordinator/coordinator-server.test.ts
@@ -66,7 +66,7 @@
 	send(idle, {
 		kind: 'tell', instance: 'silent', cores: 1, uses: [], loads: {engine: [7, 100, 0, 0, 0, 0, 0]},
 	});
-	const ask = async (count: number): Promise<void> => {
+	const sendQueries = async (count: number): Promise<void> => {
 		for (let number = 0; number < count; number++) {
 			send(asking, {
 				kind: 'ask', number, instance: 'asking', cores: 1, uses: [], loads: {}, about: {...emptyQuery, endpoints: ['engine']}, places: {},
@@ -75,9 +75,9 @@
 		}
 	};
 
-	await ask(3);
+	await sendQueries(3);
 	assert.equal(loads.engine?.[0], 7);
-	await ask(25);
+	await sendQueries(25);
 	const isClosed = idle.destroyed || idle.readableEnded;
 	idle.destroy();
 	asking.destroy();
--- a/src/gateway/coordinator/coordinator-view.ts
+++ b/src/gateway/coordinator/coordinator-view.ts
@@ -48,9 +48,9 @@
 
 	/** Applies the answer to a query that was sent at `queriedAt`. */
 	applyAnswer({
-		clock, isDeputy, isLapsed, open, loads, parts,
+		clock, isDeputy: isStandby, isLapsed, open, loads, parts: blocks,
 	}: CoordinatorFrame, {keys}: PlacementQuery, queriedAt: Moment, now: Moment): void {
-		if (!isDeputy) {
+		if (!isStandby) {
 			this.#open = new Map(open);
 			this.#isLapsed = isLapsed;
 			this.#queriedAt = queriedAt;
@@ -63,9 +63,9 @@
 			remember(this.#loads, endpoint, {queriedAt, load}, maxLoads);
 		}
 
-		const unknown = new Set(parts.unknown);
+		const unknown = new Set(blocks.unknown);
 		const locations = keys.map((): BlockLocations => ({queriedAt, holders: new Map(), unknown}));
-		for (const [holder, cachedBlocks] of parts.kept) {
+		for (const [holder, cachedBlocks] of blocks.kept) {
 			for (const [index, tokens] of cachedBlocks) {
 				locations[index]?.holders.set(holder, tokens);
 			}
--- a/src/gateway/coordinator/coordinator.test.ts
+++ b/src/gateway/coordinator/coordinator.test.ts
@@ -94,18 +94,18 @@
 	const instances = ports.map((port, index) => {
 		const instance = `i${index}`;
 		const address = `127.0.0.1:${port}`;
-		const hubView = new CoordinatorView();
+		const view = new CoordinatorView();
 		const election = new LeaderElection({
 			table: 'leases', lease: 'hub', instance, address, leaseMilliseconds: 1000, grantMilliseconds: 500,
 		}, {store: table, clock, log});
-		const client = new CoordinatorClient(hubView, testFollower({
+		const client = new CoordinatorClient(view, testFollower({
 			instance,
 			loads: () => ({engine: [index + 1, 10, 0, 0, 0, 0, 0]}),
 			closed() {
-				hubView.reset();
+				view.reset();
 			},
 		}), clock);
-		const hub = new Coordinator({
+		const coordinator = new Coordinator({
 			clock, configuration, dataCentre: 'split', endpoints: new EndpointRegistry(), log,
 		}, {
 			role: 'hub', instance, address, election, client, control: store, cores: 1, tableUpdates: () => [], holdsOtherLease: () => false, isOtherUp: () => true, otherDataCentre: () => undefined,
@@ -117,11 +117,11 @@
 			clearInterval(asking);
 		});
 		const stop = new AbortController();
-		void hub.run(stop.signal);
-		void hub.server.run(stop.signal);
-		return {hub, hubView, stop};
+		void coordinator.run(stop.signal);
+		void coordinator.server.run(stop.signal);
+		return {coordinator, view, stop};
 	});
-	const allKnow = (): boolean => instances.every(({hubView, stop}) => stop.signal.aborted || hubView.holds('cache', 's|p', clock.moment()));
+	const allKnow = (): boolean => instances.every(({view, stop}) => stop.signal.aborted || view.holds('cache', 's|p', clock.moment()));
 	context.after(() => {
 		clearInterval(ticking);
 		for (const {stop} of instances) {
@@ -138,14 +138,18 @@
 	// coordinator serves them again.
 	const {store, instances, allKnow} = await startCoordinators(context);
 	await until('all views hold the block', allKnow, 6000 + withdrawalMilliseconds);
-	assert.equal(instances.filter(({hub}) => hub.holdsLease()).length, 1);
-	await until('all views have the loads of the others', () => instances.every(({hubView}, index) => hubView.peerLoadAt('engine', clock.moment())?.requests === 6 - (index + 1)), 2000);
-	const old = instances.find(({hub}) => hub.holdsLease())!;
-	await old.hub.resign();
+	assert.equal(instances.filter(({coordinator}) => coordinator.holdsLease()).length, 1);
+	await until('all views have the loads of the others', () => instances.every(({view}, index) => view.peerLoadAt('engine', clock.moment())?.requests === 6 - (index + 1)), 2000);
+	const old = instances.find(({coordinator}) => coordinator.holdsLease())!;
+	await old.coordinator.resign();
 	old.stop.abort();
-	await until('another coordinator serves the others', () => instances.some(({hub}) => hub !== old.hub && hub.holdsLease()) && allKnow(), 8000 + withdrawalMilliseconds);
+	await until(
+		'another coordinator serves the others',
+		() => instances.some(({coordinator}) => coordinator !== old.coordinator && coordinator.holdsLease()) && allKnow(),
+		8000 + withdrawalMilliseconds,
+	);
 	store.isDown = true;
-	await until('no block of an unavailable store is offered', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
+	await until('no block of an unavailable store is offered', () => instances.every(({view}) => !view.holds('cache', 's|p', clock.moment())), 2000);
 });
 
 test('a coordinator whose lease lapses goes on serving hints, and stores until another instance could hold the lease', async context => {
@@ -161,17 +165,17 @@
 		assert.ok(allKnow(), 'no block of a store is offered');
 		return clock.moment().steady >= until1000;
 	}, 1500);
-	assert.equal(instances.some(({hub}) => hub.holdsLease()), false);
-	await until('no block of a store is offered any more', () => instances.every(({hubView}) => !hubView.holds('cache', 's|p', clock.moment())), 2000);
+	assert.equal(instances.some(({coordinator}) => coordinator.holdsLease()), false);
+	await until('no block of a store is offered any more', () => instances.every(({view}) => !view.holds('cache', 's|p', clock.moment())), 2000);
 	const until2500 = clock.moment().steady + 2500;
 	await until('time passes', () => {
-		assert.ok(instances.every(({hubView}) => hubView.peerLoadAt('engine', clock.moment()) !== undefined), 'hints are missing');
+		assert.ok(instances.every(({view}) => view.peerLoadAt('engine', clock.moment()) !== undefined), 'hints are missing');
 		return clock.moment().steady >= until2500;
 	}, 3000);
-	assert.equal(instances.every(({hubView}) => hubView.isLapsed), true);
+	assert.equal(instances.every(({view}) => view.isLapsed), true);
 	table.down = false;
 	await until('all views hold the block again', allKnow, 6000 + withdrawalMilliseconds);
-	assert.equal(instances.some(({hubView}) => hubView.isLapsed), false);
+	assert.equal(instances.some(({view}) => view.isLapsed), false);
 	for (const expected of ['"kind":"lease-lost"', '"kind":"dependency-lost","dependency":"hub"', '"kind":"dependency-regained","dependency":"hub"']) {
 		assert.ok(lines.some(line => line.includes(expected)), expected);
 	}
@@ -181,7 +185,7 @@
 	// Guards against a standby that fails together with the coordinator.
 	const table = new MemoryTable();
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, Date.now);
-	let isHub = false;
+	let isCoordinator = false;
 	const electionOf = (instance: string): LeaderElection => new LeaderElection({
 		table: 'leases', lease: 'hub-deputy', instance, address: '127.0.0.1:1', leaseMilliseconds: 1000, grantMilliseconds: 60_000,
 	}, {store: table, clock, log});
@@ -197,13 +201,13 @@
 		control: new FakeStore(),
 		cores: 1,
 		tableUpdates: () => [],
-		holdsOtherLease: () => isHub,
+		holdsOtherLease: () => isCoordinator,
 		isOtherUp: () => true,
 		otherDataCentre: () => undefined,
 	});
 	await election.acquireOrRenew();
 	assert.equal(standby.holdsLease(), true);
-	isHub = true;
+	isCoordinator = true;
 	standby.step();
 	await until('the lease is released', () => !standby.holdsLease(), 1000);
 	await clock.sleep(50, new AbortController().signal);
--- a/src/gateway/coordinator/engine-cache-watcher.test.ts
+++ b/src/gateway/coordinator/engine-cache-watcher.test.ts
@@ -6,78 +6,78 @@
 import {testEndpoint} from '../testing/test-endpoint.js';
 import {EngineCacheWatcher} from './engine-cache-watcher.js';
 
-const part = (id: string) => ({salt: 's', id, tokens: 160});
+const blockOf = (id: string) => ({salt: 's', id, tokens: 160});
 const events = (changes: Partial<StoreEvents>): Either<string, StoreEvents> => Right({
 	epoch: 1, next: 1, isIncomplete: false, added: [], removed: [], clockMilliseconds: 0, ...changes,
 });
 
 /** A watcher of an engine that gives these answers, and the blocks published to the followers. */
 function watched(answers: Array<Either<string, StoreEvents>>) {
-	const asked: number[] = [];
-	const told = new Set<string>();
+	const requestedSince: number[] = [];
+	const published = new Set<string>();
 	const watch = new EngineCacheWatcher(testEndpoint({name: 'e1'}), {
 		control: {
 			async events(_address, since) {
-				asked.push(since);
+				requestedSince.push(since);
 				return answers.shift()!;
 			},
 		},
 		clock: systemMomentClock,
 		publish(_engine, {added, removed}) {
 			for (const key of removed) {
-				told.delete(key);
+				published.delete(key);
 			}
 
 			for (const [key] of added) {
-				told.add(key);
+				published.add(key);
 			}
 		},
 	});
-	return {watch, asked, told};
+	return {watch, requestedSince, published};
 }
 
 test('blocks that an engine computes and drops are published, each event once', async () => {
-	const {watch, asked, told} = watched([
-		events({next: 3, added: [part('p1'), part('p2')]}),
-		events({next: 4, removed: [part('p1')]}),
+	const {watch, requestedSince, published} = watched([
+		events({next: 3, added: [blockOf('p1'), blockOf('p2')]}),
+		events({next: 4, removed: [blockOf('p1')]}),
 	]);
 	await watch.step();
 	await watch.step();
-	assert.deepEqual([...told], ['s|p2']);
-	assert.deepEqual(asked, [0, 3]);
+	assert.deepEqual([...published], ['s|p2']);
+	assert.deepEqual(requestedSince, [0, 3]);
 	assert.deepEqual(watch.blocks(), [['s|p2', 160]]);
 });
 
 test('blocks known from before a restart of an engine, or from before it was unreachable, are withdrawn', async () => {
 	// An engine crashes and comes back empty under its name. Prompts that are sent there for blocks that it had are prefilled
 	// in full, and the engine that all instances prefer falls behind.
-	const {watch, asked, told} = watched([
-		events({next: 9, added: [part('p1')]}),
+	const {watch, requestedSince, published} = watched([
+		events({next: 9, added: [blockOf('p1')]}),
 		events({epoch: 2, next: 1}),
-		events({epoch: 2, next: 2, added: [part('p3')]}),
+		events({epoch: 2, next: 2, added: [blockOf('p3')]}),
 		Left('refused'),
-		events({epoch: 2, next: 2, added: [part('p3')]}),
+		events({epoch: 2, next: 2, added: [blockOf('p3')]}),
 	]);
 	await watch.step();
 	await watch.step();
-	assert.deepEqual([...told], []);
+	assert.deepEqual([...published], []);
 	assert.equal(watch.isUpToDate, false);
 	await watch.step();
-	assert.deepEqual([...told], ['s|p3']);
-	assert.deepEqual(asked, [0, 9, 0]);
+	assert.deepEqual([...published], ['s|p3']);
+	assert.deepEqual(requestedSince, [0, 9, 0]);
 	await watch.step();
-	assert.deepEqual([...told], []);
+	assert.deepEqual([...published], []);
 	await watch.step();
-	assert.deepEqual([...told], ['s|p3']);
+	assert.deepEqual([...published], ['s|p3']);
 });
 
 test('after a gap in the events only the blocks of the remaining events are known', async () => {
-	const {watch, told} = watched([
-		events({next: 5, added: [part('p1')]}),
-		events({next: 9000, isIncomplete: true, added: [part('p2')]}),
+	const {watch, published} = watched([
+		events({next: 5, added: [blockOf('p1')]}),
+		events({next: 9000, isIncomplete: true, added: [blockOf('p2')]}),
 	]);
 	await watch.step();
 	await watch.step();
-	assert.deepEqual([...told], ['s|p2']);
+	assert.deepEqual([...published], ['s|p2']);
 	assert.equal(watch.isUpToDate, true);
 });
--- a/src/gateway/data-path/answer-transfer.test.ts
+++ b/src/gateway/data-path/answer-transfer.test.ts
@@ -41,10 +41,10 @@
 test('a body whose end the parser did not find is incomplete with any framing', () => {
 	const ends = ['open', 'in-order', 'reset', 'cancelled'] as const;
 	for (const framing of ['length', 'chunked', 'connection', 'none'] as const) {
-		const judged = ends.map(connectionEnd => classifyBodyEnd({
+		const bodyEnds = ends.map(connectionEnd => classifyBodyEnd({
 			framing, promisedBytes: 8, isComplete: false, stopsWithinEvent: false, connectionEnd,
 		}, 8));
-		assert.deepEqual(judged, ['short', 'short', 'reset', 'cancelled'], framing);
+		assert.deepEqual(bodyEnds, ['short', 'short', 'reset', 'cancelled'], framing);
 	}
 });
 
--- a/src/gateway/data-path/caller-disconnect.test.ts
+++ b/src/gateway/data-path/caller-disconnect.test.ts
@@ -21,21 +21,21 @@
 	/** Whether the caller waits for the first bytes of its answer before it disconnects. */
 	disconnectsWithinAnswer: boolean;
 	/** Plays the endpoint; `left` resolves when the caller has disconnected. */
-	play(incoming: IncomingMessage, response: ServerResponse, left: Promise<unknown>): void | Promise<void>;
+	play(incoming: IncomingMessage, response: ServerResponse, disconnected: Promise<unknown>): void | Promise<void>;
 };
 
 const stages: Record<string, Stage> = {
 	'before the head of a rejection whose body stalls': {
-		async play(incoming, response, left) {
-			await left;
+		async play(incoming, response, disconnected) {
+			await disconnected;
 			response.writeHead(503, {...sealedHeaders(incoming), [names.notExecuted]: '1', 'content-length': '100'});
 			response.write('full');
 		},
 		disconnectsWithinAnswer: false,
 	},
 	'before the head of an answer that stalls': {
-		async play(incoming, response, left) {
-			await left;
+		async play(incoming, response, disconnected) {
+			await disconnected;
 			response.writeHead(200, {...sealedHeaders(incoming), 'content-length': '100'});
 			response.write('half');
 		},
@@ -87,14 +87,14 @@
 			// Guards against endpoints that run out of connections because each disconnected caller leaks one.
 			const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind, timeoutMilliseconds, maxAttempts: 1})]})).start();
 			const disconnection = new AbortController();
-			const left = once(disconnection.signal, 'abort');
+			const disconnected = once(disconnection.signal, 'abort');
 			let arrive!: (socket: Socket) => void;
 			const arrival = new Promise<Socket>(resolve => {
 				arrive = resolve;
 			});
 			await gateway.addEndpoint(async (incoming, response) => {
 				arrive(incoming.socket);
-				return play(incoming, response, left);
+				return play(incoming, response, disconnected);
 			});
 			const caller = await openSocket(gateway.address);
 			caller.write(request);
--- a/src/gateway/data-path/connection-end-timing.test.ts
+++ b/src/gateway/data-path/connection-end-timing.test.ts
@@ -70,9 +70,9 @@
 }
 
 /** Whether a caller gets a complete answer; it may have used its connection before, and may read late. */
-async function getsWhole(address: string, isKept: boolean, pauseMilliseconds: number): Promise<boolean> {
+async function getsWhole(address: string, isReused: boolean, pauseMilliseconds: number): Promise<boolean> {
 	const caller = await openSocket(address);
-	if (isKept) {
+	if (isReused) {
 		caller.write(requestOf('before', 'keep-alive'));
 		await once(caller, 'data');
 	}
@@ -113,11 +113,11 @@
 		const wrong: string[] = [];
 		for (const [index, next] of plays.entries()) {
 			play = next;
-			const isKept = ((index * 7) + seed) % 3 === 0;
+			const isReused = ((index * 7) + seed) % 3 === 0;
 			const pauseMilliseconds = ((index * 5) + seed) % 4 === 0 ? 15 : 0;
-			const results = await Promise.all(Array.from({length: 4}, async () => getsWhole(gateway.address, isKept, pauseMilliseconds)));
+			const results = await Promise.all(Array.from({length: 4}, async () => getsWhole(gateway.address, isReused, pauseMilliseconds)));
 			if (results.includes(play.isReset)) {
-				wrong.push(JSON.stringify({...play, isKept, results}));
+				wrong.push(JSON.stringify({...play, isReused, results}));
 			}
 		}
 
--- a/src/gateway/data-path/endpoint-choice.ts
+++ b/src/gateway/data-path/endpoint-choice.ts
@@ -33,12 +33,12 @@
 	 * placed without a query.
 	 */
 	async selectCandidates(): Promise<void> {
-		const {placement, peerUpdates: peerNews} = this.#context;
+		const {placement, peerUpdates} = this.#context;
 		const {permitted} = this.#work;
 		const now = this.#now();
 		this.#candidates = placement.shortlist(this.#request(), this.#usable(now), now, this.#rounds);
 		if (permitted.route.carriesPrompt) {
-			await peerNews.refresh(this.#sources().query(this.#candidates));
+			await peerUpdates.refresh(this.#sources().query(this.#candidates));
 		}
 	}
 
--- a/src/gateway/data-path/prompt-block-sources.ts
+++ b/src/gateway/data-path/prompt-block-sources.ts
@@ -105,19 +105,19 @@
 
 	/** Engines that are known to cache a block of the prompt. */
 	cachingEngines(): EndpointRecord[] {
-		const {endpoints, coordinatorView: hubView} = this.#context;
-		const names = new Set(this.query([]).keys.flatMap(key => hubView.enginesWith(key, this.#now)));
+		const {endpoints, coordinatorView} = this.#context;
+		const names = new Set(this.query([]).keys.flatMap(key => coordinatorView.enginesWith(key, this.#now)));
 		return endpoints.usable(this.#service, this.#now.steady).filter(({name}) => names.has(name));
 	}
 
 	/** What is known about the sources that an engine can fetch blocks from. */
 	blockLocatorFor(target: EndpointRecord): BlockLocator {
-		const {coordinatorView: hubView} = this.#context;
+		const {coordinatorView} = this.#context;
 		return {
-			isOpen: store => hubView.isOpen(store, this.#now),
-			holds: (store, key) => hubView.holds(store, key, this.#now),
-			heldTokens: store => hubView.heldTokens(store),
-			engineSource: key => (hubView.tokensAt(target.name, key, this.#now) ?? 0) > 0 ? undefined : this.#sourceFor(target, key),
+			isOpen: store => coordinatorView.isOpen(store, this.#now),
+			holds: (store, key) => coordinatorView.holds(store, key, this.#now),
+			heldTokens: store => coordinatorView.heldTokens(store),
+			engineSource: key => (coordinatorView.tokensAt(target.name, key, this.#now) ?? 0) > 0 ? undefined : this.#sourceFor(target, key),
 		};
 	}
 
@@ -131,8 +131,8 @@
 
 	/** Engines that cache a block and can send it. One that loads weights or is unresponsive would let the fetch time out. */
 	#enginesWith(key: string): EndpointRecord[] {
-		const {endpoints, coordinatorView: hubView, loadingEngines, placement} = this.#context;
-		return hubView.enginesWith(key, this.#now)
+		const {endpoints, coordinatorView, loadingEngines, placement} = this.#context;
+		return coordinatorView.enginesWith(key, this.#now)
 			.map(name => endpoints.byName(name))
 			.filter((engine): engine is EndpointRecord => engine?.service === this.#service && engine.state === 'ready'
 				&& !loadingEngines.current.has(engine.name) && !placement.isUnresponsive(engine, this.#now.steady));
--- a/src/gateway/data-path/resumed-stream.test.ts
+++ b/src/gateway/data-path/resumed-stream.test.ts
@@ -13,12 +13,12 @@
 	}, body: 'x',
 });
 
-async function breakStream(kind: 'stream' | 'resumable-stream', abort: (response: ServerResponse) => void): Promise<{answer: string; askedBehind: string[]}> {
+async function breakStream(kind: 'stream' | 'resumable-stream', abort: (response: ServerResponse) => void): Promise<{answer: string; resumedAfter: string[]}> {
 	const gateway = await new TestGateway(testConfiguration({routes: [testRoute({kind})]})).start();
-	const askedBehind: string[] = [];
+	const resumedAfter: string[] = [];
 	let isFirst = true;
 	const play = (incoming: IncomingMessage, response: ServerResponse): void => {
-		askedBehind.push(String(incoming.headers[names.lastEventId] ?? 'start'));
+		resumedAfter.push(String(incoming.headers[names.lastEventId] ?? 'start'));
 		if (isFirst) {
 			isFirst = false;
 			response.writeHead(200, {...sealedHeaders(incoming), 'content-type': 'text/event-stream'});
@@ -37,7 +37,7 @@
 	await gateway.addEndpoint(play);
 	const answer = await exchangeRaw(gateway.address, request);
 	await gateway.close();
-	return {answer, askedBehind};
+	return {answer, resumedAfter};
 }
 
 /** The body of a chunked answer, and whether its last chunk came. */
@@ -50,21 +50,21 @@
 test('a stream that breaks within an event is resumed elsewhere without a duplicate, incomplete or missing event', async () => {
 	// The endpoint crashes after half of event 3. Complete events were relayed, the half was held back. Another endpoint
 	// continues after event 2; the half must not be sent before its first event.
-	const {answer, askedBehind} = await breakStream('resumable-stream', response => {
+	const {answer, resumedAfter} = await breakStream('resumable-stream', response => {
 		response.write('id: 3\ndata: pie', () => {
 			response.destroy();
 		});
 	});
 	assert.equal(statusOf(answer), 200);
-	assert.deepEqual(askedBehind, ['start', '2']);
+	assert.deepEqual(resumedAfter, ['start', '2']);
 	assert.deepEqual(bodyOf(answer), {text: [1, 2, 3, 4].map(id => eventText(id)).join(''), isWhole: true});
 });
 
 test('a stream that may not be resumed ends visibly incomplete', async () => {
-	const {answer, askedBehind} = await breakStream('stream', response => {
+	const {answer, resumedAfter} = await breakStream('stream', response => {
 		response.destroy();
 	});
-	assert.deepEqual(askedBehind, ['start']);
+	assert.deepEqual(resumedAfter, ['start']);
 	assert.equal(bodyOf(answer).isWhole, false);
 });
 
--- a/src/gateway/data-path/unresponsive-engine.test.ts
+++ b/src/gateway/data-path/unresponsive-engine.test.ts
@@ -32,11 +32,11 @@
 };
 
 for (const [stage, play] of Object.entries(stages)) {
-	for (const mostAttempts of [1, 2, 3]) {
-		test(`a prompt whose only engine becomes unresponsive ${stage} is ended soon (${mostAttempts} attempts)`, async () => {
+	for (const maxAttempts of [1, 2, 3]) {
+		test(`a prompt whose only engine becomes unresponsive ${stage} is ended soon (${maxAttempts} attempts)`, async () => {
 			// Guards against callers that wait until their timeout although nothing can serve them any more.
 			const route = testRoute({
-				kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds, maxAttempts: mostAttempts,
+				kind: 'resumable-stream', carriesPrompt: true, timeoutMilliseconds, maxAttempts,
 			});
 			const gateway = await new TestGateway(testConfiguration({routes: [route]})).start();
 			await gateway.addEndpoint(play);
--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -193,11 +193,11 @@
 				loads: () => packLoads(this.#placement.ownLoads(clock.moment().steady)),
 				watchedEndpoints: () => this.#watchedEndpoints(),
 				cursors: () => this.#feeds.cursors(),
-				applyTableUpdates: (news, askedAt) => {
-					this.#feeds.applyUpdates(news, askedAt);
+				applyTableUpdates: (updates, queriedAt) => {
+					this.#feeds.applyUpdates(updates, queriedAt);
 				},
 			},
-			tableUpdates: places => this.#feeds.updatesFor(places),
+			tableUpdates: cursors => this.#feeds.updatesFor(cursors),
 		});
 	}
 
--- a/src/gateway/observability/decision-log.test.ts
+++ b/src/gateway/observability/decision-log.test.ts
@@ -20,9 +20,9 @@
 
 	now = 5000;
 	log.record('request-refused', {id: 'last'});
-	const told = lines.map(line => JSON.parse(line) as {leftOut?: number});
+	const written = lines.map(line => JSON.parse(line) as {leftOut?: number});
 	assert.equal(lines.length, 101);
-	assert.equal(told.reduce((sum, {leftOut = 0}) => sum + leftOut, 0) + lines.length, 10_001);
+	assert.equal(written.reduce((sum, {leftOut = 0}) => sum + leftOut, 0) + lines.length, 10_001);
 });
 
 test('lines of ordinary requests use only their share of the bytes, and a failure among them is written', () => {
@@ -44,9 +44,9 @@
 	now += 10_000;
 	log.record('request-served', {id: 'last'});
 
-	const told = lines.map(line => JSON.parse(line) as {kind: string; instance?: string; leftOut?: number});
-	const served = told.filter(({kind}) => kind === 'request-served');
-	assert.equal(told.filter(({kind}) => kind === 'request-ended').length, 60);
+	const written = lines.map(line => JSON.parse(line) as {kind: string; instance?: string; leftOut?: number});
+	const served = written.filter(({kind}) => kind === 'request-served');
+	assert.equal(written.filter(({kind}) => kind === 'request-ended').length, 60);
 	assert.equal(served.reduce((sum, {leftOut = 0}) => sum + leftOut + 1, 0), (45 * 60) + 1);
 	assert.ok(bytes < 32_768 + (60 * 3072));
 	assert.ok(served.every(({instance}) => instance === undefined));
@@ -69,8 +69,8 @@
 		log.record('request-ended', {id: 'broken', outcome: 'broken-off', detail: 'x'.repeat(300)});
 	}
 
-	const told = lines.map(line => JSON.parse(line) as {id: string; kind: string});
-	const broken = told.filter(({id}) => id === 'broken');
+	const written = lines.map(line => JSON.parse(line) as {id: string; kind: string});
+	const broken = written.filter(({id}) => id === 'broken');
 	assert.deepEqual([broken.length, broken.filter(({kind}) => kind === 'try-failed').length], [120, 60]);
 });
 
--- a/src/gateway/observability/failure-lines.test.ts
+++ b/src/gateway/observability/failure-lines.test.ts
@@ -72,8 +72,8 @@
 			}
 
 			const broken = lines.map(line => JSON.parse(line) as {id: string; kind: string}).filter(({id}) => id.startsWith('broken'));
-			const tries = broken.filter(({kind}) => kind === 'try-failed');
-			assert.deepEqual([tries.length, broken.length - tries.length], [seconds, seconds]);
+			const attempts = broken.filter(({kind}) => kind === 'try-failed');
+			assert.deepEqual([attempts.length, broken.length - attempts.length], [seconds, seconds]);
 		});
 	}
 }
--- a/src/gateway/watchers/feed-follower.test.ts
+++ b/src/gateway/watchers/feed-follower.test.ts
@@ -8,9 +8,9 @@
 import {FeedFollower} from './feed-follower.js';
 import {type Arrival, type FeedUpdate} from './feed-update.js';
 
-function followerOf(answers: Array<Either<FeedFailure, FeedAnswer>>): {follower: FeedFollower; heard: string[]; asked: string[]} {
-	const heard: string[] = [];
-	const asked: string[] = [];
+function followerOf(answers: Array<Either<FeedFailure, FeedAnswer>>): {follower: FeedFollower; received: string[]; calls: string[]} {
+	const received: string[] = [];
+	const calls: string[] = [];
 	let now = 0;
 	const next = async (): Promise<Either<never, FeedAnswer>> => {
 		now += 700;
@@ -18,17 +18,17 @@
 	};
 
 	const note = (kind: string) => (rows: readonly FeedRow[], sentAt: Moment, _now: Moment, arrival: Arrival): void => {
-		heard.push(`${kind} ${rows.map(({key}) => key).join(' ')} as of ${sentAt.steady}${arrival === 'live' ? '' : `, ${arrival}`}`);
+		received.push(`${kind} ${rows.map(({key}) => key).join(' ')} as of ${sentAt.steady}${arrival === 'live' ? '' : `, ${arrival}`}`);
 	};
 
 	const log = new DecisionLog({writableLength: 0, write: () => true}, {}, () => 0);
 	const follower = new FeedFollower({
 		async readSnapshot(table) {
-			asked.push(`whole ${table}`);
+			calls.push(`whole ${table}`);
 			return next();
 		},
 		async follow({after}) {
-			asked.push(`after ${after}`);
+			calls.push(`after ${after}`);
 			return next();
 		},
 	}, {
@@ -37,7 +37,7 @@
 		handleSnapshot: note('whole'),
 		handleChanges: note('changes'),
 		handleFailure() {
-			heard.push('failure');
+			received.push('failure');
 		},
 	}, {
 		clock: {
@@ -49,7 +49,7 @@
 		log,
 		random: () => 0,
 	});
-	return {follower, heard, asked};
+	return {follower, received, calls};
 }
 
 const row = (key: string, revision: number): FeedRow => ({
@@ -58,51 +58,51 @@
 const found = (rows: FeedRow[], position: number, era = 0): Either<never, FeedAnswer> => Right({rows, position, era});
 
 test('an answer, also one without changes, confirms the table as of the sending of its call', async () => {
-	const {follower, heard, asked} = followerOf([found([row('a', 5)], 5), found([], 5), found([row('b', 9)], 9)]);
+	const {follower, received, calls} = followerOf([found([row('a', 5)], 5), found([], 5), found([row('b', 9)], 9)]);
 	await follower.step();
 	await follower.step();
 	await follower.step();
-	assert.deepEqual(heard, ['whole a as of 0', 'changes  as of 700', 'changes b as of 1400']);
-	assert.deepEqual(asked, ['whole list', 'after 5', 'after 5']);
+	assert.deepEqual(received, ['whole a as of 0', 'changes  as of 700', 'changes b as of 1400']);
+	assert.deepEqual(calls, ['whole list', 'after 5', 'after 5']);
 });
 
 test('the whole table is read again when the feed has lost its history', async () => {
-	const {follower, heard, asked} = followerOf([found([], 5), Left({kind: 'history-lost'}), found([row('a', 90)], 90)]);
+	const {follower, received, calls} = followerOf([found([], 5), Left({kind: 'history-lost'}), found([row('a', 90)], 90)]);
 	await follower.step();
 	await follower.step();
 	await follower.step();
-	assert.deepEqual(asked, ['whole list', 'after 5', 'whole list']);
-	assert.equal(heard.at(-1), 'whole a as of 1400');
+	assert.deepEqual(calls, ['whole list', 'after 5', 'whole list']);
+	assert.equal(received.at(-1), 'whole a as of 1400');
 });
 
 test('a failed call keeps the position and confirms nothing', async () => {
-	const {follower, heard, asked} = followerOf([found([], 5), Left({kind: 'unavailable', detail: 'down'}), found([], 5)]);
+	const {follower, received, calls} = followerOf([found([], 5), Left({kind: 'unavailable', detail: 'down'}), found([], 5)]);
 	await follower.step();
 	await follower.step();
 	await follower.step();
-	assert.deepEqual(asked, ['whole list', 'after 5', 'after 5']);
-	assert.deepEqual(heard.slice(1), ['failure', 'changes  as of 1400']);
+	assert.deepEqual(calls, ['whole list', 'after 5', 'after 5']);
+	assert.deepEqual(received.slice(1), ['failure', 'changes  as of 1400']);
 });
 
 test('the whole table is read again when a store restored from an older copy has passed the position again', async () => {
 	// Guards against rows that are never delivered: a position that is assigned a second time looks like one already reached.
-	const {follower, heard, asked} = followerOf([found([], 50, 1), found([row('b', 60)], 60, 2), found([row('a', 45), row('b', 60)], 60, 2), found([], 60, 2)]);
+	const {follower, received, calls} = followerOf([found([], 50, 1), found([row('b', 60)], 60, 2), found([row('a', 45), row('b', 60)], 60, 2), found([], 60, 2)]);
 	await follower.step();
 	await follower.step();
-	assert.deepEqual(heard, ['whole  as of 0', 'failure']);
+	assert.deepEqual(received, ['whole  as of 0', 'failure']);
 	await follower.step();
 	await follower.step();
-	assert.deepEqual(asked, ['whole list', 'after 50', 'whole list', 'after 60']);
-	assert.deepEqual(heard.slice(2), ['whole a b as of 1400, restored', 'changes  as of 2100, restored']);
+	assert.deepEqual(calls, ['whole list', 'after 50', 'whole list', 'after 60']);
+	assert.deepEqual(received.slice(2), ['whole a b as of 1400, restored', 'changes  as of 2100, restored']);
 });
 
 test('a restored store confirms its state again once live writers have had the time to rewrite their rows', async () => {
-	const {follower, heard} = followerOf([found([], 50, 1), found([], 40, 2), found([], 40, 2), found([], 40, 2), found([], 40, 2), found([], 40, 2)]);
+	const {follower, received} = followerOf([found([], 50, 1), found([], 40, 2), found([], 40, 2), found([], 40, 2), found([], 40, 2), found([], 40, 2)]);
 	for (let call = 0; call < 6; call++) {
 		await follower.step();
 	}
 
-	assert.deepEqual(heard.slice(2), ['whole  as of 1400, restored', 'changes  as of 2100, restored', 'changes  as of 2800, restored', 'changes  as of 3500']);
+	assert.deepEqual(received.slice(2), ['whole  as of 1400, restored', 'changes  as of 2100, restored', 'changes  as of 2800, restored', 'changes  as of 3500']);
 });
 
 const updateOf = (changes: Partial<FeedUpdate>): FeedUpdate => ({
@@ -112,43 +112,43 @@
 
 test('a relayed update confirms the table as of its query, less the age of its confirmation', async () => {
 	// Guards against a revoked key that is accepted for too long because an instance took an old confirmation for a recent one.
-	const {follower, heard} = followerOf([found([], 5)]);
+	const {follower, received} = followerOf([found([], 5)]);
 	await follower.step();
 	follower.applyUpdate(updateOf({}), at(600));
-	assert.deepEqual(heard, ['whole  as of 0', 'changes b as of 500, relayed']);
+	assert.deepEqual(received, ['whole  as of 0', 'changes b as of 500, relayed']);
 	assert.deepEqual(follower.cursor, {era: 0, position: 9});
 });
 
 test('rows that arrive from two sources are applied once, and never replace newer ones', async () => {
 	// Guards against an endpoint that counts as ready again because an older answer arrives after the relayed row of its leaving.
-	const {follower, heard, asked} = followerOf([found([], 5), found([row('b', 7), row('c', 12)], 12)]);
+	const {follower, received, calls} = followerOf([found([], 5), found([row('b', 7), row('c', 12)], 12)]);
 	await follower.step();
 	const call = follower.step();
 	follower.applyUpdate(updateOf({rows: [row('b', 7), row('b', 9)]}), at(700));
 	await call;
 	follower.applyUpdate(updateOf({rows: [row('b', 9)]}), at(1500));
-	assert.deepEqual(heard.slice(1), ['changes b b as of 600, relayed', 'changes c as of 700', 'changes  as of 1400, relayed']);
-	assert.deepEqual(asked, ['whole list', 'after 5']);
+	assert.deepEqual(received.slice(1), ['changes b b as of 600, relayed', 'changes c as of 700', 'changes  as of 1400, relayed']);
+	assert.deepEqual(calls, ['whole list', 'after 5']);
 	assert.deepEqual(follower.cursor, {era: 0, position: 12});
 });
 
 test('an update of another era, or without the rows in between, is not applied', async () => {
-	const {follower, heard} = followerOf([found([], 5, 2)]);
+	const {follower, received} = followerOf([found([], 5, 2)]);
 	await follower.step();
 	follower.applyUpdate(updateOf({era: 1}), at(600));
 	follower.applyUpdate({
 		table: 'list', era: 2, position: 9, ageMilliseconds: 0,
 	}, at(600));
-	assert.deepEqual(heard, ['whole  as of 0']);
+	assert.deepEqual(received, ['whole  as of 0']);
 	assert.deepEqual(follower.cursor, {era: 2, position: 5});
 });
 
 test('a failure at the reader is handled before the rows that disappear because of it', async () => {
 	// Guards against endpoints that are dropped because their rows expired in an outage of the store that only the reader saw.
-	const {follower, heard} = followerOf([found([], 5)]);
+	const {follower, received} = followerOf([found([], 5)]);
 	await follower.step();
 	follower.applyUpdate(updateOf({failedMilliseconds: 300}), at(600));
-	assert.deepEqual(heard.slice(1), ['failure', 'changes b as of 500, relayed']);
+	assert.deepEqual(received.slice(1), ['failure', 'changes b as of 500, relayed']);
 });
 
 test('a follower of the reader makes no calls until its relayed confirmation is too old', async context => {
--- a/src/gateway/watchers/feed-follower.ts
+++ b/src/gateway/watchers/feed-follower.ts
@@ -147,11 +147,11 @@
 	 * Applies an update that the reader relayed.
 	 *
 	 * @param update - The update of this table.
-	 * @param askedAt - When the query was sent that it answers; the table is confirmed as of this time less the update's age.
+	 * @param queriedAt - When the query was sent that it answers; the table is confirmed as of this time less the update's age.
 	 */
-	applyUpdate(update: FeedUpdate, askedAt: Moment): void {
+	applyUpdate(update: FeedUpdate, queriedAt: Moment): void {
 		if (update.failedMilliseconds !== undefined && update.failedMilliseconds < maxFailureAgeMilliseconds) {
-			this.#handler.handleFailure(momentBefore(askedAt, update.failedMilliseconds));
+			this.#handler.handleFailure(momentBefore(queriedAt, update.failedMilliseconds));
 		}
 
 		if (this.#cursor?.era !== update.era || (update.rows === undefined && update.position > this.#cursor.position)) {
@@ -160,7 +160,7 @@
 			return;
 		}
 
-		const confirmedAt = momentBefore(askedAt, update.ageMilliseconds);
+		const confirmedAt = momentBefore(queriedAt, update.ageMilliseconds);
 		if (this.#relayConfirmedAt === undefined || confirmedAt.steady > this.#relayConfirmedAt.steady) {
 			this.#relayConfirmedAt = confirmedAt;
 		}
--- a/src/gateway/watchers/table-feeds.ts
+++ b/src/gateway/watchers/table-feeds.ts
@@ -64,9 +64,9 @@
 	}
 
 	/** Applies the updates that another instance sent in answer to a query of `askedAt`. */
-	applyUpdates(updates: readonly FeedUpdate[], askedAt: Moment): void {
+	applyUpdates(updates: readonly FeedUpdate[], queriedAt: Moment): void {
 		for (const update of updates) {
-			this.followers.find(({table}) => table === update.table)?.applyUpdate(update, askedAt);
+			this.followers.find(({table}) => table === update.table)?.applyUpdate(update, queriedAt);
 		}
 	}
 }
--- a/src/gateway/weights/weight-rollout.test.ts
+++ b/src/gateway/weights/weight-rollout.test.ts
@@ -140,11 +140,11 @@
 	}
 
 	const pausedHolder = engines.orders[0]!.holder;
-	let mostLoading = 0;
+	let maxLoading = 0;
 	const stepOthers = async (until: number): Promise<void> => {
 		while (clock.now < until) {
 			await stepAll(instance => instance !== pausedHolder);
-			mostLoading = Math.max(mostLoading, engines.loading);
+			maxLoading = Math.max(maxLoading, engines.loading);
 		}
 	};
 
@@ -152,7 +152,7 @@
 	assert.ok(engines.with(2) > engineCount / 2, `${engines.with(2)} in time`);
 	await stepOthers(boundMilliseconds + loadMilliseconds);
 	assert.equal(engines.with(2), engineCount);
-	assert.ok(mostLoading <= engineCount / 2, `${mostLoading} load at a time`);
+	assert.ok(maxLoading <= engineCount / 2, `${maxLoading} load at a time`);
 	const lastOfPaused = engines.orders.findLast(({holder}) => holder === pausedHolder)!.at;
 	const firstOfNext = engines.orders.find(({holder}) => holder !== pausedHolder)!.at;
 	assert.ok(firstOfNext - lastOfPaused >= leaseMilliseconds, `${firstOfNext - lastOfPaused} ms between two holders`);
@@ -161,14 +161,14 @@
 test('without faults most engines go on serving while the others load, within the switchover time', async () => {
 	const boundMilliseconds = 6000;
 	const {clock, engines, stepAll} = startRollouts(boundMilliseconds);
-	let mostLoading = 0;
+	let maxLoading = 0;
 	while (clock.now < boundMilliseconds && engines.with(2) < engineCount) {
 		await stepAll(() => true);
-		mostLoading = Math.max(mostLoading, engines.orders.filter(({at}) => clock.now - at < loadMilliseconds).length);
+		maxLoading = Math.max(maxLoading, engines.orders.filter(({at}) => clock.now - at < loadMilliseconds).length);
 	}
 
 	assert.equal(engines.with(2), engineCount);
-	assert.ok(mostLoading <= engineCount / 2, `${mostLoading} load at a time`);
+	assert.ok(maxLoading <= engineCount / 2, `${maxLoading} load at a time`);
 	assert.equal(engines.orders.length, engineCount);
 });
 
@@ -183,14 +183,14 @@
 	}
 
 	const cutOff = engines.orders[0]!.holder;
-	let mostLoading = 0;
+	let maxLoading = 0;
 	while (engines.with(2) < engineCount) {
 		await stepAll(instance => instance !== cutOff);
-		mostLoading = Math.max(mostLoading, engines.loading);
+		maxLoading = Math.max(maxLoading, engines.loading);
 		assert.ok(clock.now < 2 * boundMilliseconds, 'the rollout does not end');
 	}
 
-	assert.ok(mostLoading <= engineCount / 2, `${mostLoading} load at a time`);
+	assert.ok(maxLoading <= engineCount / 2, `${maxLoading} load at a time`);
 });
 
 test('instances that observe the orders of another one do not call the store for the lease', async () => {
