--- a/src/decision/attempts/next-step.ts
+++ b/src/decision/attempts/next-step.ts
@@ -13,8 +13,8 @@
  * - `not-sent`: no byte was sent.
  * - `rejected`: the endpoint answered that it did not run the request.
  * - `unknown`: it was sent, and no usable answer came.
- * - `failed`: the endpoint ran it and answered with a failure, which was not passed on yet.
- * - `cut`: the answer ended early after some of it was passed on; for an event stream, after a complete event.
+ * - `failed`: the endpoint ran it and answered with a failure, which was not relayed yet.
+ * - `cut`: the answer ended early after some of it was relayed; for an event stream, after a complete event.
  * - `torn`: the same for an answer that cannot be continued: one with a status other than 200, such as an error page,
  *   which holds no events, or a resumable stream whose events have no ids.
  */
@@ -36,9 +36,9 @@
  * The step.
  *
  * - `repeat`: retry from the start.
- * - `resume`: retry, and continue after the last event that was passed on.
+ * - `resume`: retry, and continue after the last event that was relayed.
  * - `refuse`: answer that the request has not run.
- * - `pass-on`: pass the endpoint's failure on to the caller.
+ * - `pass-on`: relay the endpoint's failure to the caller.
  * - `fail`: answer that the outcome is unknown.
  * - `break-off`: abort the answer so that it does not look complete.
  */
--- a/src/gateway/coordinator/cache-store-manager.ts
+++ b/src/gateway/coordinator/cache-store-manager.ts
@@ -48,9 +48,9 @@
 	 * @param service - The name of the store's service.
 	 * @param store - Its address and its size.
 	 * @param dependencies - The dependencies.
-	 * @param before - When its blocks were last published to followers, in milliseconds of the steady clock, and its epoch as
-	 * the manager before knew it: if that is unchanged, the store has not restarted since, and no block in it is being written
-	 * again.
+	 * @param previous - When its blocks were last published to followers, in milliseconds of the steady clock, and its epoch
+	 * as the previous manager knew it: if that is unchanged, the store has not restarted since, and no block in it is being
+	 * written again.
 	 */
 	constructor(service: string, store: StoreTraits, dependencies: CacheStoreManagerDependencies, {lastPublishedAt, handoverEpoch}: {lastPublishedAt: number; handoverEpoch: number | undefined}) {
 		this.inventory = new StoreInventory(store.capacityTokens);
@@ -58,7 +58,7 @@
 		this.#store = store;
 		this.#dependencies = dependencies;
 		this.#handoverEpoch = handoverEpoch;
-		// Followers may still use what the manager before published.
+		// Followers may still use what the previous manager published.
 		this.inventory.close(lastPublishedAt);
 	}
 
--- a/src/gateway/coordinator/cache-store-managers.test.ts
+++ b/src/gateway/coordinator/cache-store-managers.test.ts
@@ -92,8 +92,8 @@
 
 test('the manager that replaces a failed one waits until nothing published by it can be in use', async context => {
 	// The coordinator comes back under its fencing number and publishes the blocks of a store again; then the manager fails.
-	// Counted from the absence of the coordinator, the next manager would offer the store at once, and let blocks be written
-	// again that followers still fetch by what the failed one published.
+	// If the wait counted from the time when the coordinator was away, the next manager would offer the store at once, and let
+	// blocks be written again that followers still fetch by what the failed one published.
 	let now = 0;
 	let fails = false;
 	const listedAt: number[] = [];
@@ -202,7 +202,7 @@
 	return now;
 }
 
-test('a store that has not restarted since the manager before is offered at once, any other only when nothing older can be in use', async () => {
+test('a store that has not restarted since the previous manager is offered at once, any other only when nothing older can be in use', async () => {
 	// Guards against seconds without stores after each change of the coordinator, and against a block that is fetched while it
 	// is written again in a store that came back empty.
 	assert.ok(await firstOffer(7, {cache: 7}) < 500);
--- a/src/gateway/coordinator/coordinator-client.test.ts
+++ b/src/gateway/coordinator/coordinator-client.test.ts
@@ -184,7 +184,7 @@
 });
 
 test('a connection on which bytes arrive but no frame is completed is closed', async context => {
-	// Guards against followers that wait without end on a connection that carries bytes but no complete frame.
+	// Guards against followers that wait forever on a connection that carries bytes but no complete frame.
 	const frame = encodeFrame(emptyAnswer);
 	const server = await startScriptedServer(context, socket => {
 		let sent = 0;
--- a/src/gateway/coordinator/coordinator-client.ts
+++ b/src/gateway/coordinator/coordinator-client.ts
@@ -122,7 +122,7 @@
 		return this.#socket === undefined ? undefined : this.#address;
 	}
 
-	/** Opens a connection to `IP:port`; the state of the one before is dropped. */
+	/** Opens a connection to `IP:port`; the state of the previous connection is dropped. */
 	dial(address: string): void {
 		this.close();
 		const separator = address.lastIndexOf(':');
--- a/src/gateway/coordinator/engine-clock.ts
+++ b/src/gateway/coordinator/engine-clock.ts
@@ -1,6 +1,6 @@
 /**
  * The common clock of engines and stores, from the last reading that one of them reported. It is never ahead of the true time,
- * since the delay of the reading on its way is not added: a time limit computed from it ends too soon rather than too late.
+ * since the transfer delay of the reading is not added: a time limit computed from it ends too soon rather than too late.
  */
 export class EngineClock {
 	#reading: {milliseconds: number; at: number} | undefined;
--- a/src/gateway/coordinator/load-totals.test.ts
+++ b/src/gateway/coordinator/load-totals.test.ts
@@ -21,7 +21,7 @@
 });
 
 test('the loads of a removed instance no longer count', () => {
-	// Guards against endpoints that look busy without end.
+	// Guards against endpoints that count as busy forever.
 	const totals = new LoadTotals();
 	totals.set('i1', {e1: [2, 10, 0, 50, 5, 0, 0]});
 	totals.remove('i1');
--- a/src/gateway/data-path/caller-disconnect.test.ts
+++ b/src/gateway/data-path/caller-disconnect.test.ts
@@ -20,7 +20,7 @@
 type Stage = {
 	/** Whether the caller waits for the first bytes of its answer before it disconnects. */
 	disconnectsWithinAnswer: boolean;
-	/** Plays the endpoint; `left` resolves when the caller has disconnected. */
+	/** Acts as the endpoint; `disconnected` resolves when the caller has disconnected. */
 	play(incoming: IncomingMessage, response: ServerResponse, disconnected: Promise<unknown>): void | Promise<void>;
 };
 
--- a/src/gateway/data-path/connection-end.test.ts
+++ b/src/gateway/data-path/connection-end.test.ts
@@ -10,7 +10,7 @@
 
 const head = 'HTTP/1.1 200 OK\r\nx-attempt-id: a1\r\nconnection: close\r\n\r\n';
 
-/** Plays an endpoint that sends a head and the first bytes; the test sends the last bytes and ends the connection. */
+/** Starts an endpoint that sends a head and the first bytes; the test sends the last bytes and ends the connection. */
 async function openAnswer(context: TestContext): Promise<{answer: EndpointAnswer; endpointSocket: Socket}> {
 	let endpointSocket: Socket | undefined;
 	const server = createServer(socket => {
--- a/src/gateway/endpoints/endpoint-prober.ts
+++ b/src/gateway/endpoints/endpoint-prober.ts
@@ -1,6 +1,7 @@
 /**
  * Tries to connect to endpoints that could not be reached, so that no caller's request has to find out whether they are back. A
- * data centre that is cut off would otherwise cost each instance one request for each of its endpoints and each pause.
+ * data centre that is cut off would otherwise cost each instance one request for each of its endpoints whenever their circuits
+ * close.
  */
 import {connect} from 'node:net';
 import {type Child} from '../../supervisor/supervisor.js';
--- a/src/gateway/leadership/leader-election.ts
+++ b/src/gateway/leadership/leader-election.ts
@@ -68,7 +68,7 @@
 		return this.#lastSeenRow;
 	}
 
-	/** The handover in the row before the last grant, from the holder before or from this instance itself. */
+	/** The handover in the row before the last grant, from the previous holder or from this instance itself. */
 	get handover(): Readonly<Record<string, number>> {
 		return this.#handover;
 	}
@@ -194,7 +194,7 @@
 		});
 	}
 
-	/** For how many milliseconds the row is certain to have stood as it was found by a read that was sent at `sentAt`. */
+	/** For how many milliseconds the row, as a read sent at `sentAt` found it, is certain to have been unchanged. */
 	#unchangedMilliseconds(era: number, revision: number, sentAt: Moment): number {
 		if (this.#unchanged?.era !== era || this.#unchanged.revision !== revision) {
 			this.#unchanged = {era, revision, since: this.#dependencies.clock.moment().steady};
--- a/src/gateway/weights/weight-rollout.test.ts
+++ b/src/gateway/weights/weight-rollout.test.ts
@@ -131,8 +131,8 @@
 
 test('most engines have their weights in time, and the others a load later, though the holder of the lease is paused', async () => {
 	// Weights are named; the instance that orders engines to load them is paused right after its first orders. Until another
-	// one holds the lease, most of the switchover time has passed; at the usual pace the last engines would get their orders
-	// seconds after its end, and stand idle until then. Half of the engines serve all the time.
+	// one holds the lease, most of the switchover time has passed; at the usual rate the last engines would get their orders
+	// seconds after its end, and be idle until then. Half of the engines serve all the time.
 	const boundMilliseconds = 6000;
 	const {clock, engines, stepAll} = startRollouts(boundMilliseconds);
 	while (engines.orders.length === 0) {
--- a/src/gateway/weights/weight-rollout.ts
+++ b/src/gateway/weights/weight-rollout.ts
@@ -27,8 +27,8 @@
  */
 const spreadPerInstanceMilliseconds = 10;
 /**
- * How long a grant lasts. A holder that is paused right after a renewal keeps all others out for this time and a lease, out of
- * the time in which engines must have their weights; each renewal costs two calls to the store.
+ * How long a grant lasts. A holder that is paused right after a renewal keeps all others out for this time plus the time of a
+ * lease, out of the time in which engines must have their weights; each renewal costs two calls to the store.
  */
 const grantMilliseconds = 600;
 /** A grant with less than this left is renewed before the next order. */
@@ -161,7 +161,7 @@
 		}
 
 		if (isBusy) {
-			// It executes an order of the holder before.
+			// It executes an order of the previous holder.
 			this.#noteLoading(engine);
 			return;
 		}
