--- a/src/gateway/coordinator/coordinator-client.test.ts
+++ b/src/gateway/coordinator/coordinator-client.test.ts
@@ -29,11 +29,11 @@
  * clock of its own. Each answer arrives `roundTripMilliseconds` of that clock after its query.
  */
 async function startFakeCoordinator(context: TestContext, waitMilliseconds = foreverMilliseconds) {
-	const played = {
+	const fake = {
 		now: 1000, roundTripMilliseconds: 1, isUnresponsive: false, received: [] as FollowerFrame[], address: '',
 	};
 	const clock: MomentClock = {
-		moment: () => ({steady: played.now, wall: played.now}),
+		moment: () => ({steady: fake.now, wall: fake.now}),
 		async sleep() {
 			// No code under test sleeps.
 		},
@@ -41,7 +41,7 @@
 	const sockets = new Set<Socket>();
 	const answer = (socket: Socket, number: number): void => {
 		const frame: CoordinatorFrame = {
-			...emptyAnswer, number, loads: {e1: [played.received.length, 0, 0, 0, 0, 0, 0]},
+			...emptyAnswer, number, loads: {e1: [fake.received.length, 0, 0, 0, 0, 0, 0]},
 		};
 		socket.write(encodeFrame(frame));
 	};
@@ -51,16 +51,16 @@
 		sockets.add(socket);
 		socket.on('data', bytes => {
 			for (const frame of reader.read(Buffer.from(bytes)).unsafeCoerce() as FollowerFrame[]) {
-				played.received.push(frame);
-				if (frame.kind === 'ask' && !played.isUnresponsive) {
-					played.now += played.roundTripMilliseconds;
+				fake.received.push(frame);
+				if (frame.kind === 'ask' && !fake.isUnresponsive) {
+					fake.now += fake.roundTripMilliseconds;
 					answer(socket, frame.number);
 				}
 			}
 		});
 	}).listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	played.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+	fake.address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
 	const view = new CoordinatorView();
 	const client = new CoordinatorClient(view, testFollower({
 		closed() {
@@ -74,14 +74,14 @@
 			socket.destroy();
 		}
 	});
-	const meet = async (): Promise<void> => {
-		client.dial(played.address);
+	const connect = async (): Promise<void> => {
+		client.dial(fake.address);
 		client.poll();
 		await until(() => view.isFresh(clock.moment()));
 	};
 
 	return {
-		played, view, client, clock, meet,
+		fake, view, client, clock, connect,
 	};
 }
 
@@ -96,37 +96,37 @@
 test('the view is fresh when a prompt is placed, and the placement is reported at once', async context => {
 	// Callers arrive in bursts. With a view that is some hundred milliseconds old, all instances choose the engine that looked
 	// idle then, and it gets a second's worth of prompts to prefill.
-	const {played, view, client, clock, meet} = await startFakeCoordinator(context);
-	await meet();
+	const {fake, view, client, clock, connect} = await startFakeCoordinator(context);
+	await connect();
 	for (let use = 0; use < 3; use++) {
-		const receivedBefore = played.received.length;
+		const receivedBefore = fake.received.length;
 		await client.refresh(emptyQuery);
 		assert.equal(view.peerLoadAt('e1', clock.moment())?.requests, receivedBefore + 1);
 		client.report();
-		await until(() => played.received.length === receivedBefore + 2);
-		assert.equal(played.received.at(-1)?.kind, 'tell');
+		await until(() => fake.received.length === receivedBefore + 2);
+		assert.equal(fake.received.at(-1)?.kind, 'tell');
 	}
 });
 
 test('no caller waits for a coordinator that is not connected, unresponsive, or far away', async context => {
-	const {played, client, meet} = await startFakeCoordinator(context);
+	const {fake, client, connect} = await startFakeCoordinator(context);
 	await client.refresh(emptyQuery);
-	await meet();
-	played.isUnresponsive = true;
-	played.now += 600;
+	await connect();
+	fake.isUnresponsive = true;
+	fake.now += 600;
 	await client.refresh(emptyQuery);
-	assert.equal(played.received.length, 1);
-	played.isUnresponsive = false;
-	played.roundTripMilliseconds = 160;
-	await meet();
+	assert.equal(fake.received.length, 1);
+	fake.isUnresponsive = false;
+	fake.roundTripMilliseconds = 160;
+	await connect();
 	await client.refresh(emptyQuery);
-	assert.equal(played.received.length, 2);
+	assert.equal(fake.received.length, 2);
 });
 
 test('a caller that waits for an answer is resumed when the connection closes', async context => {
-	const {played, client, meet} = await startFakeCoordinator(context);
-	await meet();
-	played.isUnresponsive = true;
+	const {fake, client, connect} = await startFakeCoordinator(context);
+	await connect();
+	fake.isUnresponsive = true;
 	const waiting = client.refresh(emptyQuery);
 	client.close();
 	await waiting;
@@ -136,19 +136,19 @@
 	// Guards against instances without each other's loads for the seconds until another one may be the coordinator.
 	const coordinator = await startFakeCoordinator(context, 50);
 	const standby = await startFakeCoordinator(context);
-	await coordinator.meet();
-	await standby.meet();
+	await coordinator.connect();
+	await standby.connect();
 	const sources = new PeerUpdateSources([coordinator.client, standby.client]);
 	await sources.refresh(emptyQuery);
-	assert.deepEqual([coordinator.played.received.length, standby.played.received.length], [2, 1]);
-	coordinator.played.isUnresponsive = true;
+	assert.deepEqual([coordinator.fake.received.length, standby.fake.received.length], [2, 1]);
+	coordinator.fake.isUnresponsive = true;
 	await sources.refresh(emptyQuery);
-	assert.deepEqual([coordinator.played.received.length, standby.played.received.length], [3, 2]);
-	coordinator.played.now += 600;
+	assert.deepEqual([coordinator.fake.received.length, standby.fake.received.length], [3, 2]);
+	coordinator.fake.now += 600;
 	await sources.refresh(emptyQuery);
 	sources.report();
-	await until(() => standby.played.received.length === 4);
-	assert.deepEqual([coordinator.played.received.length, standby.played.received.at(-1)?.kind], [3, 'tell']);
+	await until(() => standby.fake.received.length === 4);
+	assert.deepEqual([coordinator.fake.received.length, standby.fake.received.at(-1)?.kind], [3, 'tell']);
 });
 
 /** A coordinator that sends an answer five times a second. */
--- a/src/gateway/coordinator/coordinator-pair.test.ts
+++ b/src/gateway/coordinator/coordinator-pair.test.ts
@@ -51,9 +51,9 @@
 }
 
 async function until(what: string, isTrue: () => boolean, withinMilliseconds: number): Promise<void> {
-	const giveUpAt = clock.moment().steady + withinMilliseconds;
+	const deadline = clock.moment().steady + withinMilliseconds;
 	while (!isTrue()) {
-		assert.ok(clock.moment().steady < giveUpAt, `not in time: ${what}`);
+		assert.ok(clock.moment().steady < deadline, `not in time: ${what}`);
 		await pause(10);
 	}
 }
@@ -134,8 +134,8 @@
 		return (read.unsafeCoerce()?.value as {holder: string} | undefined)?.holder;
 	};
 
-	const giveUpAt = clock.moment().steady + 8000;
-	while (await readStandby() === undefined && clock.moment().steady < giveUpAt) {
+	const deadline = clock.moment().steady + 8000;
+	while (await readStandby() === undefined && clock.moment().steady < deadline) {
 		await pause(20);
 	}
 
