--- a/src/adapters/answer-size.test.ts
+++ b/src/adapters/answer-size.test.ts
@@ -41,8 +41,8 @@
 }
 
 for (const [name, call] of Object.entries(calls)) {
-	for (const [rest, {status, write}] of Object.entries(serverBehaviours)) {
-		test(`a call to ${name} that ${rest} ends within its limits`, async t => {
+	for (const [behaviour, {status, write}] of Object.entries(serverBehaviours)) {
+		test(`a call to ${name} that ${behaviour} ends within its limits`, async t => {
 			// Guards against an instance that runs out of memory or waits forever because an answer never ends.
 			let sent = 0;
 			const server = await startScriptedServer(t, socket => {
--- a/src/entry/cache/block-saver.ts
+++ b/src/entry/cache/block-saver.ts
@@ -164,13 +164,13 @@
 	 * which the store never returns to a reader.
 	 */
 	async #write(storeAddress: string, pieceKey: string, content: Buffer): Promise<CacheStoreFailure | undefined> {
-		const piece = {pieceKey, generation: randomUUID()};
-		const written = await this.#stores.write(storeAddress, piece, content);
+		const block = {pieceKey, generation: randomUUID()};
+		const written = await this.#stores.write(storeAddress, block, content);
 		if (written.isLeft()) {
 			return written.extract();
 		}
 
-		const sealed = await this.#stores.seal(storeAddress, piece, sealOf(content));
+		const sealed = await this.#stores.seal(storeAddress, block, sealOf(content));
 		return sealed.isLeft() ? sealed.extract() : undefined;
 	}
 
@@ -180,13 +180,13 @@
 	 */
 	async #freeSpace(storeAddress: string): Promise<void> {
 		const oldest = await this.#stores.leastRecentlyUsed(storeAddress, blocksFreedAtOnce);
-		for (const {piece} of oldest.orDefault([])) {
-			await this.#stores.free(storeAddress, piece);
+		for (const {piece: block} of oldest.orDefault([])) {
+			await this.#stores.free(storeAddress, block);
 		}
 	}
 
-	#reportNotSaved(pieces: number, reason: SaveOutcome | 'queue'): void {
-		this.#context.metrics.report('kept.pieces_not_saved', pieces, {reason});
+	#reportNotSaved(count: number, reason: SaveOutcome | 'queue'): void {
+		this.#context.metrics.report('kept.pieces_not_saved', count, {reason});
 	}
 
 	async #nextArrival(signal: AbortSignal): Promise<void> {
--- a/src/entry/cache/cache-event-reader.ts
+++ b/src/entry/cache/cache-event-reader.ts
@@ -75,59 +75,59 @@
 
 	/** An engine that did not answer in time for one prompt is not queried for the next, so that only one prompt waits. */
 	#shouldQuery(name: string, now: number): boolean {
-		const reading = this.#readStates.get(name);
-		if (reading === undefined) {
+		const readState = this.#readStates.get(name);
+		if (readState === undefined) {
 			return true;
 		}
 
-		const isUnresponsive = reading.inFlight !== undefined && now - reading.queriedAt >= confirmTimeoutMilliseconds;
-		return !isUnresponsive && !reading.hasFailed && now - reading.answeredAt >= minReadIntervalMilliseconds;
+		const isUnresponsive = readState.inFlight !== undefined && now - readState.queriedAt >= confirmTimeoutMilliseconds;
+		return !isUnresponsive && !readState.hasFailed && now - readState.answeredAt >= minReadIntervalMilliseconds;
 	}
 
 	/** Sends at most one query at a time to an engine; concurrent callers share its answer. */
 	async #read(engine: EndpointView): Promise<void> {
-		const reading = this.#readStateOf(engine);
-		reading.inFlight ??= this.#query(engine, reading);
-		await reading.inFlight;
+		const readState = this.#readStateOf(engine);
+		readState.inFlight ??= this.#query(engine, readState);
+		await readState.inFlight;
 	}
 
-	async #query({name, address}: EndpointView, reading: EngineReadState): Promise<void> {
+	async #query({name, address}: EndpointView, readState: EngineReadState): Promise<void> {
 		const {clock, engine} = this.#context;
-		reading.queriedAt = clock.now();
+		readState.queriedAt = clock.now();
 		const events = await engine.cacheEvents(address, this.#prefixes.lastSequenceOf(name)).finally(() => {
-			reading.inFlight = undefined;
+			readState.inFlight = undefined;
 		});
 		// If the engine was replaced during the query, the answer has the sequence numbers of the old engine. Applied, it would
 		// hide the events of the new engine, which numbers them from the start.
-		if (this.#readStates.get(name) !== reading) {
+		if (this.#readStates.get(name) !== readState) {
 			return;
 		}
 
-		reading.hasFailed = events.isLeft();
+		readState.hasFailed = events.isLeft();
 		events.ifRight(found => {
-			reading.answeredAt = clock.now();
+			readState.answeredAt = clock.now();
 			this.#prefixes.applyEvents(name, found);
 		});
 	}
 
 	/** An engine that returned at another address has an empty cache, and numbers its events from the start. */
 	#readStateOf({name, address, load}: EndpointView): EngineReadState {
-		let reading = this.#readStates.get(name);
-		if (reading?.address !== address) {
-			if (reading !== undefined) {
+		let readState = this.#readStates.get(name);
+		if (readState?.address !== address) {
+			if (readState !== undefined) {
 				this.#prefixes.removeHolder(name);
 			}
 
-			reading = {
+			readState = {
 				address, queriedAt: 0, answeredAt: 0, hasFailed: false, inFlight: undefined,
 			};
-			this.#readStates.set(name, reading);
+			this.#readStates.set(name, readState);
 		}
 
 		if (load !== undefined && load.kvTokensCapacity > 0) {
 			this.#prefixes.setCapacity(name, Math.max(1, Math.floor(load.kvTokensCapacity / blockTokens)));
 		}
 
-		return reading;
+		return readState;
 	}
 }
--- a/src/entry/cache/cached-context.test.ts
+++ b/src/entry/cache/cached-context.test.ts
@@ -36,15 +36,15 @@
 	storeStandIn: StandIn;
 	route: RouteRequest;
 	/** Creates an instance, which shares only the store with other instances. */
-	instance(): {kept: StoreCachedContext; saver: BlockSaver; prefixes: CachedPrefixes; reader: CacheEventReader};
+	instance(): {cachedContext: StoreCachedContext; saver: BlockSaver; prefixes: CachedPrefixes; reader: CacheEventReader};
 	/** Sends the prompt, or another one; returns how many of its tokens were cached. */
 	cachedTokensAt(endpoint: EndpointView, sent?: string): Promise<number>;
 };
 
-async function createScene(context: TestContext, {room = 100 * blockBytes, engineBlocks = 100} = {}): Promise<Scene> {
+async function createScene(context: TestContext, {capacityBytes = 100 * blockBytes, engineBlocks = 100} = {}): Promise<Scene> {
 	const entry = new TestEntry();
 	const engine = new HttpModelEngine();
-	const store = new CacheStoreStandIn(room);
+	const store = new CacheStoreStandIn(capacityBytes);
 	const storeStandIn = await startStandIn(store, here);
 	const engines = ['w1', 'w1'].map(weightVersion => new ModelEngineStandIn({
 		model: 'permit-1', weightVersion, prefillTokensPerSecond: 1_000_000, millisecondsPerToken: 0, cachePieces: engineBlocks, batchLimit: 8,
@@ -82,12 +82,12 @@
 			const own = {...entry.context, engine};
 			const saver = new BlockSaver(own, stores, prefixes);
 			const reader = new CacheEventReader(own, prefixes);
-			const kept = new StoreCachedContext(own, {
+			const cachedContext = new StoreCachedContext(own, {
 				prefixes, stores, reader, saver, links: new Map<string, LinkEstimate>(),
 			});
-			kept.applyList([listed]);
+			cachedContext.applyList([listed]);
 			return {
-				kept, saver, prefixes, reader,
+				cachedContext, saver, prefixes, reader,
 			};
 		},
 		async cachedTokensAt(endpoint, sent = prompt) {
@@ -114,10 +114,10 @@
 }
 
 async function transferToSecond(scene: Scene): Promise<void> {
-	const {kept} = scene.instance();
-	const found = await kept.find(scene.route.pieceKeys);
+	const {cachedContext} = scene.instance();
+	const found = await cachedContext.find(scene.route.pieceKeys);
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
-	await kept.transfer({
+	await cachedContext.transfer({
 		plan, found, endpoint: scene.second, route: scene.route,
 	}, new LeastLoadedPolicy());
 }
@@ -141,15 +141,15 @@
 test('a block that was freed between the query and the read is prefilled again', async context => {
 	const scene = await createScene(context);
 	await saveToStore(scene);
-	const {kept} = scene.instance();
-	const found = await kept.find(scene.route.pieceKeys);
+	const {cachedContext} = scene.instance();
+	const found = await cachedContext.find(scene.route.pieceKeys);
 	const stores = new HttpCacheStore();
-	for (const {piece} of found!.pieces) {
-		await stores.free(scene.storeStandIn.address, piece);
+	for (const {piece: block} of found!.pieces) {
+		await stores.free(scene.storeStandIn.address, block);
 	}
 
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
-	await kept.transfer({
+	await cachedContext.transfer({
 		plan, found, endpoint: scene.second, route: scene.route,
 	}, new LeastLoadedPolicy());
 	assert.equal(await scene.cachedTokensAt(scene.second), 0);
@@ -158,16 +158,16 @@
 test('a prompt is answered although its store has failed, and the failed store is queried only once', async context => {
 	const scene = await createScene(context);
 	await scene.storeStandIn.close();
-	const {kept} = scene.instance();
-	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
+	const {cachedContext} = scene.instance();
+	assert.equal(await cachedContext.find(scene.route.pieceKeys), undefined);
 	const before = performance.now();
-	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
+	assert.equal(await cachedContext.find(scene.route.pieceKeys), undefined);
 	assert.ok(performance.now() - before < 50, 'the second prompt did not wait');
 	assert.equal(await scene.cachedTokensAt(scene.second), 0);
 });
 
 test('in a full store the least recently used blocks are freed, and the new blocks are saved', async context => {
-	const scene = await createScene(context, {room: 2 * blockBytes});
+	const scene = await createScene(context, {capacityBytes: 2 * blockBytes});
 	const stores = new HttpCacheStore();
 	const {saver} = scene.instance();
 	await scene.cachedTokensAt(scene.first);
@@ -190,12 +190,12 @@
 	await engine.order(scene.second.address, {
 		orderId: 'order-1', fencingNumber: 1, action: {kind: 'load-version', model: 'permit-1', weightVersion: 'w2'},
 	});
-	const {kept} = scene.instance();
-	const found = await kept.find(scene.route.pieceKeys);
+	const {cachedContext} = scene.instance();
+	const found = await cachedContext.find(scene.route.pieceKeys);
 	const imported = await engine.importBlock(scene.second.address, {pieceKey: scene.route.pieceKeys[0]!, weightVersion: 'w1'}, Buffer.from('{"blocks":[]}'));
 	assert.deepEqual(imported.extract(), {kind: 'version-swapped', weightVersion: 'w2'});
 	const plan = {store: 'store-1', pieceKeys: scene.route.pieceKeys};
-	await kept.transfer({
+	await cachedContext.transfer({
 		plan, found, endpoint: scene.second, route: scene.route,
 	}, new LeastLoadedPolicy());
 	const stored = await engine.cacheEvents(scene.second.address, 0);
@@ -208,13 +208,13 @@
 	// prefilled again; instead its blocks are found in the store.
 	const scene = await createScene(context, {engineBlocks});
 	await saveToStore(scene);
-	const {kept, prefixes, reader} = scene.instance();
+	const {cachedContext, prefixes, reader} = scene.instance();
 	scene.entry.reportEngine(scene.first.name);
 	await reader.readAll();
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), blocks);
 	await scene.cachedTokensAt(scene.first, 'harbour '.repeat(prompt.length / 8));
 	scene.entry.clock.advance(1000);
-	const found = await kept.find(scene.route.pieceKeys);
+	const found = await cachedContext.find(scene.route.pieceKeys);
 	assert.equal(found?.pieces.length, blocks);
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), 1);
 });
@@ -222,9 +222,9 @@
 test('the store is not queried if an engine still has the whole prompt cached', async context => {
 	const scene = await createScene(context);
 	await saveToStore(scene);
-	const {kept, prefixes} = scene.instance();
+	const {cachedContext, prefixes} = scene.instance();
 	prefixes.add(scene.first.name, scene.route.pieceKeys);
-	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
+	assert.equal(await cachedContext.find(scene.route.pieceKeys), undefined);
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), blocks);
 });
 
@@ -233,18 +233,18 @@
 	// the events read before. The next prompt does not wait.
 	const scene = await createScene(context);
 	await saveToStore(scene);
-	const {kept, prefixes} = scene.instance();
+	const {cachedContext, prefixes} = scene.instance();
 	prefixes.add(scene.first.name, scene.route.pieceKeys);
 	scene.engines[0]!.faults.slowMilliseconds = 500;
 	const findPrompt = async (): Promise<FoundBlocks | undefined> => {
-		const found = await kept.find(scene.route.pieceKeys);
+		const found = await cachedContext.find(scene.route.pieceKeys);
 		return found;
 	};
 
 	const waiting = findPrompt();
 	scene.entry.clock.advance(100);
 	assert.equal(await waiting, undefined);
-	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
+	assert.equal(await cachedContext.find(scene.route.pieceKeys), undefined);
 	assert.equal(prefixes.leadingBlocks(scene.route.pieceKeys).get(scene.first.name), blocks);
 });
 
@@ -252,12 +252,12 @@
 	// The store is busy when the prompt arrives, so the prompt is prefilled and the next prompts do not wait for the store.
 	// When the first token arrives the store answers again: the blocks are saved there, and are found when the prompt returns.
 	const scene = await createScene(context);
-	const {kept, saver} = scene.instance();
+	const {cachedContext, saver} = scene.instance();
 	scene.store.faults.slowMilliseconds = 300;
-	assert.equal(await kept.find(scene.route.pieceKeys), undefined);
+	assert.equal(await cachedContext.find(scene.route.pieceKeys), undefined);
 	scene.store.faults.slowMilliseconds = 0;
 	await scene.cachedTokensAt(scene.first);
-	kept.prefilled(scene.route, scene.first);
+	cachedContext.prefilled(scene.route, scene.first);
 	const stop = new AbortController();
 	const running = saver.run(stop.signal);
 	const deadline = performance.now() + 5000;
--- a/src/entry/cache/cached-context.ts
+++ b/src/entry/cache/cached-context.ts
@@ -118,11 +118,11 @@
 				prefixes.remove(store, pieceKeys);
 				return undefined;
 			},
-			Right: pieces => {
+			Right: blocks => {
 				this.#backoff.noteAnswer(store);
-				prefixes.add(store, pieceKeys.slice(0, pieces.length));
-				prefixes.remove(store, pieceKeys.slice(pieces.length));
-				return {store, pieces};
+				prefixes.add(store, pieceKeys.slice(0, blocks.length));
+				prefixes.remove(store, pieceKeys.slice(blocks.length));
+				return {store, pieces: blocks};
 			},
 		});
 	}
@@ -131,7 +131,7 @@
 		const {clock, metrics, timeline} = this.#context;
 		const {plan, endpoint, route} = transfer;
 		const startedAt = clock.now();
-		const pieces = await this.#transferInOrder(transfer, startedAt);
+		const transferred = await this.#transferInOrder(transfer, startedAt);
 		const now = clock.now();
 		policy.observe({
 			kind: 'fetched',
@@ -139,13 +139,13 @@
 			requestId: route.requestId,
 			store: plan.store,
 			pieceKeys: plan.pieceKeys,
-			pieces,
+			pieces: transferred,
 			afterMilliseconds: now - startedAt,
 			linkMilliseconds: now - startedAt,
 		}, now);
-		metrics.report('kept.pieces_fetched', pieces);
+		metrics.report('kept.pieces_fetched', transferred);
 		timeline.record({
-			kind: 'piece-read', at: now, requestId: route.requestId, workspace: route.workspace, endpoint: endpoint.name, detail: `${pieces} of ${plan.pieceKeys.length} from ${plan.store}`,
+			kind: 'piece-read', at: now, requestId: route.requestId, workspace: route.workspace, endpoint: endpoint.name, detail: `${transferred} of ${plan.pieceKeys.length} from ${plan.store}`,
 		});
 	}
 
@@ -181,7 +181,7 @@
 		const timeoutMilliseconds = timeoutMarginMilliseconds + (timeoutFactor * (link?.fetchMilliseconds(plan.pieceKeys.length, startedAt) ?? 0));
 		let transferred = 0;
 		for (const pieceKey of plan.pieceKeys) {
-			const stored = found.pieces.find(({piece}) => piece.pieceKey === pieceKey);
+			const stored = found.pieces.find(({piece: block}) => block.pieceKey === pieceKey);
 			if (stored === undefined || clock.now() - startedAt > timeoutMilliseconds || !await this.#transferOne(stored, {store: plan.store, address}, endpoint)) {
 				break;
 			}
@@ -192,8 +192,8 @@
 		return transferred;
 	}
 
-	async #transferOne({piece, seal}: SealedBlock, {store, address}: {store: string; address: string}, endpoint: EndpointView): Promise<boolean> {
-		const read = await this.#dependencies.stores.read(address, piece, seal);
+	async #transferOne({piece: block, seal}: SealedBlock, {store, address}: {store: string; address: string}, endpoint: EndpointView): Promise<boolean> {
+		const read = await this.#dependencies.stores.read(address, block, seal);
 		if (read.isLeft()) {
 			const {kind} = read.extract() as {kind: string};
 			if (kind === 'unavailable') {
@@ -203,13 +203,13 @@
 			return false;
 		}
 
-		const imported = await this.#context.engine.importBlock(endpoint.address, {pieceKey: piece.pieceKey, weightVersion: endpoint.weightVersion}, read.unsafeCoerce());
+		const imported = await this.#context.engine.importBlock(endpoint.address, {pieceKey: block.pieceKey, weightVersion: endpoint.weightVersion}, read.unsafeCoerce());
 		return imported.isRight();
 	}
 
 	#isCachedByAnEngine(pieceKeys: readonly string[]): boolean {
 		const {prefixes, links} = this.#dependencies;
-		return [...prefixes.leadingBlocks(pieceKeys)].some(([name, pieces]) => !links.has(name) && pieces === pieceKeys.length);
+		return [...prefixes.leadingBlocks(pieceKeys)].some(([name, blocks]) => !links.has(name) && blocks === pieceKeys.length);
 	}
 }
 
--- a/src/entry/callers/caller-routes.ts
+++ b/src/entry/callers/caller-routes.ts
@@ -104,12 +104,12 @@
 
 		const {limits} = this.#context.configuration.state;
 		const body = await readBody(request, limits.get('body-bytes')?.value ?? defaultBodyLimitBytes);
-		const understood = entered.chain(workspace =>
+		const parsed = entered.chain(workspace =>
 			body.chain(bytes => parseCompletionRequest(shape, bytes))
 				.chain(completion => this.#modelServiceOf(workspace, completion.model)
 					.map(service => ({workspace, completion, service}))));
-		if (understood.isLeft()) {
-			sendRefusal(response, understood.extract());
+		if (parsed.isLeft()) {
+			sendRefusal(response, parsed.extract());
 			return;
 		}
 
@@ -117,7 +117,7 @@
 			return;
 		}
 
-		const {workspace, completion, service} = understood.unsafeCoerce();
+		const {workspace, completion, service} = parsed.unsafeCoerce();
 		const cancellation = new AbortController();
 		const job = this.#jobOf({workspace, completion, service}, {request, arrivedAt, signal: cancellation.signal});
 		const {requestId, priority} = job.route;
@@ -185,8 +185,8 @@
 		metrics.report('request.refused', 1, {reason: refusal.reason, ran: refusal.ran});
 	}
 
-	#jobOf(understood: ParsedCompletion, exchange: ArrivedExchange): CompletionJob {
-		const {workspace, completion, service} = understood;
+	#jobOf(parsed: ParsedCompletion, exchange: ArrivedExchange): CompletionJob {
+		const {workspace, completion, service} = parsed;
 		const {request, arrivedAt, signal} = exchange;
 		const rule = requestRule(this.#context.configuration.state, {
 			workspace,
@@ -237,11 +237,11 @@
 	/** Authenticates the caller and counts its request as open, before any of the body is read. */
 	#enter({request, response}: NodeExchange): Either<Refusal, WorkspaceItem> {
 		const {limits} = this.#context.configuration.state;
-		return this.#workspaceOf(request).chain(workspace => this.#open.acquire(workspace.name, limits).map(leave => {
+		return this.#workspaceOf(request).chain(workspace => this.#open.acquire(workspace.name, limits).map(release => {
 			const {metrics} = this.#context;
 			metrics.report('request.open', this.#open.total);
 			response.once('close', () => {
-				leave();
+				release();
 				metrics.report('request.open', this.#open.total);
 			});
 			return workspace;
--- a/src/entry/callers/completion-runner.ts
+++ b/src/entry/callers/completion-runner.ts
@@ -18,7 +18,7 @@
 import {failedPromptRefusal} from './failed-prompt-refusal.js';
 import {StreamWatchdogs} from './stream-watchdog.js';
 
-const attemptLimit = 4;
+const maxAttempts = 4;
 const failedRetryMilliseconds = 1000;
 
 /** State of a prompt across its attempts. */
@@ -58,7 +58,7 @@
 		};
 		const pieceKeys = this.#blockKeys(job);
 		const found = await this.#dependencies.cachedContext.find(pieceKeys);
-		for (let count = 0; count < attemptLimit && !job.signal.aborted; count++) {
+		for (let count = 0; count < maxAttempts && !job.signal.aborted; count++) {
 			const route = {...job.route, avoid: progress.avoid, pieceKeys};
 			const choice = this.#policy.choose(route, this.#endpointsFor(job, progress), this.#context.clock.now());
 			if (choice.kind === 'none') {
--- a/src/entry/callers/completion-writer.ts
+++ b/src/entry/callers/completion-writer.ts
@@ -35,7 +35,7 @@
 	readonly #request: CompletionRequest;
 	readonly #head: {id: string; object: string; created: number; model: string};
 	/** The text of a streamed event before and after the token; built once, since it is the same for every token. */
-	readonly #frame: [before: string, behind: string];
+	readonly #frame: [before: string, after: string];
 	#text = '';
 
 	constructor(response: ServerResponse, request: CompletionRequest, identity: CompletionIdentity) {
@@ -58,9 +58,9 @@
 			return;
 		}
 
-		const [before, behind] = this.#frame;
+		const [before, after] = this.#frame;
 		this.#startStream();
-		const hasRoom = this.#response.write(before + JSON.stringify(text) + behind);
+		const hasRoom = this.#response.write(before + JSON.stringify(text) + after);
 		if (!hasRoom && !this.#response.destroyed) {
 			await Promise.race([once(this.#response, 'drain'), once(this.#response, 'close')]);
 		}
--- a/src/entry/callers/plain-route.ts
+++ b/src/entry/callers/plain-route.ts
@@ -21,7 +21,7 @@
 const defaultBodyLimitBytes = 1_048_576;
 const retryDelayMilliseconds = 2000;
 const callTimeoutMilliseconds = 30_000;
-const attemptLimit = 3;
+const maxAttempts = 3;
 const maxKeyCharacters = 255;
 const idempotentMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']);
 const pathPattern = /^\/services\/(?<service>[^\/?]+)(?<rest>\/.*)?$/v;
@@ -56,9 +56,9 @@
 		const service = services.get(parts?.service ?? '') as PlainServiceItem;
 
 		const body = await readBody(request, limits.get('body-bytes')?.value ?? defaultBodyLimitBytes);
-		const understood = keyOf(request).chain(idempotencyKey => body.map(bytes => ({idempotencyKey, bytes})));
-		if (understood.isLeft()) {
-			sendRefusal(response, understood.extract());
+		const parsed = keyOf(request).chain(idempotencyKey => body.map(bytes => ({idempotencyKey, bytes})));
+		if (parsed.isLeft()) {
+			sendRefusal(response, parsed.extract());
 			return;
 		}
 
@@ -66,7 +66,7 @@
 			return;
 		}
 
-		const {idempotencyKey, bytes} = understood.unsafeCoerce();
+		const {idempotencyKey, bytes} = parsed.unsafeCoerce();
 		const plainRequest = {
 			workspace, service, call: callOf(request, parts?.rest ?? '/', bytes), idempotencyKey,
 		};
@@ -76,14 +76,14 @@
 			requestId, workspace: workspace.name, service: service.name, priority: workspace.priority, arrivedAt: clock.now(),
 		});
 		requests.admit(requestId);
-		answer(response, await this.#run(plainRequest, {version, hangUp: disconnectSignalOf(response)}));
+		answer(response, await this.#run(plainRequest, {version, disconnectSignal: disconnectSignalOf(response)}));
 		requests.end(requestId);
 	}
 
-	async #run(request: PlainRequest, {version, hangUp}: {version: number; hangUp: AbortSignal}): Promise<Either<Refusal, PlainAnswer>> {
+	async #run(request: PlainRequest, {version, disconnectSignal}: {version: number; disconnectSignal: AbortSignal}): Promise<Either<Refusal, PlainAnswer>> {
 		const {workspace, service, call, idempotencyKey} = request;
 		if (idempotencyKey === undefined || !needsClaim(service, call)) {
-			const sent = await this.#send(request, hangUp);
+			const sent = await this.#send(request, disconnectSignal);
 			return sent.mapLeft(refusalOf);
 		}
 
@@ -124,7 +124,7 @@
 		const mayRetry = idempotentMethods.has(call.method) && !isAtMostOnce(service, call);
 		let mayHaveRun = false;
 		let sent: Either<PlainFailure, PlainAnswer> = Left({kind: 'not-sent', detail: 'no endpoint is live'});
-		for (const {address} of endpoints.plainEndpointsOf(service.name, settings.dataCentre, clock.now()).slice(0, attemptLimit)) {
+		for (const {address} of endpoints.plainEndpointsOf(service.name, settings.dataCentre, clock.now()).slice(0, maxAttempts)) {
 			sent = await plain.call(address, call, signal);
 			const failure = sent.isLeft() ? sent.extract() : undefined;
 			if (failure === undefined || (failure.kind === 'outcome-unknown' && !mayRetry)) {
--- a/src/entry/callers/stream-watchdog.ts
+++ b/src/entry/callers/stream-watchdog.ts
@@ -64,7 +64,7 @@
 /** Checks all streams of an instance in one loop. A timer for each stream cost more than relaying a short answer. */
 export class StreamWatchdogs {
 	readonly #clock: Clock;
-	readonly #watched = new Map<StreamWatchdog, (silent: StreamSide) => void>();
+	readonly #watched = new Map<StreamWatchdog, (side: StreamSide) => void>();
 	readonly #neverAborted = new AbortController().signal;
 	#isChecking = false;
 
@@ -73,7 +73,7 @@
 	}
 
 	/** Watches a stream until `remove`; the callback is called at most once, with the unresponsive side. */
-	add(watchdog: StreamWatchdog, onUnresponsive: (silent: StreamSide) => void): void {
+	add(watchdog: StreamWatchdog, onUnresponsive: (side: StreamSide) => void): void {
 		this.#watched.set(watchdog, onUnresponsive);
 		if (!this.#isChecking) {
 			this.#isChecking = true;
--- a/src/entry/operators/command-runner.ts
+++ b/src/entry/operators/command-runner.ts
@@ -30,7 +30,7 @@
 
 	async run(confirmed: ConfirmedCommand): Promise<StatementAnswer> {
 		const {table, clock, identity, timeline} = this.#context;
-		const {plan, author, command: act, reason} = confirmed;
+		const {plan, author, command, reason} = confirmed;
 		if (plan.kind === 'cancel' && !this.#isHere(plan.requestId)) {
 			return {kind: 'not-done', instance: identity.instance, lines: [`${identity.instance} serves no request ${plan.requestId}`]};
 		}
@@ -38,7 +38,7 @@
 		const at = clock.now();
 		const key = commandKeyOf(at);
 		const record: CommandRecord = {
-			at, author, act, reason, instance: identity.instance, outcome: 'asked',
+			at, author, act: command, reason, instance: identity.instance, outcome: 'asked',
 		};
 		const recorded = await writeCommandRecord(table, key, record);
 		if (recorded.isLeft()) {
@@ -47,7 +47,7 @@
 
 		const outcome = plan.kind === 'cancel' ? this.#cancel(plan.requestId) : await this.#change(confirmed, plan);
 		await completeCommandRecord(table, key, {...record, outcome: `${outcome.kind}: ${outcome.lines[0]!}`});
-		timeline.record({kind: 'operator-act', at: clock.now(), detail: `${author}: ${act} (${outcome.kind})`});
+		timeline.record({kind: 'operator-act', at: clock.now(), detail: `${author}: ${command} (${outcome.kind})`});
 		return {...outcome, instance: identity.instance};
 	}
 
@@ -66,11 +66,11 @@
 		return {kind: outcome === 'cancelled' ? 'done' : 'not-done', lines: [line]};
 	}
 
-	async #change({author, command: act, reason}: ConfirmedCommand, plan: CommandPlan & {kind: 'change'}): Promise<Outcome> {
+	async #change({author, command, reason}: ConfirmedCommand, plan: CommandPlan & {kind: 'change'}): Promise<Outcome> {
 		const {plannedAgainst, edits} = plan;
 		const before = this.#context.configuration.state;
 		const accepted = await proposeChange(this.#context, {
-			plannedAgainst, edits, author, reason: `${act}: ${reason}`,
+			plannedAgainst, edits, author, reason: `${command}: ${reason}`,
 		});
 		return accepted.caseOf<Outcome>({
 			Left(failure) {
--- a/src/entry/peers/entry-peers.ts
+++ b/src/entry/peers/entry-peers.ts
@@ -60,9 +60,9 @@
 				memberChanged({name, status}) {
 					timeline.record({kind: status === 'alive' ? 'instance-seen' : 'instance-gone', at: clock.now(), detail: `${name} ${status}`});
 				},
-				ownershipChanged({acquired: taken, released}) {
-					if (taken > 0) {
-						timeline.record({kind: 'shard-taken', at: clock.now(), detail: `${taken} endpoints to watch`});
+				ownershipChanged({acquired, released}) {
+					if (acquired > 0) {
+						timeline.record({kind: 'shard-taken', at: clock.now(), detail: `${acquired} endpoints to watch`});
 					}
 
 					if (released > 0) {
--- a/src/entry/watchers/cache-event-watcher.ts
+++ b/src/entry/watchers/cache-event-watcher.ts
@@ -4,7 +4,7 @@
 import {type CacheEventReader} from '../cache/cache-event-reader.js';
 import {repeatJittered} from './repeat-jittered.js';
 
-const pollMilliseconds = 2000;
+const pollIntervalMilliseconds = 2000;
 
 export class CacheEventWatcher implements Child {
 	readonly name = 'cache-event-watcher';
@@ -19,7 +19,7 @@
 	}
 
 	async run(signal: AbortSignal): Promise<void> {
-		const interval = {clock: this.#context.clock, milliseconds: pollMilliseconds, random: this.#random};
+		const interval = {clock: this.#context.clock, milliseconds: pollIntervalMilliseconds, random: this.#random};
 		await repeatJittered(interval, signal, async () => this.#reader.readAll());
 	}
 }
--- a/src/peer/link/peer-service.test.ts
+++ b/src/peer/link/peer-service.test.ts
@@ -20,7 +20,7 @@
 const limitMilliseconds = 10_000;
 
 class RunningPeer {
-	readonly keeper = new VirtualConfiguration(() => Date.now());
+	readonly configuration = new VirtualConfiguration(() => Date.now());
 	readonly closed: string[] = [];
 	readonly service: PeerService;
 	address = '';
@@ -29,7 +29,8 @@
 
 	constructor(readonly name: string, versions: VersionRange = supportedVersions, seeds: string[] = [], secret = sharedSecret) {
 		this.service = new PeerService({
-			instance: name, dataCentre: 'split', listenAddress: '127.0.0.1:0', clock: systemClock, secret, versions, seeds, configuration: this.keeper, random: seededRandom(7), fanoutMode: 'announce',
+			instance: name, dataCentre: 'split', listenAddress: '127.0.0.1:0', clock: systemClock, secret, versions, seeds,
+			configuration: this.configuration, random: seededRandom(7), fanoutMode: 'announce',
 			listener: {
 				loadsReceived: () => undefined,
 				snapshotOffered: () => false,
@@ -95,10 +96,10 @@
 	const later = new RunningPeer('b', {least: 1, newest: 2});
 	await startTogether([old, later]);
 	await waitUntil(() => old.service.linked.length === 1 && later.service.linked.length === 1);
-	const change = changeOf(old.keeper.state, 1);
-	old.keeper.offerChange(change);
+	const change = changeOf(old.configuration.state, 1);
+	old.configuration.offerChange(change);
 	old.service.announceChange(change);
-	await waitUntil(() => later.keeper.state.version === 1);
+	await waitUntil(() => later.configuration.state.version === 1);
 	await Promise.all([old.stop(), later.stop()]);
 });
 
@@ -203,10 +204,10 @@
 	// and the instance queries the changes that it lacks.
 	const [first, second] = [new RunningPeer('a'), new RunningPeer('b')];
 	await startTogether([first, second]);
-	const change = changeOf(first.keeper.state, 1);
-	first.keeper.offerChange(change);
+	const change = changeOf(first.configuration.state, 1);
+	first.configuration.offerChange(change);
 	first.service.announceChange(change);
 	const late = await new RunningPeer('c', supportedVersions, [first.address]).start();
-	await waitUntil(() => late.keeper.state.version === 1 && late.service.linked.length === 2);
+	await waitUntil(() => late.configuration.state.version === 1 && late.service.linked.length === 2);
 	await Promise.all([first.stop(), second.stop(), late.stop()]);
 });
--- a/src/peer/membership/overlay.ts
+++ b/src/peer/membership/overlay.ts
@@ -44,23 +44,23 @@
 	}
 
 	const ring = own.toSorted((left, right) => left.nameHash - right.nameHash || (left.name < right.name ? -1 : 1));
-	const place = ring.findIndex(({name}) => name === self);
-	const cell = cellAt(ring, place);
-	const neighbours = [...cell, ...longLinks(ring, place), ...bridgeLinks(self, own, all)];
+	const position = ring.findIndex(({name}) => name === self);
+	const cell = cellAt(ring, position);
+	const neighbours = [...cell, ...longLinks(ring, position), ...bridgeLinks(self, own, all)];
 	return {neighbours: byName(neighbours), cell: byName(cell)};
 }
 
-function cellAt(ring: readonly Member[], place: number): Member[] {
+function cellAt(ring: readonly Member[], position: number): Member[] {
 	const cells = Math.ceil(ring.length / cellLimit);
 	const cellOf = (index: number): number => Math.floor(index * cells / ring.length);
-	return ring.filter((_, index) => index !== place && cellOf(index) === cellOf(place));
+	return ring.filter((_, index) => index !== position && cellOf(index) === cellOf(position));
 }
 
-function longLinks(ring: readonly Member[], place: number): Member[] {
+function longLinks(ring: readonly Member[], position: number): Member[] {
 	return [1, Math.round(ring.length * longLinkFraction)]
-		.flatMap(distance => [place + distance, place - distance + ring.length])
+		.flatMap(distance => [position + distance, position - distance + ring.length])
 		.map(index => ring[index % ring.length]!)
-		.filter(member => member !== ring[place]);
+		.filter(member => member !== ring[position]);
 }
 
 /** Bridges are chosen for each pair of data centres, so that no instance has the links to all other data centres. */
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -82,9 +82,9 @@
 	peers[0]!.configuration.offerChange(change);
 	network.send(peers[0]!, peers[0]!.node.announceChange(change));
 	network.run(3000);
-	assert.equal(peers.filter(({configuration: keeper}) => keeper.state.version === 1).length, 10);
+	assert.equal(peers.filter(({configuration}) => configuration.state.version === 1).length, 10);
 	network.cut(names(4, 'trogir').map(({name}) => name), '');
-	const back = network.runUntil(() => peers.every(({configuration: keeper, node}) => keeper.state.version === 1 && node.membership.allLive().length === 14), 20_000);
+	const back = network.runUntil(() => peers.every(({configuration, node}) => configuration.state.version === 1 && node.membership.allLive().length === 14), 20_000);
 	assert.notEqual(back, undefined);
 });
 
@@ -98,7 +98,7 @@
 		const change = changeOf(peers[5]!.configuration.state, version);
 		peers[5]!.configuration.offerChange(change);
 		network.send(peers[5]!, peers[5]!.node.announceChange(change));
-		const took = network.runUntil(() => peers.every(({configuration: keeper}) => keeper.state.version === version), 5000);
+		const took = network.runUntil(() => peers.every(({configuration}) => configuration.state.version === version), 5000);
 		assert.ok(took !== undefined && took <= 3000, `in force after ${took} ms`);
 	}
 });
@@ -115,7 +115,7 @@
 		network.run(5);
 	}
 
-	assert.notEqual(network.runUntil(() => peers.every(({configuration: keeper}) => keeper.state.version === 1100), 5000), undefined);
+	assert.notEqual(network.runUntil(() => peers.every(({configuration}) => configuration.state.version === 1100), 5000), undefined);
 	const late = network.start('split-entry-late', 'split');
 	network.announce();
 	assert.notEqual(network.runUntil(() => late.configuration.state.version === 1100, 3000), undefined);
@@ -147,6 +147,6 @@
 	const change = changeOf(peers[4]!.configuration.state, 1);
 	peers[4]!.configuration.offerChange(change);
 	network.send(peers[4]!, peers[4]!.node.announceChange(change));
-	const took = network.runUntil(() => peers.every(({configuration: keeper}) => keeper.state.version === 1), 5000);
+	const took = network.runUntil(() => peers.every(({configuration}) => configuration.state.version === 1), 5000);
 	assert.ok(took !== undefined && took <= 2000, `everywhere after ${took} ms`);
 });
--- a/src/peer/node/peer-node.ts
+++ b/src/peer/node/peer-node.ts
@@ -227,19 +227,19 @@
 
 	#applyUpdates(updates: readonly MemberUpdate[], now: number): void {
 		const newUpdates = updates
-			.map(rumour => this.membership.applyUpdate(rumour, now))
-			.filter(rumour => rumour !== undefined);
+			.map(update => this.membership.applyUpdate(update, now))
+			.filter(update => update !== undefined);
 		this.#spreadUpdates(newUpdates, now);
 	}
 
 	#spreadUpdates(updates: readonly MemberUpdate[], now: number): void {
-		for (const rumour of updates) {
-			this.#options.listener.memberChanged(rumour);
+		for (const update of updates) {
+			this.#options.listener.memberChanged(update);
 		}
 
-		for (const rumour of updates) {
-			if (rumour.dataCentre === this.#options.self.dataCentre) {
-				this.#gossip.add(rumour, now);
+		for (const update of updates) {
+			if (update.dataCentre === this.#options.self.dataCentre) {
+				this.#gossip.add(update, now);
 			}
 		}
 	}
--- a/src/protocol/blocks/store-inventory.ts
+++ b/src/protocol/blocks/store-inventory.ts
@@ -80,15 +80,15 @@
 	applyListing({epoch, parts: blocks, partial}: StoreListing, now: number): BlockChanges {
 		const change: BlockChanges = {added: [], removed: []};
 		this.#epoch = epoch;
-		const listed = new Set(blocks.map(part => blockKey(part)));
+		const listed = new Set(blocks.map(block => blockKey(block)));
 		for (const key of this.#offeredBlocks.keys()) {
 			if (!listed.has(key)) {
 				this.#removeOffered(key, change);
 			}
 		}
 
-		for (const part of blocks) {
-			this.#offer(part, now, change);
+		for (const block of blocks) {
+			this.#offer(block, now, change);
 		}
 
 		this.#heldTokens = [...blocks, ...partial].reduce((sum, {tokens}) => sum + roundUpToAllocationUnit(tokens), 0);
@@ -98,15 +98,15 @@
 	/** Applies events of the same epoch. */
 	applyEvents({added, removed}: StoreEvents, now: number): BlockChanges {
 		const change: BlockChanges = {added: [], removed: []};
-		for (const part of added) {
-			this.#heldTokens += this.#isKnown(part) ? 0 : roundUpToAllocationUnit(part.tokens);
-			this.#offer(part, now, change);
+		for (const block of added) {
+			this.#heldTokens += this.#isKnown(block) ? 0 : roundUpToAllocationUnit(block.tokens);
+			this.#offer(block, now, change);
 		}
 
-		for (const part of removed) {
-			this.#heldTokens -= this.#isKnown(part) ? roundUpToAllocationUnit(this.#tokensOf(part)) : 0;
-			this.#removeOffered(blockKey(part), change);
-			this.#withdrawn.delete(blockKey(part));
+		for (const block of removed) {
+			this.#heldTokens -= this.#isKnown(block) ? roundUpToAllocationUnit(this.#tokensOf(block)) : 0;
+			this.#removeOffered(blockKey(block), change);
+			this.#withdrawn.delete(blockKey(block));
 		}
 
 		return change;
