--- a/src/adapters/http-client.test.ts
+++ b/src/adapters/http-client.test.ts
@@ -12,7 +12,7 @@
 
 test('an unframed JSON answer that may be truncated is a failure', async t => {
 	// Guards against an instance that reads the claim of a booking and finds none, although there is one: the table service
-	// sends the head of a 200 without Content-Length and fails, and the empty body is taken for "no row". A truncated number
+	// sends the head of a 200 without Content-Length and fails, and the empty body is read as "no row". A truncated number
 	// is also valid JSON.
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
--- a/src/adapters/http-plain-service.test.ts
+++ b/src/adapters/http-plain-service.test.ts
@@ -43,7 +43,7 @@
 	assert.equal((answer.extract() as {kind: string}).kind, 'not-sent');
 });
 
-test('an unframed answer is never taken for complete, however its connection ends', async t => {
+test('an unframed answer is never accepted as complete, however its connection ends', async t => {
 	// Guards against a caller that receives a 200 with half of the answer, framed as complete. The service sends a head
 	// without Content-Length, then half of the body, and fails; its connection is reset or closed. undici reports the body as
 	// complete in both cases, even where Node reports the reset, since only the end of the connection ends such a body.
--- a/src/adapters/http-stores.test.ts
+++ b/src/adapters/http-stores.test.ts
@@ -71,7 +71,7 @@
 
 test('a truncated, unframed object is a failure', async t => {
 	// Guards against a reader that uses only the first lines of a stored file: the store sends a head without Content-Length
-	// and half of the object, and fails, and the end of the connection is taken for the end of the object.
+	// and half of the object, and fails, and the end of the connection is mistaken for the end of the object.
 	const outcomes = new Set<string>();
 	for (const ending of connectionEndings) {
 		const address = await startEndingServer(t, 'HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nfirst line\nsecond line\n', ending);
--- a/src/adapters/whole-body.ts
+++ b/src/adapters/whole-body.ts
@@ -3,7 +3,7 @@
  *
  * A body with neither Content-Length nor chunked encoding ends when its connection ends. If the server fails in the middle of
  * such a body, the connection ends too, and undici reports the body as complete, even after a reset: half of an answer would
- * be taken for all of it. Such a body is therefore always an error. With the other two framings, undici counts the bytes or
+ * be accepted as all of it. Such a body is therefore always an error. With the other two framings, undici counts the bytes or
  * waits for the last chunk, and fails if the connection ends earlier.
  *
  * A JSON object or array needs no framing, since a truncated one cannot be parsed.
--- a/src/entry/callers/caller-routes.ts
+++ b/src/entry/callers/caller-routes.ts
@@ -27,7 +27,7 @@
 
 export const defaultBodyLimitBytes = 8_388_608;
 
-const disconnectReason = new Error('the caller hung up');
+const disconnectReason = new Error('the caller disconnected');
 const operatorCancelReason = new Error('an operator cancelled the request');
 
 /** The components that the routes pass requests to. */
@@ -257,7 +257,7 @@
 
 		if (!this.#context.configuration.startGate.isOpen) {
 			return Left({
-				reason: 'stale-configuration', ran: 'not-run', message: 'this instance has just started and learns the configuration', retryAfterMilliseconds: 1000,
+				reason: 'stale-configuration', ran: 'not-run', message: 'this instance has just started and does not have the newest configuration yet', retryAfterMilliseconds: 1000,
 			});
 		}
 
@@ -284,7 +284,7 @@
 /** Converts an error of h3 itself, such as a path that cannot be decoded, to a refusal in the usual format. */
 function typedErrorResponse({status}: HTTPError): Response {
 	const refusal: Refusal = status < 500
-		? {reason: 'bad-request', ran: 'not-run', message: 'the request line cannot be understood'}
+		? {reason: 'bad-request', ran: 'not-run', message: 'the request line is invalid'}
 		: {reason: 'internal', ran: 'unknown', message: 'the request could not be served'};
 	return Response.json(refusalBody(refusal), {status});
 }
--- a/src/entry/callers/completion-runner.test.ts
+++ b/src/entry/callers/completion-runner.test.ts
@@ -66,7 +66,7 @@
 }
 
 function refusalOf(result: CompletionUsage | Refusal): Refusal {
-	assert.ok('reason' in result, 'the answer was taken for whole');
+	assert.ok('reason' in result, 'the answer was accepted as complete');
 	return result;
 }
 
@@ -172,7 +172,7 @@
 	assert.equal(sink.text, textOf('w2'));
 });
 
-test('full endpoints are excluded for their Retry-After time, and the refusal tells the caller when to retry', async () => {
+test('full endpoints are excluded for their Retry-After time, and the refusal states when to retry', async () => {
 	// Both engines answer with Retry-After. Nothing ran, so "not-run" is correct. The next caller is refused without another
 	// attempt, until the shorter of the two times has passed.
 	const {engine, entry, sink, clock, run} = setUp({streamed: true});
--- a/src/entry/entry-context.ts
+++ b/src/entry/entry-context.ts
@@ -30,6 +30,6 @@
 	endpoints: EndpointDirectory;
 	requests: RequestRegistry;
 	eventLoopLag: Pick<EventLoopLag, 'current'>;
-	/** True after the process was told to stop: new requests are refused. */
+	/** True from the start of a shutdown on: new requests are refused. */
 	draining: boolean;
 };
--- a/src/entry/operators/answer-statement.ts
+++ b/src/entry/operators/answer-statement.ts
@@ -73,7 +73,7 @@
 	}
 
 	if (author === undefined) {
-		return errorOf({column: 1, message: 'author: who acts is needed'});
+		return errorOf({column: 1, message: 'author: the name of the operator is required'});
 	}
 
 	// The command that runs must be the one that was shown. If another operator has changed the configuration in between, the
--- a/src/entry/operators/command-runner.ts
+++ b/src/entry/operators/command-runner.ts
@@ -42,7 +42,7 @@
 		};
 		const recorded = await writeCommandRecord(table, key, record);
 		if (recorded.isLeft()) {
-			return {kind: 'not-done', instance: identity.instance, lines: [`the act could not be recorded (${recorded.extract().kind}), so nothing was done`]};
+			return {kind: 'not-done', instance: identity.instance, lines: [`the command could not be recorded (${recorded.extract().kind}), so nothing was done`]};
 		}
 
 		const outcome = plan.kind === 'cancel' ? this.#cancel(plan.requestId) : await this.#change(confirmed, plan);
--- a/src/entry/watchers/repeat-jittered.ts
+++ b/src/entry/watchers/repeat-jittered.ts
@@ -18,7 +18,7 @@
  * The pauses vary, so that instances that started together, or that waited for the same outage to end, do not send their
  * requests at the same times.
  *
- * @param pace - The interval.
+ * @param interval - The interval, its clock and the source of its jitter.
  * @param signal - Ends the repetition.
  * @param work - The work to repeat; the pause begins when it has finished.
  */
--- a/src/peer/load/load-gossip.ts
+++ b/src/peer/load/load-gossip.ts
@@ -1,7 +1,7 @@
 /**
  * Exchanges the loads of endpoints among peers. An instance polls only the endpoints that it owns by rendezvous hashing, and
- * publishes their loads to its cell; while instances are few the cell contains all of them, so each knows all loads. The
- * leaving of an endpoint is sent to all neighbours and forwarded by them across the data centre. Time is an argument.
+ * publishes their loads to its cell; while instances are few the cell contains all of them, so each knows all loads. That an
+ * endpoint is leaving is sent to all neighbours and forwarded by them across the data centre. Time is an argument.
  */
 import {type LoadReport} from '../../ports/model-engine.js';
 import {type ListedInstance} from '../../shared/types.js';
@@ -114,7 +114,7 @@
 	 * @param cell - The peers that publish to this instance, by name.
 	 */
 	endpointsToPoll(now: number, cell: ReadonlyMap<string, Member>): string[] {
-		// If the messages of this instance are rare because they are large, the owner's messages are as rare.
+		// Larger messages are sent at longer intervals, and the owner's messages are about as large as those of this instance.
 		const pollAfter = Math.max(pollUnownedAfterMilliseconds, this.#publishInterval * 1.5);
 		return [...this.#endpoints]
 			.filter(([key, {owner}]) => owner === this.#self
--- a/src/peer/membership/membership.ts
+++ b/src/peer/membership/membership.ts
@@ -168,15 +168,15 @@
 	}
 
 	/**
-	 * Marks neighbours without heartbeats as suspected, and later as gone.
+	 * Marks neighbours without heartbeats as `suspect`, and later as `gone`.
 	 *
 	 * @param neighbours - The names of the members that send heartbeats to this instance.
 	 * @param now - Milliseconds since the epoch.
 	 * @returns Updates to spread.
 	 */
 	tick(neighbours: ReadonlySet<string>, now: number): MemberUpdate[] {
-		// After a pause of this process no neighbour has a recent heartbeat, and all of them would be marked as gone at once. So
-		// their time starts again.
+		// After a pause of this process no neighbour has a recent heartbeat, and all of them would be marked as `gone` at once.
+		// So the time since their last message is counted from now.
 		const wasPaused = now - this.#lastTickAt > suspectAfterMilliseconds;
 		this.#lastTickAt = now;
 		const updates: MemberUpdate[] = [];
@@ -185,8 +185,8 @@
 				continue;
 			}
 
-			// The time of a late member runs on when a new ring makes it a neighbour no longer. When a rack fails, each detected
-			// failure changes the cells, and would otherwise restart the time of the other failed members.
+			// A late member that a new ring no longer makes a neighbour keeps its `lastSeenAt`. When a rack fails, each detected
+			// failure changes the cells, and would otherwise reset `lastSeenAt` of the other failed members.
 			const idleMilliseconds = now - member.lastSeenAt;
 			if (wasPaused || (!neighbours.has(member.name) && idleMilliseconds <= lateAfterMilliseconds)) {
 				member.lastSeenAt = now;
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -17,7 +17,7 @@
 
 test('the endpoints of failed instances get a new owner within 5 s when a third of 48 instances fail at once', () => {
 	// The endpoints that the failed instances polled need another owner. Their neighbours receive no more heartbeats and mark
-	// them as gone, the updates cross the ring, and all instances assign owners again. After 5 s each endpoint must have
+	// them as `gone`, the updates cross the ring, and all instances assign owners again. After 5 s each endpoint must have
 	// exactly one owner, because loads that nobody polls go stale.
 	const network = new VirtualPeers(1);
 	const listed = endpoints(96);
@@ -33,7 +33,7 @@
 		const isAgreed = network.running().every(({node}) => node.membership.ownLive().length === 32);
 		return isAgreed && owned.length === 96 && new Set(owned).size === 96;
 	}, 10_000);
-	assert.ok(took !== undefined && took <= 5000, `owned again, and one view, after ${took} ms`);
+	assert.ok(took !== undefined && took <= 5000, `one view and one owner for each endpoint after ${took} ms`);
 });
 
 test('when a member leaves, only its own shards move, within a second', () => {
@@ -56,7 +56,7 @@
 
 test('an instance that resumes after a pause is a live member again', () => {
 	// While an instance is paused, its shards move to others. When it resumes it has received nothing for a long time, but must
-	// not mark its neighbours as gone. It receives the update that it is gone itself, refutes it, and gets its shards back.
+	// not mark its neighbours as `gone`. It receives the update that it has itself failed, refutes it, and gets its shards back.
 	const network = new VirtualPeers(2);
 	const peers = network.startAll(names(30));
 	network.run(5000);
@@ -71,7 +71,7 @@
 });
 
 test('a data centre reconnects to the others after a network partition', () => {
-	// Both sides mark each other as gone and go on separately; the larger side accepts a change meanwhile. After the partition
+	// Both sides mark each other as `gone` and go on separately; the larger side accepts a change meanwhile. After the partition
 	// one dial to a failed member that is still listed is enough: all members become live, and all get the change.
 	const network = new VirtualPeers(3);
 	const peers = network.startAll([...names(6), ...names(4, 'trogir'), ...names(4, 'makarska')]);
@@ -122,7 +122,7 @@
 	assert.deepEqual(late.configuration.state.workspaces, peers[0]!.configuration.state.workspaces);
 });
 
-test('the leaving of an endpoint is known at all instances within a second', () => {
+test('all instances know within a second that an endpoint is leaving', () => {
 	// The owner of the endpoint gets its report with the state `leaving`. No other instance polls that endpoint, but all of them,
 	// also those in other cells, must stop sending requests to it.
 	const network = new VirtualPeers(6);
