--- a/src/adapters/http-cache-store.test.ts
+++ b/src/adapters/http-cache-store.test.ts
@@ -46,8 +46,8 @@
 	const full = await store.write(standIn.address, block, content);
 	assert.deepEqual(full.extract(), {kind: 'full'});
 	await standIn.close();
-	const dead = await store.write(standIn.address, block, content);
-	assert.equal((dead.extract() as {kind: string}).kind, 'unavailable');
+	const unavailable = await store.write(standIn.address, block, content);
+	assert.equal((unavailable.extract() as {kind: string}).kind, 'unavailable');
 });
 
 test('a truncated list of blocks is a failure of the store, and a truncated block is not returned', async context => {
--- a/src/adapters/http-stores.test.ts
+++ b/src/adapters/http-stores.test.ts
@@ -13,8 +13,8 @@
 const anyPort = {host: '127.0.0.1', port: 0};
 
 test('objects are read as written, under any key, and an absent object is not a failure', async t => {
-	const kind = createObjectStoreStandIn();
-	const standIn = await startStandIn(kind, anyPort);
+	const definition = createObjectStoreStandIn();
+	const standIn = await startStandIn(definition, anyPort);
 	t.after(async () => standIn.close());
 	const store = new HttpObjectStore(standIn.address);
 	const content = Buffer.from([0, 255, 10, 13]);
@@ -25,18 +25,18 @@
 	assert.deepEqual(read.extract(), content);
 	assert.ok(absent.isRight());
 	assert.equal(absent.extract(), undefined);
-	kind.faults.down = true;
+	definition.faults.down = true;
 	const failed = await store.read('snapshots/a b?c');
 	assert.deepEqual(failed.extract(), {kind: 'unavailable', detail: 'status 503'});
 });
 
 test('a write whose answer is lost is a failure, although it took effect', async t => {
 	// A failure of the port does not mean that nothing was written: the next read finds the object.
-	const kind = createObjectStoreStandIn();
-	const standIn = await startStandIn(kind, anyPort);
+	const definition = createObjectStoreStandIn();
+	const standIn = await startStandIn(definition, anyPort);
 	t.after(async () => standIn.close());
 	const store = new HttpObjectStore(standIn.address);
-	kind.faults.loseAnswers = 1;
+	definition.faults.loseAnswers = 1;
 	const written = await store.write('key', Buffer.from('content'));
 	const read = await store.read('key');
 	assert.ok(written.isLeft());
@@ -44,8 +44,8 @@
 });
 
 test('the weight store lists versions and reports its load; its rate limit and an outage are distinct failures', async t => {
-	const kind = createWeightStoreStandIn();
-	const standIn = await startStandIn(kind, anyPort);
+	const definition = createWeightStoreStandIn();
+	const standIn = await startStandIn(definition, anyPort);
 	t.after(async () => standIn.close());
 	const store = new HttpWeightStore(standIn.address);
 	for (const version of ['w1', 'w2']) {
@@ -60,11 +60,11 @@
 	assert.deepEqual(versions.map(found => found.map(({weightVersion}) => weightVersion)).extract(), ['w1', 'w2']);
 	assert.deepEqual(none.extract(), []);
 	assert.deepEqual(load.extract(), {loading: 0, fullSpeedLoads: 2, bytesPerSecond: 1_000_000_000});
-	kind.faults.refuseSeconds = 3;
+	definition.faults.refuseSeconds = 3;
 	const limited = await store.load();
 	assert.deepEqual(limited.extract(), {kind: 'rate-limited', retryAfterMilliseconds: 3000});
-	kind.faults.refuseSeconds = 0;
-	kind.faults.down = true;
+	definition.faults.refuseSeconds = 0;
+	definition.faults.down = true;
 	const down = await store.load();
 	assert.deepEqual(down.extract(), {kind: 'unavailable', detail: 'status 503'});
 });
--- a/src/entry/callers/completion-writer.ts
+++ b/src/entry/callers/completion-writer.ts
@@ -89,9 +89,9 @@
 		};
 		if (this.#request.stream) {
 			const last = eventOf({...this.#head, choices: [this.#choice('', usage.finishReason)]});
-			const figures = this.#request.includeUsage ? eventOf({...this.#head, choices: [], usage: protocolUsage}) : '';
+			const usageEvent = this.#request.includeUsage ? eventOf({...this.#head, choices: [], usage: protocolUsage}) : '';
 			this.#startStream();
-			this.#response.end(`${last}${figures}data: [DONE]\n\n`);
+			this.#response.end(`${last}${usageEvent}data: [DONE]\n\n`);
 			return;
 		}
 
--- a/src/entry/operators/test-entries.ts
+++ b/src/entry/operators/test-entries.ts
@@ -20,7 +20,7 @@
 	/** Starts the stand-ins and the given number of entries. */
 	async start(count: number, further: Record<string, string> = {}): Promise<void> {
 		const at = {host: '127.0.0.1', port: 0};
-		const [table, objects, list] = await Promise.all([createTableServiceStandIn(), createObjectStoreStandIn(), createInstanceListStandIn()].map(async kind => startStandIn(kind, at)));
+		const [table, objects, list] = await Promise.all([createTableServiceStandIn(), createObjectStoreStandIn(), createInstanceListStandIn()].map(async definition => startStandIn(definition, at)));
 		this.#platform.push(table!, objects!, list!);
 		for (let index = 1; index <= count; index++) {
 			await this.#startEntry({...this.entryFlags(`entry-${index}`), ...further});
--- a/src/peer/node/peer-node.test.ts
+++ b/src/peer/node/peer-node.test.ts
@@ -65,8 +65,8 @@
 	const others = peers.filter(peer => peer !== peers[7]);
 	assert.ok(others.every(({node}) => node.membership.ownLive().length === 29));
 	peers[7]!.state = 'running';
-	const back = network.runUntil(() => peers.every(({node}) => node.membership.ownLive().length === 30), 10_000);
-	assert.notEqual(back, undefined);
+	const took = network.runUntil(() => peers.every(({node}) => node.membership.ownLive().length === 30), 10_000);
+	assert.notEqual(took, undefined);
 	assert.ok(peers[7]!.events.every(({text}) => !text.endsWith('gone')));
 });
 
@@ -84,8 +84,8 @@
 	network.run(3000);
 	assert.equal(peers.filter(({configuration}) => configuration.state.version === 1).length, 10);
 	network.cut(names(4, 'trogir').map(({name}) => name), '');
-	const back = network.runUntil(() => peers.every(({configuration, node}) => configuration.state.version === 1 && node.membership.allLive().length === 14), 20_000);
-	assert.notEqual(back, undefined);
+	const took = network.runUntil(() => peers.every(({configuration, node}) => configuration.state.version === 1 && node.membership.allLive().length === 14), 20_000);
+	assert.notEqual(took, undefined);
 });
 
 test('a change reaches 96 instances within 3 s although a tenth of the messages are lost', () => {
