--- a/src/bench/weigh/main.ts
+++ b/src/bench/weigh/main.ts
@@ -58,7 +58,7 @@
 		console.log(`data centre cut off for two minutes, seed ${seed}: ${JSON.stringify(playCut(seed))}`);
 	}
 
-	console.log(`platform away for an hour, seed 1: ${JSON.stringify(playOutage(1, 60))}`);
+	console.log(`platform down for an hour, seed 1: ${JSON.stringify(playOutage(1, 60))}`);
 }
 
 if (wanted === undefined || wanted === 'kill') {
@@ -70,7 +70,7 @@
 }
 
 if (wanted === undefined || wanted === 'outage') {
-	console.log(`table away for 10 s, real processes: ${JSON.stringify(await runOutage())}`);
+	console.log(`table down for 10 s, real processes: ${JSON.stringify(await runOutage())}`);
 }
 
 if (wanted === undefined || wanted === 'entries') {
--- a/src/load/measure/fair-shares.ts
+++ b/src/load/measure/fair-shares.ts
@@ -1,8 +1,8 @@
-/** The work that one workspace asked for, and its weight. */
+/** The work that one workspace requested, and its weight. */
 export type Demand = {workspace: string; tokens: number; share: number};
 
 /**
- * Divides work by weighted max-min fairness: no workspace gets more than it asked for, and what it doesn't use is divided
+ * Divides work by weighted max-min fairness: no workspace gets more than it requested, and what it doesn't use is divided
  * among the others by weight.
  *
  * @param demands - The demand of each workspace.
--- a/src/load/simulation/load-patterns.test.ts
+++ b/src/load/simulation/load-patterns.test.ts
@@ -1,5 +1,5 @@
 /**
- * What callers see under combinations of load patterns and faults. Each run plays a pattern (a burst, one prefix with most
+ * What callers see under combinations of load patterns and faults. Each run applies a pattern (a burst, one prefix with most
  * of the load, a slow endpoint, long requests among short ones, saturation) alone, with a second pattern, or with a fault
  * from 20 s to 40 s, against fifteen entries that share no state. The last request arrives before 50 s and the run ends
  * at 90 s: an urgent request that has neither an answer nor a refusal by then has been lost by its entry, which is the
--- a/src/test/separate-callers.ts
+++ b/src/test/separate-callers.ts
@@ -2,7 +2,7 @@
 import {once} from 'node:events';
 import {Worker} from 'node:worker_threads';
 
-/** One request on its own connection; a caller that leaves closes the connection right after sending. */
+/** One request on its own connection; a caller with `leaves` closes the connection right after sending. */
 export type SeparateCall = {bytes: string; leaves: boolean};
 
 /** Connected callers. */
--- a/src/timeline/main.ts
+++ b/src/timeline/main.ts
@@ -21,7 +21,7 @@
 };
 
 const program = new Command('savorygauge-timeline')
-	.description('Collects the events of all processes into one time line, follows it, and draws the trace of a request.')
+	.description('Collects the events of all processes into one timeline, follows it, and draws the trace of a request.')
 	.usage('[options] [collect | read | follow | draw]')
 	.argument('[command]', 'collect: receive and print events (the default); read: print the events of a collector or file; follow: print events as they arrive; draw: draw the trace of a request')
 	.version(programVersion)
--- a/src/timeline/read-collector.test.ts
+++ b/src/timeline/read-collector.test.ts
@@ -8,7 +8,7 @@
 import {readCollector} from './read-collector.js';
 import {type TimelineQuery} from './timeline-messages.js';
 
-test('a time line that is cut off is an error for its reader, however the connection ends', async t => {
+test('a timeline that is cut off is an error for its reader, however the connection ends', async t => {
 	// An operator reads the trace of a request, and the collector dies after a reply that is not the last one, or in the
 	// middle of the last one. The events received so far must not be taken for the whole trace.
 	const first = encodeFrame({
--- a/src/timeline/read-collector.ts
+++ b/src/timeline/read-collector.ts
@@ -29,7 +29,7 @@
 	for await (const bytes of socket as AsyncIterable<Uint8Array>) {
 		const replies = reader.read(Buffer.from(bytes));
 		if (replies.isLeft()) {
-			throw new Error(`${address} is not a collector of the time line`);
+			throw new Error(`${address} is not a timeline collector`);
 		}
 
 		for (const reply of replies.extract() as TimelineReply[]) {
