--- a/src/bench/log-cost/main.ts
+++ b/src/bench/log-cost/main.ts
@@ -76,11 +76,11 @@
 };
 const costs = new Map<Variant, number[]>();
 for (let round = 0; round <= rounds; round++) {
-	for (const [turn, {address, log}] of Object.entries(variants) as Array<[Variant, {address: string; log: DecisionLog}]>) {
+	for (const [variant, {address, log}] of Object.entries(variants) as Array<[Variant, {address: string; log: DecisionLog}]>) {
 		gateway.context.log = log;
 		const cost = await costOfRound(agent, address);
 		// The first round is a warm-up (JIT compilation) and isn't counted.
-		costs.set(turn, round === 0 ? [] : [...costs.get(turn)!, cost]);
+		costs.set(variant, round === 0 ? [] : [...costs.get(variant)!, cost]);
 	}
 }
 
@@ -90,7 +90,7 @@
 const medianDifference = (variant: Variant, base: Variant): number => quantileOf(costs.get(variant)!.map((cost, round) => cost - costs.get(base)![round]!), 0.5);
 const gatewayCost = medianDifference('without a log', 'straight');
 console.error(`the gateway without a log: ${gatewayCost.toFixed(0)} µs of processor time a request (median of ${rounds} rounds of ${requestsInRound} requests)`);
-for (const turn of ['log as it is', 'every line written'] as const) {
-	const added = medianDifference(turn, 'without a log');
-	console.error(`${turn}: ${added.toFixed(1)} µs more a request, ${(added / gatewayCost * 100).toFixed(1)}% of that`);
+for (const variant of ['log as it is', 'every line written'] as const) {
+	const added = medianDifference(variant, 'without a log');
+	console.error(`${variant}: ${added.toFixed(1)} µs more a request, ${(added / gatewayCost * 100).toFixed(1)}% of that`);
 }
--- a/src/bench/slopes/worker.ts
+++ b/src/bench/slopes/worker.ts
@@ -84,7 +84,7 @@
 	const wallMilliseconds = Date.now() - resetAt;
 	const all = [...daemons.values()];
 	const sum = (value: (daemon: BenchDaemon) => number): number => all.reduce((total, daemon) => total + value(daemon), 0);
-	const versions = [...new Set(all.flatMap(({configuration: keeper}) => [...keeper.inForceAt.keys()]))];
+	const versions = [...new Set(all.flatMap(({configuration}) => [...configuration.inForceAt.keys()]))];
 	return {
 		daemons: all.length,
 		wallMilliseconds,
@@ -100,7 +100,7 @@
 		knownEndpoints: sum(({service}) => service.node.loadGossip.knownCount),
 		live: all.map(({service}) => service.node.membership.ownLive().length),
 		inForceAt: versions.map(version => {
-			const times = all.flatMap(({configuration: keeper}) => keeper.inForceAt.get(version) ?? []);
+			const times = all.flatMap(({configuration}) => configuration.inForceAt.get(version) ?? []);
 			return {version, at: Math.max(...times), daemons: times.length};
 		}),
 	};
--- a/src/bench/weigh/failures.ts
+++ b/src/bench/weigh/failures.ts
@@ -48,13 +48,13 @@
 	}, limitMilliseconds);
 	network.run(2000);
 	const events = network.running().flatMap(peer => peer.events).filter(({at}) => at >= diedAt);
-	const gone = events.filter(({text}) => text.endsWith(' gone'));
+	const failureEvents = events.filter(({text}) => text.endsWith(' gone'));
 	return {
 		ownedAgain,
-		firstGone: Math.min(...gone.map(({at}) => at)) - diedAt,
-		lastGone: Math.max(...gone.map(({at}) => at)) - diedAt,
+		firstGone: Math.min(...failureEvents.map(({at}) => at)) - diedAt,
+		lastGone: Math.max(...failureEvents.map(({at}) => at)) - diedAt,
 		live: network.running()[0]!.node.membership.ownLive().length,
-		calledGoneWrongly: gone.filter(({text}) => network.peers.get(text.split(' ')[0]!)!.state === 'running').length,
+		calledGoneWrongly: failureEvents.filter(({text}) => network.peers.get(text.split(' ')[0]!)!.state === 'running').length,
 		mostTableReadsPerSecond: platform.maxReadsPerSecond(platform.reads, diedAt),
 		timeLine: timeLineOf(events, diedAt),
 	};
--- a/src/bench/weigh/fanout.ts
+++ b/src/bench/weigh/fanout.ts
@@ -34,8 +34,8 @@
  * @returns Its cost, without the heartbeats, which are measured in an idle run and subtracted.
  */
 export function playFanout(strategy: FanoutStrategy, seed: number): FanoutCost {
-	const idle = play(strategy, seed, 0);
-	const busy = play(strategy, seed, changes);
+	const idle = simulate(strategy, seed, 0);
+	const busy = simulate(strategy, seed, changes);
 	const perChange = (value: number): number => value / daemons / changes;
 	const times = busy.times.toSorted((left, right) => left - right);
 	return {
@@ -48,7 +48,7 @@
 	};
 }
 
-function play(strategy: FanoutStrategy, seed: number, count: number): {bytes: number; messages: number; asks: number; duplicates: number; times: number[]} {
+function simulate(strategy: FanoutStrategy, seed: number, count: number): {bytes: number; messages: number; asks: number; duplicates: number; times: number[]} {
 	const network = new VirtualPeers(seed, strategy.mode, strategy.backoffMilliseconds);
 	network.latencyMilliseconds = strategy.latencyMilliseconds;
 	const peers = network.startAll(Array.from({length: daemons}, (_, index) => ({name: `entry-${index}`, dataCentre: 'split'})));
--- a/src/bench/weigh/main.ts
+++ b/src/bench/weigh/main.ts
@@ -26,21 +26,21 @@
 		}
 	}
 
-	for (const way of strategies) {
-		console.log(`fanout ${way.mode}, wait up to ${way.backoffMilliseconds} ms, ${way.loss * 100}% lost, seed 1: ${shown(playFanout(way, 1))}`);
+	for (const strategy of strategies) {
+		console.log(`fanout ${strategy.mode}, wait up to ${strategy.backoffMilliseconds} ms, ${strategy.loss * 100}% lost, seed 1: ${shown(playFanout(strategy, 1))}`);
 	}
 }
 
 if (wanted === undefined || wanted === 'knowledge') {
-	for (const way of ['perfect', 'all', 'all-two', 'none'] satisfies KnowledgeStrategy[]) {
+	for (const strategy of ['perfect', 'all', 'all-two', 'none'] satisfies KnowledgeStrategy[]) {
 		for (const seed of seeds) {
-			console.log(`knowledge ${way}, today's size, seed ${seed}: ${shown(playKnowledge(way, todaySize, seed))}`);
+			console.log(`knowledge ${strategy}, today's size, seed ${seed}: ${shown(playKnowledge(strategy, todaySize, seed))}`);
 		}
 	}
 
-	for (const way of ['perfect', 'all', 'all-two', 'cell', 'cell-two', 'ask-two', 'none'] satisfies KnowledgeStrategy[]) {
+	for (const strategy of ['perfect', 'all', 'all-two', 'cell', 'cell-two', 'ask-two', 'none'] satisfies KnowledgeStrategy[]) {
 		for (const seed of seeds) {
-			console.log(`knowledge ${way}, seed ${seed}: ${shown(playKnowledge(way, targetSize, seed))}, bytes a second one way ${bytesOf(way).toFixed(0)}`);
+			console.log(`knowledge ${strategy}, seed ${seed}: ${shown(playKnowledge(strategy, targetSize, seed))}, bytes a second one way ${bytesOf(strategy).toFixed(0)}`);
 		}
 	}
 }
--- a/src/check/bookings-over-processes.ts
+++ b/src/check/bookings-over-processes.ts
@@ -159,18 +159,18 @@
 			}
 		}
 
-		const count = (is: (booked: SentBooking, runs: number) => boolean): number => this.#sentBookings.filter(booked => is(booked, runs.get(booked.name) ?? 0)).length;
+		const count = (matches: (booking: SentBooking, runs: number) => boolean): number => this.#sentBookings.filter(booking => matches(booking, runs.get(booking.name) ?? 0)).length;
 		return {
 			bookings: this.#sentBookings.length,
-			answered: count(({outcomes: words}) => words.at(-1) === 'answered'),
-			unknown: count(({outcomes: words}) => words.at(-1) === 'unknown'),
+			answered: count(({outcomes}) => outcomes.at(-1) === 'answered'),
+			unknown: count(({outcomes}) => outcomes.at(-1) === 'unknown'),
 			kills: this.#kills,
 			standstills: this.#pauses.length,
-			duplicateRuns: count((_booked, ran) => ran > 1),
-			falseNotRun: count(({outcomes: words}, ran) => ran > 0 && words.every(word => word === 'not-run')),
+			duplicateRuns: count((_booking, ran) => ran > 1),
+			falseNotRun: count(({outcomes}, ran) => ran > 0 && outcomes.every(outcome => outcome === 'not-run')),
 			crossedAnswers: count(({name, bodies}) => bodies.some(body => body !== `confirmed-${name}`)),
-			answeredButNotRun: count(({outcomes: words}, ran) => ran === 0 && words.includes('answered')),
-			withoutFinalWord: count(({outcomes: words}) => words.at(-1) !== 'answered' && words.at(-1) !== 'unknown'),
+			answeredButNotRun: count(({outcomes}, ran) => ran === 0 && outcomes.includes('answered')),
+			withoutFinalWord: count(({outcomes}) => outcomes.at(-1) !== 'answered' && outcomes.at(-1) !== 'unknown'),
 		};
 	}
 }
--- a/src/check/configuration-scenario.ts
+++ b/src/check/configuration-scenario.ts
@@ -57,8 +57,8 @@
 
 	verify(simulation: FaultSimulation): void {
 		for (const {change, isAccepted} of this.#proposalAnswers) {
-			const stands = this.#changes.some(({author, reason}) => author === change.author && reason === change.reason);
-			if (stands !== isAccepted) {
+			const isInTable = this.#changes.some(({author, reason}) => author === change.author && reason === change.reason);
+			if (isInTable !== isAccepted) {
 				simulation.reportViolation(`${change.author} got the answer that ${change.reason} was ${isAccepted ? '' : 'not '}accepted, which is wrong`);
 			}
 		}
--- a/src/load/compare/format-report.ts
+++ b/src/load/compare/format-report.ts
@@ -20,7 +20,7 @@
 	const charts = names.map(name => chartOf(name, result.results.map(({policy, measures}) => ({
 		policy, mean: measures[name]?.mean ?? 0, halfWidth: measures[name]?.halfWidth ?? 0,
 	}))));
-	const seeds = result.results.map(({policy, seeds: played}) => `${policy}: seeds ${played.join(', ')}`).join('; ');
+	const seeds = result.results.map(({policy, seeds: finishedSeeds}) => `${policy}: seeds ${finishedSeeds.join(', ')}`).join('; ');
 	const title = `${result.workload}, load ${result.loadFactor}${result.isPartial ? ' (partial)' : ''}`;
 	return `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>${escapeText(title)}</title>
--- a/src/load/decision-cost/main.ts
+++ b/src/load/decision-cost/main.ts
@@ -60,7 +60,7 @@
 		weightVersion: 'v1',
 		priority: random.fraction() < 0.5 ? 'urgent' : 'overnight',
 		promptTokens: (blocksPerPrompt * 2048) + 300,
-		pieceKeys: Array.from({length: blocksPerPrompt}, (_, piece) => `prefix-${prefix}-${piece}`),
+		pieceKeys: Array.from({length: blocksPerPrompt}, (_, block) => `prefix-${prefix}-${block}`),
 		avoid: [],
 		deadline: Number.POSITIVE_INFINITY,
 	};
@@ -78,8 +78,8 @@
 		const now = index * 60;
 		views = [...views];
 		for (let renewed = 0; renewed < Math.min(endpoints, reportsPerDecision); renewed++) {
-			const place = ((index * reportsPerDecision) + renewed) % endpoints;
-			views[place] = viewOf(place, now, random);
+			const position = ((index * reportsPerDecision) + renewed) % endpoints;
+			views[position] = viewOf(position, now, random);
 		}
 
 		const request = requestOf(index, random);
--- a/src/load/simulation/fake-store.ts
+++ b/src/load/simulation/fake-store.ts
@@ -72,7 +72,7 @@
 			return;
 		}
 
-		const [key, ...rest] = pieceKeys.filter(piece => !this.#memory.has(piece) && !this.#disk.has(piece));
+		const [key, ...rest] = pieceKeys.filter(blockKey => !this.#memory.has(blockKey) && !this.#disk.has(blockKey));
 		if (key === undefined) {
 			return;
 		}
--- a/src/load/simulation/load-patterns.test.ts
+++ b/src/load/simulation/load-patterns.test.ts
@@ -69,16 +69,16 @@
 		: request);
 }
 
-function play(playedPatterns: readonly Pattern[], fault?: Fault): readonly Outcome[] {
+function runPatterns(combinedPatterns: readonly Pattern[], fault?: Fault): readonly Outcome[] {
 	return runSimulation({
 		workload: split,
 		policy: 'chosen',
 		seed: 7,
-		loadFactor: Math.max(1, ...playedPatterns.map(({loadFactor}) => loadFactor ?? 1)),
-		faults: [...playedPatterns.flatMap(pattern => pattern.faults ?? []), ...(fault === undefined ? [] : [fault])],
+		loadFactor: Math.max(1, ...combinedPatterns.map(({loadFactor}) => loadFactor ?? 1)),
+		faults: [...combinedPatterns.flatMap(pattern => pattern.faults ?? []), ...(fault === undefined ? [] : [fault])],
 		reshape(requests) {
 			let reshaped: readonly WorkloadRequest[] = requests.filter(({arrivesAt}) => arrivesAt < lastArrival);
-			for (const pattern of playedPatterns) {
+			for (const pattern of combinedPatterns) {
 				reshaped = pattern.reshape?.(reshaped) ?? reshaped;
 			}
 
@@ -112,13 +112,13 @@
 
 for (const pattern of patterns) {
 	test(`${pattern.name}: urgent requests are answered in time`, () => {
-		const outcomes = play([pattern]);
+		const outcomes = runPatterns([pattern]);
 		checkCallers(outcomes);
 		assert.ok(urgentShareInTime(outcomes) >= 0.97, `in time: ${urgentShareInTime(outcomes)}`);
 	});
 	for (const other of patterns.slice(patterns.indexOf(pattern) + 1)) {
 		test(`${pattern.name} with ${other.name}: no urgent request is lost, most are answered in time`, () => {
-			const outcomes = play([pattern, other]);
+			const outcomes = runPatterns([pattern, other]);
 			checkCallers(outcomes);
 			assert.ok(urgentShareInTime(outcomes) >= 0.9, `in time: ${urgentShareInTime(outcomes)}`);
 		});
@@ -128,14 +128,14 @@
 for (const [index, fault] of faults.entries()) {
 	const pattern = patterns[index % patterns.length]!;
 	test(`${pattern.name} during ${fault.kind}: no urgent request is lost, most are answered in time`, () => {
-		const outcomes = play([pattern], fault);
+		const outcomes = runPatterns([pattern], fault);
 		checkCallers(outcomes);
 		assert.ok(urgentShareInTime(outcomes) >= 0.85, `in time: ${urgentShareInTime(outcomes)}`);
 	});
 }
 
 test('a slow endpoint is recognised by its latency, and urgent requests avoid it', () => {
-	const outcomes = play([patterns[2]!]);
+	const outcomes = runPatterns([patterns[2]!]);
 	const urgent = outcomes.filter(({request}) => request.priority === 'urgent');
 	const during = urgent.filter(({request}) => request.arrivesAt > 28_000 && request.arrivesAt < 40_000);
 	const times = during.map(({firstTokenMilliseconds}) => firstTokenMilliseconds ?? Number.POSITIVE_INFINITY);
--- a/src/load/simulation/run-simulation.ts
+++ b/src/load/simulation/run-simulation.ts
@@ -168,7 +168,7 @@
 	}
 
 	#publishLoad(): void {
-		const reports = [...this.#engines.values()].filter(({isDown: isDead}) => !isDead).map(engine => ({engine, report: engine.report()}));
+		const reports = [...this.#engines.values()].filter(({isDown}) => !isDown).map(engine => ({engine, report: engine.report()}));
 		this.#queue.after(this.#reportLagMilliseconds, () => {
 			const fresh = new Map(reports.map(({engine, report}) => [engine.name, viewOf(engine, report, this.#queue.now)]));
 			this.#views = this.#views.map(view => fresh.get(view.name) ?? view);
@@ -247,9 +247,9 @@
 	}
 }
 
-function viewOf(engine: FakeEngine, load: LoadReport, heardAt: number): EndpointView {
+function viewOf(engine: FakeEngine, load: LoadReport, receivedAt: number): EndpointView {
 	const {name, dataCentre, service} = engine;
 	return {
-		name, address: name, dataCentre, service, model: service, weightVersion: 'v1', state: 'live', load, heardAt,
+		name, address: name, dataCentre, service, model: service, weightVersion: 'v1', state: 'live', load, heardAt: receivedAt,
 	};
 }
--- a/src/load/simulation/simulated-entry.ts
+++ b/src/load/simulation/simulated-entry.ts
@@ -10,7 +10,7 @@
 import {type FakeStore} from './fake-store.js';
 import {type Outcome} from './outcome.js';
 
-const attemptLimit = 4;
+const maxAttempts = 4;
 
 /** The components around an entry, and the latencies to them. */
 export type EntryDependencies = {
@@ -99,7 +99,7 @@
 	#attempt(run: Run): void {
 		const {queue, stores, views} = this.#dependencies;
 		const choice = this.policies.routing.choose(run.route, views(), queue.now);
-		if (choice.kind === 'none' || run.outcome.attempts >= attemptLimit) {
+		if (choice.kind === 'none' || run.outcome.attempts >= maxAttempts) {
 			Object.assign(run.outcome, {refusal: choice.kind === 'none' ? 'no-endpoint' : 'endpoint-failed', ran: run.outcome.attempts === 0 ? 'not-run' : 'unknown', refusedAt: queue.now});
 			this.#finish(run);
 			return;
@@ -128,9 +128,9 @@
 		const {queue, engines} = this.#dependencies;
 		const {endpoint, fetch, sentAt} = plan;
 		const isUrgent = run.route.priority === 'urgent';
-		const pieces = fetch.pieceKeys.slice(done, isUrgent ? undefined : done + 1);
+		const blockKeys = fetch.pieceKeys.slice(done, isUrgent ? undefined : done + 1);
 		const requestedAt = queue.now;
-		if (pieces.length === 0) {
+		if (blockKeys.length === 0) {
 			run.outcome.fetchMilliseconds += queue.now - sentAt;
 			this.policies.routing.observe({
 				kind: 'fetched',
@@ -146,11 +146,11 @@
 			return;
 		}
 
-		store.fetch(pieces, found => {
+		store.fetch(blockKeys, found => {
 			engines.get(endpoint.name)!.importBlocks(found);
 			plan.linkMilliseconds += queue.now - requestedAt;
 			const pause = this.policies.shouldPauseFetches ? fetchPause(run.route.priority, queue.now - requestedAt, store.idleMillisecondsPerBlock) : 0;
-			const isAllFound = found.length === pieces.length;
+			const isAllFound = found.length === blockKeys.length;
 			queue.after(pause, () => {
 				this.#fetchFrom(store, run, isAllFound ? plan : {...plan, fetch: {...fetch, pieceKeys: fetch.pieceKeys.slice(0, done + found.length)}}, done + found.length);
 			});
--- a/src/load/workload/generate-requests.ts
+++ b/src/load/workload/generate-requests.ts
@@ -54,7 +54,7 @@
 				popularity: weight / count / ((index + 1) ** kind.skew),
 				tokens,
 				isUsedBefore: random.fraction() < workload.usedBeforeShare,
-				pieceKeys: Array.from({length: blockCount}, (_piece, piece) => `${kind.name}/${name}/${index}/${piece}`),
+				pieceKeys: Array.from({length: blockCount}, (_block, block) => `${kind.name}/${name}/${index}/${block}`),
 			};
 		});
 	});
--- a/src/stand-in/cache-store-stand-in.ts
+++ b/src/stand-in/cache-store-stand-in.ts
@@ -32,8 +32,8 @@
 				throw new HTTPError({status: 507, message: 'the store is full'});
 			}
 
-			const piece = blockOf(event);
-			this.#stored.set(nameOf(piece), {piece, content, usedAt: this.#uses++});
+			const block = blockOf(event);
+			this.#stored.set(nameOf(block), {piece: block, content, usedAt: this.#uses++});
 			event.res.status = 204;
 			return '';
 		});
@@ -98,8 +98,8 @@
 		}
 	}
 
-	#storedContentOf(piece: BlockGeneration): StoredContent {
-		const held = this.#stored.get(nameOf(piece));
+	#storedContentOf(block: BlockGeneration): StoredContent {
+		const held = this.#stored.get(nameOf(block));
 		if (held === undefined) {
 			throw new HTTPError({status: 404, message: 'no such block'});
 		}
--- a/src/test/caller-limits.test.ts
+++ b/src/test/caller-limits.test.ts
@@ -174,9 +174,9 @@
 		rawRequest({method: 'GET', path: '/v1/models', headers: {authorization, ...close}}),
 	].join('');
 	const answer = await exchangeRaw(entry.callersAddress, bytes);
-	const places = ['chat.completion', '"status":"alive"', '"object":"list"'].map(part => answer.indexOf(part));
-	assert.ok(places.every(place => place > 0));
-	assert.deepEqual(places, places.toSorted((left, right) => left - right));
+	const positions = ['chat.completion', '"status":"alive"', '"object":"list"'].map(text => answer.indexOf(text));
+	assert.ok(positions.every(position => position > 0));
+	assert.deepEqual(positions, positions.toSorted((left, right) => left - right));
 });
 
 test('invalid bytes after a valid request do not cut the answer to that request', async () => {
--- a/src/test/drain.test.ts
+++ b/src/test/drain.test.ts
@@ -62,17 +62,17 @@
 	// body. None of them has a complete request that the stop could interrupt.
 	const entry = new TestEntry(shortBounds);
 	await entry.start();
-	const [idle, silent, halfHeaders, halfBody] = await Promise.all([1, 2, 3, 4].map(async () => openSocket(entry.callersAddress)));
+	const [idle, unused, halfHeaders, halfBody] = await Promise.all([1, 2, 3, 4].map(async () => openSocket(entry.callersAddress)));
 	idle!.write(healthRequest);
 	await readUntil(idle!, text => text.includes('}'));
 	halfHeaders!.write('GET /healthz HTTP/1.1\r\nhost:');
 	halfBody!.write(streamRequest('half').slice(0, -10));
 	const halves = Promise.all([readToEnd(halfHeaders!), readToEnd(halfBody!)]);
-	const silentEnd = readToEnd(silent!);
+	const unusedEnd = readToEnd(unused!);
 	// The answer to a later request shows that the entry has read the bytes that were written before it.
 	await exchangeRaw(entry.callersAddress, rawRequest({method: 'GET', path: '/healthz', headers: {connection: 'close'}}));
 	entry.context.draining = true;
-	await Promise.all([entry.callers.drain(), entry.operators.drain(), silentEnd]);
+	await Promise.all([entry.callers.drain(), entry.operators.drain(), unusedEnd]);
 	for (const answer of await halves) {
 		assert.equal(statusOf(answer), 408);
 	}
--- a/src/test/import-cycles.test.ts
+++ b/src/test/import-cycles.test.ts
@@ -54,7 +54,7 @@
 
 test('there are no import cycles, not even of types', () => {
 	const graph = readImportGraph();
-	assert.deepEqual(findCycles(graph).map(circle => circle.join(' > ')), []);
+	assert.deepEqual(findCycles(graph).map(cycle => cycle.join(' > ')), []);
 });
 
 test('every import that was found names an existing file', () => {
--- a/src/test/malformed-input.test.ts
+++ b/src/test/malformed-input.test.ts
@@ -66,14 +66,14 @@
 });
 
 test('malformed declarations are refused with findings that have file, line and column', t => {
-	const sound = ['split', 'lindqvist', 'demo'].map(name => readFileSync(`examples/${name}.yaml`, 'utf8'));
-	const pieces = fastCheck.oneof(
+	const valid = ['split', 'lindqvist', 'demo'].map(name => readFileSync(`examples/${name}.yaml`, 'utf8'));
+	const fragments = fastCheck.oneof(
 		fastCheck.string({maxLength: 30}),
 		fastCheck.constantFrom('{', '[', ']', '}', ': ', '- '),
 		fastCheck.constantFrom('&a [*a, *a]', '*b', '!!binary x', '---\n', '\t', 'share: -1\n', '? ', '"', '\'', '|', '<<: *a', '__proto__: 1', '\u0000', 'name: name: x'),
 	);
 	const files = fastCheck.oneof(
-		mutationsOf(sound, pieces),
+		mutationsOf(valid, fragments),
 		fastCheck.string({unit: 'binary'}),
 		fastCheck.json(),
 		fastCheck.record({
@@ -86,7 +86,7 @@
 });
 
 test('malformed statements are refused with a column and what was expected', t => {
-	const sound = [
+	const valid = [
 		'endpoints where state != live and (running > 3 or name contains "riva") order by running desc, name limit 5',
 		'move permit-1 to w2 because "new weights"',
 		'drain riva-engine-1 because "fan"',
@@ -95,7 +95,7 @@
 		...Object.keys(fieldsOfSource), 'show', 'where', 'and', 'or', 'not', '(', ')', '=', '<', 'order by', 'limit', 'because', '"x', '"', '\\', ',', 'state', '7', '\n', 'drain', 'to',
 	];
 	const lines = fastCheck.oneof(
-		mutationsOf(sound, fastCheck.string({maxLength: 8})),
+		mutationsOf(valid, fastCheck.string({maxLength: 8})),
 		fastCheck.array(fastCheck.constantFrom(...words), {maxLength: 30}).map(list => list.join(' ')),
 		fastCheck.string({unit: 'binary', maxLength: 200}),
 		fastCheck.nat({max: 3000}).map(depth => `endpoints where ${'('.repeat(depth)}name = x`),
--- a/src/test/memory-model-engine.ts
+++ b/src/test/memory-model-engine.ts
@@ -99,11 +99,11 @@
 	async * #tokens(run: {call: EngineCall; weightVersion: string; fault: EngineFault | undefined}, signal: AbortSignal): AsyncIterable<Either<EngineFailure, EngineEvent>> {
 		const {call, weightVersion, fault} = run;
 		const prompt = promptTextOf(call.body);
-		const seenAs = `${call.cacheSalt}|${weightVersion}|${prompt}`;
+		const cacheKey = `${call.cacheSalt}|${weightVersion}|${prompt}`;
 		const tokens = Number(call.body.max_tokens ?? defaultTokens);
 		const promptTokens = Math.ceil(prompt.length / charactersPerToken);
-		const cachedTokens = this.#seenPrompts.has(seenAs) ? promptTokens : 0;
-		this.#seenPrompts.add(seenAs);
+		const cachedTokens = this.#seenPrompts.has(cacheKey) ? promptTokens : 0;
+		this.#seenPrompts.add(cacheKey);
 		for (let index = call.tokensPassedOn; index < tokens; index++) {
 			if (fault !== undefined && fault.kind !== 'fail' && index === fault.afterTokens) {
 				await this.#halt(fault.kind, signal);
--- a/src/timeline/saved-events.ts
+++ b/src/timeline/saved-events.ts
@@ -5,7 +5,7 @@
 import {matchesFilter} from './matches-filter.js';
 import {type EventFilter, parseTimelineEvent} from './timeline-messages.js';
 
-const bufferLimitBytes = 16_777_216;
+const maxBufferedBytes = 16_777_216;
 const maxEventsRead = 1_000_000;
 
 /** Appends events to a file. If the disk is too slow or full, events are dropped and counted instead of using up memory. */
@@ -28,7 +28,7 @@
 	}
 
 	save(events: readonly TimelineEvent[]): void {
-		if (this.#stream.destroyed || this.#stream.writableLength > bufferLimitBytes) {
+		if (this.#stream.destroyed || this.#stream.writableLength > maxBufferedBytes) {
 			this.#notSaved += events.length;
 			return;
 		}
