--- a/src/bench/slopes/fit-line.ts
+++ b/src/bench/slopes/fit-line.ts
@@ -20,11 +20,11 @@
 	const count = points.length;
 	const meanX = points.reduce((sum, {x}) => sum + x, 0) / count;
 	const meanY = points.reduce((sum, {y}) => sum + y, 0) / count;
-	const spread = points.reduce((sum, {x}) => sum + ((x - meanX) ** 2), 0);
-	const slope = points.reduce((sum, {x, y}) => sum + ((x - meanX) * (y - meanY)), 0) / spread;
+	const squaredDeviations = points.reduce((sum, {x}) => sum + ((x - meanX) ** 2), 0);
+	const slope = points.reduce((sum, {x, y}) => sum + ((x - meanX) * (y - meanY)), 0) / squaredDeviations;
 	const intercept = meanY - (slope * meanX);
-	const residue = points.reduce((sum, {x, y}) => sum + ((y - intercept - (slope * x)) ** 2), 0);
+	const squaredResiduals = points.reduce((sum, {x, y}) => sum + ((y - intercept - (slope * x)) ** 2), 0);
 	return {
-		intercept, slope, slopeError: count > 2 ? Math.sqrt(residue / (count - 2) / spread) : 0, points: count,
+		intercept, slope, slopeError: count > 2 ? Math.sqrt(squaredResiduals / (count - 2) / squaredDeviations) : 0, points: count,
 	};
 }
--- a/src/bench/weigh/entry-kill-run.ts
+++ b/src/bench/weigh/entry-kill-run.ts
@@ -55,22 +55,22 @@
 }
 
 async function killAThird(deployment: Deployment, entries: readonly DeployedProcess[]): Promise<EntryKillResult> {
-	const dead = entries.filter((_, index) => index % 3 === 0);
+	const killed = entries.filter((_, index) => index % 3 === 0);
 	const survivors = entries.filter((_, index) => index % 3 !== 0);
 	const stop = new AbortController();
 	const counts = {promptsAtSurvivors: 0, lostAtSurvivors: 0, lostAtDead: 0};
 	const callers = entries.map(async entry => call(entry, survivors.includes(entry), counts, stop.signal));
 	const readsPerSecondBefore = await readsPerSecond(deployment, settleMilliseconds / 2);
 	const diedAt = Date.now();
-	for (const {process: {child}} of dead) {
+	for (const {process: {child}} of killed) {
 		process.kill(child.pid!, 'SIGKILL');
 	}
 
-	const [seen, tableReadsPerSecondAfter] = await Promise.all([watch(survivors, diedAt), readsPerSecond(deployment, afterMilliseconds)]);
+	const [recovery, tableReadsPerSecondAfter] = await Promise.all([watch(survivors, diedAt), readsPerSecond(deployment, afterMilliseconds)]);
 	stop.abort();
 	await Promise.all(callers);
 	return {
-		survivors: survivors.length, ...counts, ...seen, tableReadsPerSecondBefore: readsPerSecondBefore, tableReadsPerSecondAfter,
+		survivors: survivors.length, ...counts, ...recovery, tableReadsPerSecondBefore: readsPerSecondBefore, tableReadsPerSecondAfter,
 	};
 }
 
@@ -95,7 +95,7 @@
 }
 
 async function watch(survivors: readonly DeployedProcess[], diedAt: number): Promise<{ownedAgain: number | undefined; oneView: number | undefined}> {
-	const seen: {ownedAgain: number | undefined; oneView: number | undefined} = {ownedAgain: undefined, oneView: undefined};
+	const recovery: {ownedAgain: number | undefined; oneView: number | undefined} = {ownedAgain: undefined, oneView: undefined};
 	const endpoints = 2 * enginesPerDataCentre;
 	while (Date.now() - diedAt < afterMilliseconds) {
 		const overviews = await Promise.all(survivors.map(async entry => overviewOf(entry)));
@@ -103,12 +103,12 @@
 		const owned = overviews.flatMap(({ownedEndpoints}) => ownedEndpoints);
 		const isOwned = owned.length === endpoints && new Set(owned).size === endpoints;
 		const isOneView = overviews.every(({members}) => members.filter(({status}) => status === 'alive' || status === 'suspect').length === survivors.length);
-		seen.ownedAgain = isOwned ? seen.ownedAgain ?? at : undefined;
-		seen.oneView = isOneView ? seen.oneView ?? at : undefined;
+		recovery.ownedAgain = isOwned ? recovery.ownedAgain ?? at : undefined;
+		recovery.oneView = isOneView ? recovery.oneView ?? at : undefined;
 		await delay(pollIntervalMilliseconds);
 	}
 
-	return seen;
+	return recovery;
 }
 
 async function overviewOf(entry: DeployedProcess): Promise<PeersOverview> {
--- a/src/bench/weigh/failures.ts
+++ b/src/bench/weigh/failures.ts
@@ -110,8 +110,8 @@
 	network.cut(inside.map(({name}) => name), '');
 	const endedAt = network.now;
 	const newestAgain = network.runUntil(() => cutPeers.every(({configuration}) => configuration.state.version === platform.version), limitMilliseconds);
-	const isWhole = (): boolean => network.running().every(({node}) => node.membership.allLive().length === 15);
-	const membersAgain = network.runUntil(isWhole, limitMilliseconds);
+	const isEveryMemberSeen = (): boolean => network.running().every(({node}) => node.membership.allLive().length === 15);
+	const membersAgain = network.runUntil(isEveryMemberSeen, limitMilliseconds);
 	return {...outcome, newestAgain, membersAgain: membersAgain === undefined ? undefined : network.now - endedAt};
 }
 
--- a/src/bench/weigh/knowledge.ts
+++ b/src/bench/weigh/knowledge.ts
@@ -83,8 +83,8 @@
 			serve(endpoint, now, now > warmUpMilliseconds ? waits : []);
 			if (publishInterval > 0 && (now + (index * 37 * stepMilliseconds)) % publishInterval === 0) {
 				reported[index] = loadOf(endpoint);
-				for (const own of sent) {
-					own.delete(index);
+				for (const sentByDaemon of sent) {
+					sentByDaemon.delete(index);
 				}
 			}
 		}
@@ -147,13 +147,13 @@
 	const isSplitIntoCells = isCell && endpoints.length > cellEndpoints;
 	const first = isSplitIntoCells ? Math.floor(daemon / cellDaemons) * cellEndpoints : 0;
 	const count = isSplitIntoCells ? cellEndpoints : endpoints.length;
-	const any = (): number => first + Math.floor(random() * count);
+	const randomEndpoint = (): number => first + Math.floor(random() * count);
 	if (strategy === 'none') {
-		return any();
+		return randomEndpoint();
 	}
 
 	if (strategy === 'ask-two' || strategy === 'all-two' || strategy === 'cell-two') {
-		const [left, right] = [any(), any()];
+		const [left, right] = [randomEndpoint(), randomEndpoint()];
 		return estimatedLoad(left) <= estimatedLoad(right) ? left : right;
 	}
 
--- a/src/check/claim-scenario.ts
+++ b/src/check/claim-scenario.ts
@@ -133,26 +133,26 @@
 		const {choices} = simulation;
 		const {process} = caller.instance;
 		await simulation.pauseOrStop(process);
-		const fate = choices.oneOf(['well', 'well', 'well', 'well', 'not-sent', 'lost-after', 'lost-before', 'late'] as const);
-		simulation.log(`${process.name} sends for ${caller.name} (${fate})`);
+		const outcome = choices.oneOf(['well', 'well', 'well', 'well', 'not-sent', 'lost-after', 'lost-before', 'late'] as const);
+		simulation.log(`${process.name} sends for ${caller.name} (${outcome})`);
 		await simulation.delay(choices.between(1, 500));
-		if (fate === 'not-sent') {
+		if (outcome === 'not-sent') {
 			return Left({kind: 'not-sent', detail: 'refused'});
 		}
 
-		if (fate === 'late') {
+		if (outcome === 'late') {
 			simulation.schedule(choices.between(1, 90_000), () => {
 				this.#runs.push(caller);
 			});
-		} else if (fate !== 'lost-before') {
+		} else if (outcome !== 'lost-before') {
 			this.#runs.push(caller);
 		}
 
-		await simulation.delay(fate === 'well' ? choices.between(1, 20) : 30_000);
+		await simulation.delay(outcome === 'well' ? choices.between(1, 20) : 30_000);
 		await simulation.pauseOrStop(process);
-		return fate === 'well'
+		return outcome === 'well'
 			? Right({status: 201, headers: {}, body: Buffer.from(answerTo(caller))})
-			: Left({kind: 'outcome-unknown', detail: fate});
+			: Left({kind: 'outcome-unknown', detail: outcome});
 	}
 
 	#planFaults(simulation: FaultSimulation, instances: readonly Instance[]): void {
--- a/src/check/configuration-scenario.ts
+++ b/src/check/configuration-scenario.ts
@@ -20,7 +20,7 @@
 const gossipIntervalMilliseconds = 300;
 const pollIntervalMilliseconds = 500;
 
-type Instance = {process: SimulatedProcess; holder: ConfigurationHolder; life: number; served: number; isCutFromPeers: boolean};
+type Instance = {process: SimulatedProcess; holder: ConfigurationHolder; incarnation: number; served: number; isCutFromPeers: boolean};
 type ProposalAnswer = {change: {author: string; reason: string}; isAccepted: boolean};
 
 export class ConfigurationScenario implements Scenario {
@@ -40,7 +40,7 @@
 		});
 		for (const name of ['entry-1', 'entry-2', 'entry-3']) {
 			const instance = {
-				process: createProcess(name), holder: new ConfigurationHolder(), life: 0, served: 0, isCutFromPeers: false,
+				process: createProcess(name), holder: new ConfigurationHolder(), incarnation: 0, served: 0, isCutFromPeers: false,
 			};
 			this.#instances.push(instance);
 			this.#restart(simulation, instance);
@@ -82,7 +82,7 @@
 	}
 
 	#restart(simulation: FaultSimulation, instance: Instance): void {
-		instance.life++;
+		instance.incarnation++;
 		instance.holder = new ConfigurationHolder();
 		const {process} = instance;
 		const watcher = new ConfigurationWatcher({
@@ -100,8 +100,8 @@
 	}
 
 	async #watch(simulation: FaultSimulation, instance: Instance, watcher: ConfigurationWatcher): Promise<void> {
-		const {life} = instance;
-		while (simulation.now < this.#endsAt && instance.life === life) {
+		const {incarnation} = instance;
+		while (simulation.now < this.#endsAt && instance.incarnation === incarnation) {
 			await watcher.pollOnce();
 			await simulation.delay(pollIntervalMilliseconds);
 		}
@@ -117,9 +117,9 @@
 
 			for (const change of this.#changes.slice(peer.holder.state.version, instance.holder.state.version)) {
 				const isDamaged = choices.chance(5);
-				const {life} = peer;
+				const {incarnation} = peer;
 				simulation.schedule(choices.between(1, 200), () => {
-					if (peer.life === life) {
+					if (peer.incarnation === incarnation) {
 						peer.holder.offer(isDamaged ? {...change, edits: []} : change);
 					}
 				});
--- a/src/check/faulty-table.ts
+++ b/src/check/faulty-table.ts
@@ -49,7 +49,7 @@
 	}
 }
 
-const commitFates = ['well', 'well', 'well', 'well', 'well', 'well', 'lost-after', 'lost-before', 'late', 'refused'] as const;
+const commitOutcomes = ['well', 'well', 'well', 'well', 'well', 'well', 'lost-after', 'lost-before', 'late', 'refused'] as const;
 
 export class FaultyTable implements TableService {
 	readonly #simulation: FaultSimulation;
@@ -78,34 +78,34 @@
 		const {choices} = this.#simulation;
 		await this.#simulation.pauseOrStop(this.#process);
 		await this.#simulation.delay(choices.between(1, 20));
-		const fate = this.#isUnavailable ? choices.oneOf(['refused', 'lost-before'] as const) : choices.oneOf(commitFates);
-		const written = await this.#applyFate(fate, transaction);
-		this.#simulation.log(`${this.#process.name} writes ${describe(transaction)}: ${written.isRight() ? 'applied' : written.extract()!.kind}${fate === 'well' ? '' : ` (${fate})`}`);
+		const outcome = this.#isUnavailable ? choices.oneOf(['refused', 'lost-before'] as const) : choices.oneOf(commitOutcomes);
+		const written = await this.#applyWithOutcome(outcome, transaction);
+		this.#simulation.log(`${this.#process.name} writes ${describe(transaction)}: ${written.isRight() ? 'applied' : written.extract()!.kind}${outcome === 'well' ? '' : ` (${outcome})`}`);
 		await this.#simulation.pauseOrStop(this.#process);
 		return written;
 	}
 
-	async #applyFate(fate: typeof commitFates[number], transaction: Transaction): Promise<Either<TableFailure, void>> {
-		if (fate === 'refused') {
+	async #applyWithOutcome(outcome: typeof commitOutcomes[number], transaction: Transaction): Promise<Either<TableFailure, void>> {
+		if (outcome === 'refused') {
 			return Left({kind: 'unavailable', detail: 'down'});
 		}
 
-		if (fate === 'well') {
+		if (outcome === 'well') {
 			const result = this.#rows.apply(transaction);
 			await this.#simulation.delay(this.#simulation.choices.between(1, 20));
 			return result;
 		}
 
-		if (fate === 'lost-after') {
+		if (outcome === 'lost-after') {
 			this.#rows.apply(transaction);
-		} else if (fate === 'late') {
+		} else if (outcome === 'late') {
 			this.#simulation.schedule(this.#simulation.choices.between(1, maxLatenessMilliseconds), () => {
 				this.#rows.apply(transaction);
 			});
 		}
 
 		await this.#simulation.delay(timeoutMilliseconds);
-		return Left({kind: 'outcome-unknown', detail: fate});
+		return Left({kind: 'outcome-unknown', detail: outcome});
 	}
 
 	async #readWithFaults<Value>(readRows: () => Value): Promise<Either<TableFailure, Value>> {
--- a/src/test/malformed-requests.test.ts
+++ b/src/test/malformed-requests.test.ts
@@ -98,14 +98,14 @@
 }).map(parts => Buffer.from([
 	`${parts.method} ${parts.path} ${parts.version}`, 'host: x', ...parts.headers, '', parts.body,
 ].join(parts.lineEnd)));
-const nearlyRight = fc.record({shape: fc.constantFrom('chat/completions', 'completions'), body, headers: fc.array(header, {maxLength: 1})}).map(parts => Buffer.from([
+const nearlyValid = fc.record({shape: fc.constantFrom('chat/completions', 'completions'), body, headers: fc.array(header, {maxLength: 1})}).map(parts => Buffer.from([
 	`POST /v1/${parts.shape} HTTP/1.1`, 'host: x', `authorization: Bearer ${testKey}`, `content-length: ${Buffer.byteLength(parts.body)}`, ...parts.headers, '', parts.body,
 ].join('\r\n')));
 const noise = fc.uint8Array({minLength: 1, maxLength: 300}).map(bytes => Buffer.from(bytes));
-const request = fc.oneof(shaped, nearlyRight, noise);
+const request = fc.oneof(shaped, nearlyValid, noise);
 
 /** Checks that an answer is a success or a typed refusal, and not a server error. */
-function assertClear(answer: string, bytes: Buffer): void {
+function assertTypedAnswer(answer: string, bytes: Buffer): void {
 	const status = statusOf(answer);
 	const isHead = bytes.toString('latin1').startsWith('HEAD');
 	assert.ok(status >= 200 && status < 500, `status ${status}: ${answer}`);
@@ -127,7 +127,7 @@
 		}, hangMilliseconds);
 		const answer = readToEnd(socket);
 		socket.end(bytes);
-		assertClear(await answer, bytes);
+		assertTypedAnswer(await answer, bytes);
 		clearTimeout(timer);
 	}), {numRuns: 1000, seed});
 	const alive = await exchangeRaw(entry.callersAddress, 'GET /healthz HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n');
@@ -142,6 +142,6 @@
 	const samples = fc.sample(request, {numRuns: 40, seed});
 	const answers = await Promise.all(samples.map(async bytes => exchangeRaw(entry.callersAddress, Buffer.concat([bytes, Buffer.from('\r\nx')]))));
 	for (const [index, answer] of answers.entries()) {
-		assertClear(answer, samples[index]!);
+		assertTypedAnswer(answer, samples[index]!);
 	}
 });
--- a/src/test/process-operations.test.ts
+++ b/src/test/process-operations.test.ts
@@ -42,7 +42,7 @@
 test('over real processes: a graceful stop, a leaving endpoint and a configuration change', async context => {
 	const deployment = await startDeployment();
 	context.after(async () => deployment.stop());
-	const [leaver, stays] = deployment.withRole('entry');
+	const [stoppedEntry, remainingEntry] = deployment.withRole('entry');
 	const engines = deployment.withRole('model-engine');
 	const plainServices = deployment.withRole('plain-service');
 
@@ -57,8 +57,8 @@
 	await context.test('a graceful stop with 50 open streams completes all 50 answers', async () => {
 		// Fifty callers are receiving streams when the entry gets SIGTERM. Each gets its complete answer, and the process exits
 		// after the last one.
-		const exited = once(leaver!.process.child, 'exit');
-		const answers = Array.from({length: 50}, async (_, index) => isAnsweredCompletely(leaver!, `stream ${index}`, 100));
+		const exited = once(stoppedEntry!.process.child, 'exit');
+		const answers = Array.from({length: 50}, async (_, index) => isAnsweredCompletely(stoppedEntry!, `stream ${index}`, 100));
 		for (;;) {
 			const running = await Promise.all(engines.map(async engine => countOf(deployment, engine, 'running')));
 			if (running.reduce((sum, count) => sum + count, 0) === 50) {
@@ -68,7 +68,7 @@
 			await delay(pollIntervalMilliseconds);
 		}
 
-		leaver!.process.child.kill('SIGTERM');
+		stoppedEntry!.process.child.kill('SIGTERM');
 		const whole = await Promise.all(answers);
 		assert.equal(whole.filter(Boolean).length, 50);
 		assert.deepEqual(await exited, [0, null]);
@@ -89,9 +89,9 @@
 		await delay(leavingBoundMilliseconds);
 		const prompts = await countOf(deployment, engines[0]!, 'completions');
 		const bookings = await countOf(deployment, plainServices[0]!, 'runs');
-		const whole = await Promise.all(Array.from({length: 20}, async (_, index) => isAnsweredCompletely(stays!, `late ${index}`, 5)));
+		const whole = await Promise.all(Array.from({length: 20}, async (_, index) => isAnsweredCompletely(remainingEntry!, `late ${index}`, 5)));
 		const booked = await Promise.all(Array.from({length: 20}, async (_, index) => sendBooking({
-			entry: stays!.listed.address, key: 'quay-demo-key', path: '/services/bookings/bookings', name: `late-${index}`, idempotencyKey: `late-${index}`,
+			entry: remainingEntry!.listed.address, key: 'quay-demo-key', path: '/services/bookings/bookings', name: `late-${index}`, idempotencyKey: `late-${index}`,
 		})));
 		assert.equal(await countOf(deployment, engines[0]!, 'completions'), prompts);
 		assert.equal(await countOf(deployment, plainServices[0]!, 'runs'), bookings);
--- a/src/test/process-stop-bookings.test.ts
+++ b/src/test/process-stop-bookings.test.ts
@@ -28,12 +28,12 @@
 	await deployment.start();
 	context.after(async () => deployment.stop());
 	await deployment.apply(demoDeclarationPath, 'test', () => undefined);
-	const leaver = deployment.withRole('entry')[0]!;
+	const stoppedEntry = deployment.withRole('entry')[0]!;
 	const [service] = deployment.withRole('plain-service');
 	const outcomes: string[] = [];
 	const callInSeries = async (caller: number): Promise<void> => {
 		for (let count = 0; ; count++) {
-			const outcome = await book(leaver, `booking-${caller}-${count}`);
+			const outcome = await book(stoppedEntry, `booking-${caller}-${count}`);
 			outcomes.push(outcome);
 			if (outcome === 'ECONNREFUSED') {
 				return;
@@ -41,13 +41,13 @@
 		}
 	};
 
-	const exited = once(leaver.process.child, 'exit');
+	const exited = once(stoppedEntry.process.child, 'exit');
 	const calling = Promise.all(Array.from({length: callers}, async (_, caller) => callInSeries(caller)));
 	while (outcomes.length < 100) {
 		await delay(5);
 	}
 
-	leaver.process.child.kill('SIGTERM');
+	stoppedEntry.process.child.kill('SIGTERM');
 	await calling;
 	assert.deepEqual(await exited, [0, null]);
 	const counts = new Map<string, number>();
