--- a/src/decision/placement/cost-placement.test.ts
+++ b/src/decision/placement/cost-placement.test.ts
@@ -160,8 +160,8 @@
 test('blocks that can be fetched make all engines about equal', () => {
 	const policy = new CostPlacement('split');
 	const owner = chosen(policy, promptOf('subject', 'a'));
-	const keptAt = (): number[] => [0, 0, 0];
-	const changes = {keptAt, fetchableUnder: () => [true, true]};
+	const cachedTokensAt = (): number[] => [0, 0, 0];
+	const changes = {cachedTokensAt, fetchableUnder: () => [true, true]};
 	const placement = policy.place(promptOf('subject', 'a', changes), engines.filter(({name}) => name !== owner), 0);
 	assert.equal(placement.kind === 'send' && placement.basis.fetchTokens, 8500);
 	assert.equal(placement.kind === 'send' && placement.basis.readTokens, 2500);
