--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -225,7 +225,14 @@
 			children: [
 				...this.#feeds.followers,
 				new WeightRollout(this.#context, {
-					instance, leaseMilliseconds, switchoverMilliseconds: weightsMilliseconds, store, control, targets: goals, isCoordinator: () => this.#coordinators.isCoordinator, instances: () => this.#coordinators.instances,
+					instance,
+					leaseMilliseconds,
+					switchoverMilliseconds: weightsMilliseconds,
+					store,
+					control,
+					targets: goals,
+					isCoordinator: () => this.#coordinators.isCoordinator,
+					instances: () => this.#coordinators.instances,
 				}),
 				new EndpointProber(this.#context),
 				...this.#coordinators.children(),
