--- a/src/gateway/gateway-daemon.ts
+++ b/src/gateway/gateway-daemon.ts
@@ -212,7 +212,7 @@
 
 	#createSupervisor(ports: GatewayPorts): Supervisor {
 		const {store, clock, control} = ports;
-		const {log, weightTargets: goals} = this.#context;
+		const {log, weightTargets} = this.#context;
 		const {instance, bounds: {leaseMilliseconds, weightsMilliseconds}} = this.#settings;
 		return new Supervisor({
 			name: 'gateway',
@@ -230,7 +230,7 @@
 					switchoverMilliseconds: weightsMilliseconds,
 					store,
 					control,
-					targets: goals,
+					targets: weightTargets,
 					isCoordinator: () => this.#coordinators.isCoordinator,
 					instances: () => this.#coordinators.instances,
 				}),
